--- a/route/admit.c
+++ b/route/admit.c
@@ -10,13 +10,13 @@
  */
 #include "librt.h"
 
-#define VIRTUAL_UNIT 1000000
+#define VIRTUAL_TIME_UNIT 1000000
 #define RETRY_AFTER_MIN_MS 50
 #define RETRY_AFTER_MAX_MS 5000
-#define MEAN_RUN_FIRST (200 * EL_MSEC)
+#define MEAN_RUN_INITIAL_US (200 * EL_MSEC)
 
 static uint64_t
-customer_share (const rt_router_t *router, const rt_customer_t *customer)
+customer_host_limit (const rt_router_t *router, const rt_customer_t *customer)
 {
   size_t hosts = router->hosts ? router->hosts : 1;
 
@@ -24,7 +24,7 @@
 }
 
 static void
-queue_add (rt_stream_t *stream)
+queue_append (rt_stream_t *stream)
 {
   rt_customer_t *customer = stream->customer;
 
@@ -39,20 +39,20 @@
 
 /** Take a stream that waits out of its queue. */
 void
-rt_admit_remove (rt_stream_t *stream)
+rt_admit_dequeue (rt_stream_t *stream)
 {
   rt_customer_t *customer = stream->customer;
-  rt_stream_t **at = &customer->queue;
+  rt_stream_t **link = &customer->queue;
   rt_stream_t *prev = NULL;
 
-  while (*at && *at != stream)
+  while (*link && *link != stream)
     {
-      prev = *at;
-      at = &prev->queue_next;
+      prev = *link;
+      link = &prev->queue_next;
     }
-  if (!*at)
+  if (!*link)
     return;
-  *at = stream->queue_next;
+  *link = stream->queue_next;
   if (customer->queue_tail == stream)
     customer->queue_tail = prev;
   stream->router->queued--;
@@ -66,7 +66,7 @@
     customer->virtual_time = router->virtual_time;
   router->virtual_time = customer->virtual_time;
   customer->virtual_time
-      += VIRTUAL_UNIT / (customer->weight << customer->priority);
+      += VIRTUAL_TIME_UNIT / (customer->weight << customer->priority);
 }
 
 /** Run the stream, let it wait, or give the reason to refuse it; RT_DONE
@@ -81,7 +81,7 @@
     return RT_STOPPING;
   if (stream->deadline <= now)
     return RT_DEADLINE;
-  if (customer->in_flight >= customer_share (router, customer))
+  if (customer->in_flight >= customer_host_limit (router, customer))
     return RT_CUSTOMER_FULL;
   if (router->active >= router->options.max_active
       && router->queued >= router->options.max_queue)
@@ -90,11 +90,11 @@
   if (router->active < router->options.max_active)
     {
       customer_charge (router, customer);
-      rt_stream_run (stream, now);
+      rt_stream_start (stream, now);
       return RT_DONE;
     }
   stream->state = RT_QUEUED;
-  queue_add (stream);
+  queue_append (stream);
   el_timers_set (&router->timers, &stream->timer, stream->deadline);
   return RT_DONE;
 }
@@ -123,9 +123,9 @@
       if (!best)
         break;
       stream = best->queue;
-      rt_admit_remove (stream);
+      rt_admit_dequeue (stream);
       customer_charge (router, best);
-      rt_stream_run (stream, now);
+      rt_stream_start (stream, now);
     }
   router->admitting = 0;
 }
@@ -135,7 +135,8 @@
 uint64_t
 rt_admit_retry_after (rt_router_t *router)
 {
-  uint64_t mean = router->mean_run ? router->mean_run : MEAN_RUN_FIRST;
+  uint64_t mean
+      = router->mean_run_us ? router->mean_run_us : MEAN_RUN_INITIAL_US;
   uint64_t wait = mean / EL_MSEC * (router->queued + 1)
                   / (router->options.max_active + 1);
 
--- a/route/call.c
+++ b/route/call.c
@@ -9,16 +9,16 @@
 
 static rt_reason_t call_start (rt_stream_t *, el_time_t);
 static void call_reply (rt_stream_t *, el_time_t, const rt_event_t *);
-static void call_leave (rt_stream_t *, el_time_t, int);
-static rt_budget_t *call_budget (rt_stream_t *);
-static el_time_t call_opens (const rt_stream_t *, el_time_t);
+static void call_release (rt_stream_t *, el_time_t, int);
+static rt_retry_budget_t *call_budget (rt_stream_t *);
+static el_time_t call_available_at (const rt_stream_t *, el_time_t);
 
 const rt_work_ops_t rt_call_ops = {
   .start = call_start,
   .reply = call_reply,
-  .leave = call_leave,
+  .release = call_release,
   .budget = call_budget,
-  .opens = call_opens,
+  .available_at = call_available_at,
 };
 
 static rt_reason_t
@@ -31,7 +31,7 @@
 
   if (!service)
     return RT_NO_MODEL;
-  ep = rt_pick_worker (router, now, service, stream->avoid);
+  ep = rt_choose_worker (router, now, service, stream->avoid);
   if (!ep)
     return RT_NO_ROUTE;
   stream->route = el_alloc (sizeof *stream->route + sizeof (rt_hop_t));
@@ -41,7 +41,7 @@
   stream->attempt++;
   stream->hop = 0;
   action.final = 1;
-  rt_stream_call (stream, now, &stream->route->hops[0], &action);
+  rt_stream_send_call (stream, now, &stream->route->hops[0], &action);
   return RT_DONE;
 }
 
@@ -53,7 +53,7 @@
 }
 
 static void
-call_leave (rt_stream_t *stream, el_time_t now, int abandon)
+call_release (rt_stream_t *stream, el_time_t now, int abandon)
 {
   rt_action_t action
       = { .kind = RT_ACT_ABANDON, .stream = stream->id, .work = stream->work };
@@ -67,13 +67,13 @@
       action.call.attempt = stream->attempt;
       action.endpoint = stream->route->hops[0].endpoint;
       action.address = stream->route->hops[0].address;
-      rt_act (stream->router, &action);
+      rt_emit_action (stream->router, &action);
     }
   rt_route_free (stream->route);
   stream->route = NULL;
 }
 
-static rt_budget_t *
+static rt_retry_budget_t *
 call_budget (rt_stream_t *stream)
 {
   rt_service_t *service = rt_service_find (stream->router, stream->target);
@@ -82,7 +82,7 @@
 }
 
 static el_time_t
-call_opens (const rt_stream_t *stream, el_time_t now)
+call_available_at (const rt_stream_t *stream, el_time_t now)
 {
   const rt_service_t *service
       = rt_service_find (stream->router, stream->target);
@@ -93,10 +93,11 @@
     {
       const rt_endpoint_t *ep
           = rt_endpoint_find (stream->router, service->spec.endpoints[i]);
-      el_time_t opens = ep ? rt_endpoint_opens (ep, now) : EL_TIME_NEVER;
+      el_time_t available_at
+          = ep ? rt_endpoint_available_at (ep, now) : EL_TIME_NEVER;
 
-      if (opens < first)
-        first = opens;
+      if (available_at < first)
+        first = available_at;
     }
   return first == EL_TIME_NEVER ? 0 : first;
 }
--- a/route/health.c
+++ b/route/health.c
@@ -9,16 +9,16 @@
  */
 #include "librt.h"
 
-static const rt_avoid_t eject = {
+static const rt_avoid_t ejection_policy = {
   .after = 3, .first = 500 * EL_MSEC, .doublings = 5, .most = 15 * EL_SEC
 };
 
 /* What a failure says of its endpoint. */
 static const struct
 {
-  int counts;  /* towards being set aside */
-  int at_once; /* one is enough */
-} fails[RT_FAILS] = {
+  int counts;         /* towards being set aside */
+  int ejects_at_once; /* one is enough */
+} failure_effects[RT_FAILS] = {
   [RT_FAIL_CONNECT] = { 1, 1 }, [RT_FAIL_BROKEN] = { 1, 0 },
   [RT_FAIL_LEAVING] = { 0, 0 }, [RT_FAIL_BUSY] = { 0, 0 },
   [RT_FAIL_REFUSED] = { 0, 0 }, [RT_FAIL_TIMEOUT] = { 1, 1 },
@@ -37,13 +37,13 @@
 
 /** When it may get work again: now, when its rest is over, or never. */
 el_time_t
-rt_endpoint_opens (const rt_endpoint_t *ep, el_time_t now)
+rt_endpoint_available_at (const rt_endpoint_t *ep, el_time_t now)
 {
-  rt_why_t why = rt_access_why (&ep->access, now);
+  rt_why_t reason = rt_access_why (&ep->access, now);
 
-  if (ep->draining || why > RT_WHY_RESTS)
+  if (ep->draining || reason > RT_WHY_RESTS)
     return EL_TIME_NEVER;
-  return why == RT_WHY_RESTS ? ep->access.rest_until : now;
+  return reason == RT_WHY_RESTS ? ep->access.rest_until : now;
 }
 
 /** A call to the endpoint failed. */
@@ -61,17 +61,18 @@
       router->counts.leaving++;
       ep->access.leaves_until = now + router->options.leave_hold;
     }
-  if (!fails[fail].counts)
+  if (!failure_effects[fail].counts)
     return;
   ejected = now < ep->access.failed_until;
-  if (rt_access_failed (&ep->access, now, &eject, fails[fail].at_once))
+  if (rt_access_failed (&ep->access, now, &ejection_policy,
+                        failure_effects[fail].ejects_at_once))
     router->counts.ejected += !ejected;
 }
 
 /** The endpoint wants nothing from this host for so long. */
 void
-rt_endpoint_rests (rt_router_t *router, el_str_t name, el_time_t now,
-                   el_time_t asked)
+rt_endpoint_rest_requested (rt_router_t *router, el_str_t name, el_time_t now,
+                            el_time_t asked)
 {
   rt_endpoint_t *ep = rt_endpoint_find (router, name);
 
@@ -93,8 +94,8 @@
 
 /** A call went out to the endpoint at NOW (1), or is over (-1). */
 void
-rt_endpoint_flight (rt_router_t *router, el_str_t name, el_time_t now,
-                    int delta)
+rt_endpoint_adjust_in_flight (rt_router_t *router, el_str_t name,
+                              el_time_t now, int delta)
 {
   rt_endpoint_t *ep = rt_endpoint_find (router, name);
 
--- a/route/librt.h
+++ b/route/librt.h
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Internals of the route package.
+ * Internal types and functions of the request router.
  */
 #ifndef ELMARCH_LIBRT_H
 #define ELMARCH_LIBRT_H
@@ -19,17 +19,18 @@
   el_str_t hall;
   co_role_t role;
   uint64_t capacity;
-  int draining;       /* by the operator */
-  rt_access_t access; /* what is known against sending there */
-  size_t in_flight;
+  int draining;       /* set by the operator */
+  rt_access_t access; /* whether requests may be sent to it */
+  size_t in_flight;   /* calls */
   UT_hash_handle hh;
 } rt_endpoint_t;
 
-/* Retries allowed: a share of the requests, saved up to a cap. */
-typedef struct rt_budget
+/* Retry budget: each admitted request adds a fraction of a retry, up to a
+   maximum. */
+typedef struct rt_retry_budget
 {
-  uint64_t tenths;
-} rt_budget_t;
+  uint64_t tenths; /* of a retry */
+} rt_retry_budget_t;
 
 typedef struct rt_deployment rt_deployment_t;
 
@@ -38,9 +39,9 @@
   char *key;
   char *deployment;
   uint64_t weight;
-  co_stage_t *stages; /* endpoint names are owned */
+  co_stage_t *stages; /* the endpoint names are owned */
   size_t nstages;
-  uint64_t load; /* tokens still to come of the streams on it */
+  uint64_t tokens_pending; /* that its streams have yet to generate, at most */
   size_t streams;
   UT_hash_handle hh;
 } rt_pipeline_t;
@@ -52,17 +53,17 @@
   uint64_t generation;
   uint64_t layers;
   uint64_t max_tokens;
-  rt_pipeline_t **pipes; /* those of this deployment */
+  rt_pipeline_t **pipes; /* the pipelines of this deployment */
   size_t npipes;
-  rt_budget_t budget;
+  rt_retry_budget_t budget;
   UT_hash_handle hh;
 };
 
 typedef struct rt_service
 {
   char *key;
-  co_service_t spec; /* strings are owned */
-  rt_budget_t budget;
+  co_service_t spec; /* the endpoint names are owned */
+  rt_retry_budget_t budget;
   UT_hash_handle hh;
 } rt_service_t;
 
@@ -75,17 +76,18 @@
   uint64_t priority;
   uint64_t weight;
   uint64_t max_in_flight;
-  int removed; /* kept while its streams last */
+  int removed; /* from the configuration; freed after its last stream ends */
   size_t in_flight;
   uint64_t virtual_time;
-  rt_stream_t *queue; /* first to come, first served */
+  rt_stream_t *queue; /* waiting streams, FIFO */
   rt_stream_t *queue_tail;
   UT_hash_handle hh;
   UT_hash_handle hh_key;
 } rt_customer_t;
 
-/* Layers in order over endpoints, each layer once, of one generation. Copies
-   what it needs, so that a change of configuration leaves it whole. */
+/* A route assigns each layer, in order, to exactly one endpoint of a single
+   generation. It holds copies of names and addresses, so that a configuration
+   change does not affect a route in use. */
 typedef struct rt_hop
 {
   el_str_t endpoint;
@@ -102,18 +104,18 @@
   rt_hop_t hops[];
 } rt_route_t;
 
-typedef enum rt_state
+typedef enum rt_stream_state
 {
   RT_QUEUED,
   RT_RUNNING,
-  RT_BACKOFF /* between two attempts */
-} rt_state_t;
+  RT_BACKOFF /* waiting to start another attempt */
+} rt_stream_state_t;
 
 struct rt_stream
 {
   uint64_t id;
   rt_work_t work;
-  rt_state_t state;
+  rt_stream_state_t state;
   rt_router_t *router;
   rt_customer_t *customer;
   rt_stream_t *queue_next;
@@ -122,18 +124,18 @@
   uint64_t max_tokens;
   el_time_t deadline;
   int repeatable;
-  el_verdict_t verdict; /* of the calls that have ended */
-  int calling;          /* a call is out */
+  el_verdict_t verdict; /* combined verdict of the calls that have ended */
+  int call_pending;
   el_time_t call_due;
-  el_time_t started; /* the first attempt */
+  el_time_t started; /* start of the first attempt */
   rt_route_t *route;
   uint64_t attempt;
-  unsigned failures; /* in a row */
-  size_t hop;
-  uint64_t *tokens; /* delivered, those that the caller brought included */
+  unsigned failures; /* consecutive */
+  size_t hop;        /* index of the current stage in the route */
+  uint64_t *tokens;  /* delivered, including those passed in by the caller */
   size_t ntokens;
-  size_t cap_tokens;
-  el_str_t avoid; /* endpoint that failed last */
+  size_t tokens_capacity;
+  el_str_t avoid; /* the endpoint that failed last */
   el_timer_t timer;
   UT_hash_handle hh;
 };
@@ -155,24 +157,26 @@
   size_t queued;
   size_t hosts;
   uint64_t virtual_time;
-  uint64_t mean_run; /* of a stream, microseconds, smoothed */
+  uint64_t mean_run_us; /* moving average of how long a stream runs */
   int stopping;
-  int admitting; /* rt_admit_next is on the stack */
+  int admitting; /* rt_admit_next is running; prevents recursion */
 };
 
-/* What differs between the kinds of work. */
+/* Operations that differ between request types. */
 typedef struct rt_work_ops
 {
-  /* Choose endpoints for the stream's next attempt and call the first. */
+  /* Choose endpoints for the stream's next attempt and call the first one.
+     Returns RT_DONE if the call was sent. */
   rt_reason_t (*start) (rt_stream_t *stream, el_time_t now);
-  /* The call that was out is answered. */
+  /* Handle the answer to the pending call. */
   void (*reply) (rt_stream_t *stream, el_time_t now, const rt_event_t *event);
-  /* The attempt is over: give back what it held. */
-  void (*leave) (rt_stream_t *stream, el_time_t now, int abandon);
-  rt_budget_t *(*budget) (rt_stream_t *stream);
-  /* When endpoints may be used again that only rests keep from it; 0 where
-     that is not so. */
-  el_time_t (*opens) (const rt_stream_t *stream, el_time_t now);
+  /* The attempt is over: release its route. If ABANDON, tell the endpoints to
+     discard the attempt. */
+  void (*release) (rt_stream_t *stream, el_time_t now, int abandon);
+  rt_retry_budget_t *(*budget) (rt_stream_t *stream);
+  /* The earliest time at which endpoints can serve the stream, waiting only
+     for rests to end; 0 if that never makes a route available. */
+  el_time_t (*available_at) (const rt_stream_t *stream, el_time_t now);
 } rt_work_ops_t;
 
 extern const rt_work_ops_t rt_chat_ops;
@@ -180,21 +184,21 @@
 
 /* router.c */
 uint64_t rt_random (rt_router_t *router);
-void rt_act (rt_router_t *router, const rt_action_t *action);
-void rt_stream_call (rt_stream_t *stream, el_time_t now, const rt_hop_t *hop,
-                     rt_action_t *action);
-void rt_stream_failed (rt_stream_t *stream, el_time_t now,
-                       el_verdict_t verdict, rt_fail_t fail);
+void rt_emit_action (rt_router_t *router, const rt_action_t *action);
+void rt_stream_send_call (rt_stream_t *stream, el_time_t now,
+                          const rt_hop_t *hop, rt_action_t *action);
+void rt_stream_call_failed (rt_stream_t *stream, el_time_t now,
+                            el_verdict_t verdict, rt_fail_t fail);
 void rt_stream_end (rt_stream_t *stream, el_time_t now, rt_reason_t reason);
-void rt_stream_run (rt_stream_t *stream, el_time_t now);
+void rt_stream_start (rt_stream_t *stream, el_time_t now);
 
 /* table.c */
 rt_endpoint_t *rt_endpoint_find (const rt_router_t *router, el_str_t name);
 rt_service_t *rt_service_find (const rt_router_t *router, el_str_t name);
 rt_customer_t *rt_customer_find (const rt_router_t *router, el_str_t name);
 rt_pipeline_t *rt_pipeline_find (const rt_router_t *router, el_str_t name);
-void rt_customer_put (rt_router_t *router, rt_customer_t *customer);
-void rt_table_free (rt_router_t *router);
+void rt_customer_release (rt_router_t *router, rt_customer_t *customer);
+void rt_tables_free (rt_router_t *router);
 
 /* path.c */
 rt_route_t *rt_route_build (const rt_router_t *router,
@@ -203,11 +207,11 @@
 void rt_route_free (rt_route_t *route);
 
 /* pick.c */
-rt_pipeline_t *rt_pick_pipeline (rt_router_t *router, el_time_t now,
-                                 const rt_deployment_t *deployment,
-                                 el_str_t avoid);
-rt_endpoint_t *rt_pick_worker (rt_router_t *router, el_time_t now,
-                               const rt_service_t *service, el_str_t avoid);
+rt_pipeline_t *rt_choose_pipeline (rt_router_t *router, el_time_t now,
+                                   const rt_deployment_t *deployment,
+                                   el_str_t avoid);
+rt_endpoint_t *rt_choose_worker (rt_router_t *router, el_time_t now,
+                                 const rt_service_t *service, el_str_t avoid);
 
 /* health.c */
 int rt_endpoint_usable (const rt_endpoint_t *endpoint, el_time_t now,
@@ -215,21 +219,22 @@
 void rt_endpoint_failed (rt_router_t *router, el_str_t name, el_time_t now,
                          rt_fail_t fail);
 void rt_endpoint_answered (rt_router_t *router, el_str_t name);
-void rt_endpoint_rests (rt_router_t *router, el_str_t name, el_time_t now,
-                        el_time_t asked);
-el_time_t rt_endpoint_opens (const rt_endpoint_t *endpoint, el_time_t now);
-void rt_endpoint_flight (rt_router_t *router, el_str_t name, el_time_t now,
-                         int delta);
+void rt_endpoint_rest_requested (rt_router_t *router, el_str_t name,
+                                 el_time_t now, el_time_t asked);
+el_time_t rt_endpoint_available_at (const rt_endpoint_t *endpoint,
+                                    el_time_t now);
+void rt_endpoint_adjust_in_flight (rt_router_t *router, el_str_t name,
+                                   el_time_t now, int delta);
 
 /* admit.c */
 rt_reason_t rt_admit (rt_stream_t *stream, el_time_t now);
 void rt_admit_next (rt_router_t *router, el_time_t now);
-void rt_admit_remove (rt_stream_t *stream);
+void rt_admit_dequeue (rt_stream_t *stream);
 uint64_t rt_admit_retry_after (rt_router_t *router);
 
 /* retry.c */
-void rt_budget_earn (rt_budget_t *budget);
-int rt_budget_spend (rt_budget_t *budget);
-el_time_t rt_backoff (rt_router_t *router, unsigned failures);
+void rt_retry_budget_earn (rt_retry_budget_t *budget);
+int rt_retry_budget_spend (rt_retry_budget_t *budget);
+el_time_t rt_retry_backoff (rt_router_t *router, unsigned failures);
 
 #endif
--- a/route/pick.c
+++ b/route/pick.c
@@ -11,9 +11,9 @@
 #include "librt.h"
 
 /* Draws before all pipelines are looked at in turn. */
-#define PICK_DRAWS 16
+#define PICK_SAMPLES_MAX 16
 /* Usable pipelines that are compared. */
-#define PICK_CHOICES 4
+#define PICK_CANDIDATES_MAX 4
 
 /* How far a choice may go, from best to last. */
 typedef enum pick_level
@@ -25,8 +25,8 @@
 } pick_level_t;
 
 static int
-endpoint_fits (const rt_endpoint_t *ep, el_time_t now, el_str_t avoid,
-               pick_level_t level)
+endpoint_eligible (const rt_endpoint_t *ep, el_time_t now, el_str_t avoid,
+                   pick_level_t level)
 {
   if (!ep || !rt_endpoint_usable (ep, now, level > PICK_HEALTHY))
     return 0;
@@ -42,7 +42,7 @@
 
 /* Fill OUT; gives 0 when an endpoint does not fit. */
 static int
-candidate_look (const rt_router_t *router, el_time_t now, rt_pipeline_t *pipe,
+candidate_init (const rt_router_t *router, el_time_t now, rt_pipeline_t *pipe,
                 el_str_t avoid, pick_level_t level, candidate_t *out)
 {
   const rt_endpoint_t *ep;
@@ -52,7 +52,7 @@
   for (i = 0; i < pipe->nstages; i++)
     {
       ep = rt_endpoint_find (router, pipe->stages[i].endpoint);
-      if (!endpoint_fits (ep, now, avoid, level))
+      if (!endpoint_eligible (ep, now, avoid, level))
         return 0;
       out->capacity += ep->capacity;
     }
@@ -65,8 +65,8 @@
 static int
 candidate_better (const candidate_t *a, const candidate_t *b)
 {
-  uint64_t over_a;
-  uint64_t over_b;
+  uint64_t relative_load_a;
+  uint64_t relative_load_b;
   int room_a;
   int room_b;
 
@@ -78,13 +78,13 @@
     return room_a;
   if (room_a && a->pipe->weight != b->pipe->weight)
     return a->pipe->weight > b->pipe->weight;
-  over_a = (a->pipe->streams + 1) * b->capacity;
-  over_b = (b->pipe->streams + 1) * a->capacity;
-  return over_a < over_b;
+  relative_load_a = (a->pipe->streams + 1) * b->capacity;
+  relative_load_b = (b->pipe->streams + 1) * a->capacity;
+  return relative_load_a < relative_load_b;
 }
 
 static rt_pipeline_t *
-pipeline_draw (rt_router_t *router, const rt_deployment_t *dep)
+pipeline_sample (rt_router_t *router, const rt_deployment_t *dep)
 {
   return dep->pipes[rt_random (router) % dep->npipes];
 }
@@ -94,13 +94,13 @@
                const rt_deployment_t *dep, el_str_t avoid, pick_level_t level)
 {
   candidate_t best = { NULL, 0 };
-  candidate_t one;
+  candidate_t current;
   size_t i;
 
   for (i = 0; i < dep->npipes; i++)
-    if (candidate_look (router, now, dep->pipes[i], avoid, level, &one)
-        && candidate_better (&one, &best))
-      best = one;
+    if (candidate_init (router, now, dep->pipes[i], avoid, level, &current)
+        && candidate_better (&current, &best))
+      best = current;
   return best.pipe;
 }
 
@@ -108,24 +108,24 @@
     aside, and last of all AVOID, which has just failed, are used only when
     nothing else is left, so that no group empties. */
 rt_pipeline_t *
-rt_pick_pipeline (rt_router_t *router, el_time_t now,
-                  const rt_deployment_t *dep, el_str_t avoid)
+rt_choose_pipeline (rt_router_t *router, el_time_t now,
+                    const rt_deployment_t *dep, el_str_t avoid)
 {
   candidate_t best = { NULL, 0 };
-  candidate_t one;
+  candidate_t current;
   int found = 0;
   int i;
 
   if (dep->npipes == 0)
     return NULL;
-  for (i = 0; i < PICK_DRAWS && found < PICK_CHOICES; i++)
+  for (i = 0; i < PICK_SAMPLES_MAX && found < PICK_CANDIDATES_MAX; i++)
     {
-      if (!candidate_look (router, now, pipeline_draw (router, dep), avoid,
-                           PICK_HEALTHY, &one))
+      if (!candidate_init (router, now, pipeline_sample (router, dep), avoid,
+                           PICK_HEALTHY, &current))
         continue;
       found++;
-      if (candidate_better (&one, &best))
-        best = one;
+      if (candidate_better (&current, &best))
+        best = current;
     }
   for (i = PICK_HEALTHY; i < PICK_LEVELS && !best.pipe; i++)
     best.pipe = pipeline_scan (router, now, dep, avoid, (pick_level_t)i);
@@ -135,8 +135,8 @@
 /** Choose the worker of a service with the fewest calls in flight, ties at
     random; rules as for pipelines. */
 rt_endpoint_t *
-rt_pick_worker (rt_router_t *router, el_time_t now,
-                const rt_service_t *service, el_str_t avoid)
+rt_choose_worker (rt_router_t *router, el_time_t now,
+                  const rt_service_t *service, el_str_t avoid)
 {
   size_t n = service->spec.nendpoints;
   size_t start = n ? rt_random (router) % n : 0;
@@ -151,7 +151,7 @@
       {
         name = service->spec.endpoints[(start + i) % n];
         ep = rt_endpoint_find (router, name);
-        if (!endpoint_fits (ep, now, avoid, (pick_level_t)level))
+        if (!endpoint_eligible (ep, now, avoid, (pick_level_t)level))
           continue;
         if (!best || ep->in_flight < best->in_flight)
           best = ep;
--- a/route/retry.c
+++ b/route/retry.c
@@ -8,30 +8,30 @@
 #include "librt.h"
 
 /* A request earns a tenth of a retry; at most this many tenths are saved. */
-#define BUDGET_EARN 1
-#define BUDGET_COST 10
-#define BUDGET_CAP 200
+#define BUDGET_EARNED_TENTHS 1
+#define BUDGET_RETRY_TENTHS 10
+#define BUDGET_MAX_TENTHS 200
 
-#define BACKOFF_FIRST (10 * EL_MSEC)
+#define BACKOFF_INITIAL (10 * EL_MSEC)
 #define BACKOFF_MAX (500 * EL_MSEC)
-#define BACKOFF_DOUBLINGS 6
+#define BACKOFF_DOUBLINGS_MAX 6
 
 /** A request was admitted. */
 void
-rt_budget_earn (rt_budget_t *budget)
+rt_retry_budget_earn (rt_retry_budget_t *budget)
 {
-  budget->tenths += BUDGET_EARN;
-  if (budget->tenths > BUDGET_CAP)
-    budget->tenths = BUDGET_CAP;
+  budget->tenths += BUDGET_EARNED_TENTHS;
+  if (budget->tenths > BUDGET_MAX_TENTHS)
+    budget->tenths = BUDGET_MAX_TENTHS;
 }
 
 /** Take one retry; gives 0 when the budget is empty. */
 int
-rt_budget_spend (rt_budget_t *budget)
+rt_retry_budget_spend (rt_retry_budget_t *budget)
 {
-  if (budget->tenths < BUDGET_COST)
+  if (budget->tenths < BUDGET_RETRY_TENTHS)
     return 0;
-  budget->tenths -= BUDGET_COST;
+  budget->tenths -= BUDGET_RETRY_TENTHS;
   return 1;
 }
 
@@ -39,15 +39,16 @@
     then doubling, with half of it at random so that streams which failed
     together do not return together. */
 el_time_t
-rt_backoff (rt_router_t *router, unsigned failures)
+rt_retry_backoff (rt_router_t *router, unsigned failures)
 {
   unsigned doublings = failures > 1 ? failures - 2 : 0;
   el_time_t wait;
 
   if (failures <= 1)
     return 0;
-  wait = BACKOFF_FIRST << (doublings < BACKOFF_DOUBLINGS ? doublings
-                                                         : BACKOFF_DOUBLINGS);
+  wait = BACKOFF_INITIAL << (doublings < BACKOFF_DOUBLINGS_MAX
+                                 ? doublings
+                                 : BACKOFF_DOUBLINGS_MAX);
   if (wait > BACKOFF_MAX)
     wait = BACKOFF_MAX;
   return wait / 2 + rt_random (router) % (wait / 2 + 1);
--- a/route/route.h
+++ b/route/route.h
@@ -3,10 +3,11 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * The decisions: which endpoints serve a request, whether it is admitted,
- * what happens when one of them fails. A router takes the time and an event
- * and hands actions back; it owns no socket, clock or thread, so the daemon,
- * a replayed trace and a test drive the same object.
+ * Request routing: selects the endpoints that serve a request, controls
+ * admission and handles endpoint failures. The router is a deterministic
+ * state machine: it is passed the time and an event and emits actions through
+ * a callback. It owns no socket, clock or thread, so that the daemon, a
+ * replayed trace and a test can all drive the same object.
  */
 #ifndef ELMARCH_ROUTE_H
 #define ELMARCH_ROUTE_H
@@ -16,35 +17,36 @@
 
 typedef struct rt_router rt_router_t;
 
-/** What a request asks for. */
+/** Type of a request. */
 typedef enum rt_work
 {
-  RT_CHAT, /**< tokens of a model, stage by stage */
-  RT_CALL, /**< one call to a plain service */
+  RT_CHAT, /**< generates tokens with a model, one pipeline stage at a time */
+  RT_CALL, /**< a single call to a service */
   RT_WORKS
 } rt_work_t;
 
-/** Which call of a stream is meant; an engine echoes it. */
+/** Identifies one call to an endpoint. Engines echo it in their answers, so
+    that an answer to another call is recognized. */
 typedef struct rt_place
 {
   uint64_t stream;
-  uint64_t attempt;    /**< from 1, rises with each rebuild */
-  uint64_t step;       /**< tokens delivered before it */
+  uint64_t attempt;    /**< starts at 1, incremented for each new attempt */
+  uint64_t step;       /**< number of tokens delivered before this call */
   uint64_t first;      /**< first layer */
   uint64_t last;       /**< last layer, inclusive */
-  uint64_t generation; /**< of the deployment */
+  uint64_t generation; /**< generation of the deployment */
 } rt_place_t;
 
-/** Why a call brought no answer that can be used. */
+/** Why a call gave no usable answer. */
 typedef enum rt_fail
 {
-  RT_FAIL_CONNECT, /**< no connection was made */
-  RT_FAIL_BROKEN,  /**< the connection ended before the answer did */
-  RT_FAIL_LEAVING, /**< the endpoint refuses new work: it is leaving */
-  RT_FAIL_BUSY,    /**< the endpoint refuses: no room now */
-  RT_FAIL_REFUSED, /**< the endpoint refuses this call itself */
-  RT_FAIL_TIMEOUT, /**< no answer in time */
-  RT_FAIL_CROSSED, /**< the answer was to another call */
+  RT_FAIL_CONNECT, /**< the connection could not be established */
+  RT_FAIL_BROKEN,  /**< the connection closed before the answer was complete */
+  RT_FAIL_LEAVING, /**< refused: the endpoint is shutting down */
+  RT_FAIL_BUSY,    /**< refused: the endpoint has no capacity now */
+  RT_FAIL_REFUSED, /**< refused: the endpoint rejects this particular call */
+  RT_FAIL_TIMEOUT, /**< no answer within the time limit */
+  RT_FAIL_CROSSED, /**< the answer belongs to another call */
   RT_FAILS
 } rt_fail_t;
 
@@ -53,45 +55,46 @@
   RT_EV_REQUEST, /**< a request arrived */
   RT_EV_REPLY,   /**< a call was answered */
   RT_EV_FAILED,  /**< a call failed */
-  RT_EV_CANCEL,  /**< the caller has gone */
-  RT_EV_TICK,    /**< time passed */
-  RT_EV_LEAVING, /**< an endpoint gave a sign that it leaves, or that it
-                      does not */
+  RT_EV_CANCEL,  /**< the caller disconnected */
+  RT_EV_TICK,    /**< run the timers that are due */
+  RT_EV_LEAVING, /**< an endpoint is reported to be shutting down, or no
+                      longer to be */
   RT_EV_HOSTS,   /**< the number of live entry hosts changed */
-  RT_EV_STOP,    /**< this host takes no new work */
+  RT_EV_STOP,    /**< this host accepts no new requests */
   RT_EVENTS
 } rt_event_kind_t;
 
-/** One event; the fields that do not belong to its kind are zero. */
+/** One event; fields that its kind does not use are zero. */
 typedef struct rt_event
 {
   rt_event_kind_t kind;
-  uint64_t stream; /**< chosen by the holder, never used twice */
+  uint64_t stream; /**< assigned by the caller of the router, never reused */
 
   /* RT_EV_REQUEST */
   rt_work_t work;
   el_str_t customer;
-  el_str_t target;        /**< model, or service */
-  el_str_t prompt;        /**< handed on to the first stage as it is */
-  const uint64_t *resume; /**< tokens that the caller already has */
+  el_str_t target;        /**< model or service; an endpoint for
+                               RT_EV_LEAVING */
+  el_str_t prompt;        /**< passed unchanged to the first stage */
+  const uint64_t *resume; /**< tokens that the caller already received */
   size_t nresume;
   uint64_t max_tokens;
   el_time_t deadline;
   int repeatable;
 
   /* RT_EV_REPLY and RT_EV_FAILED */
-  rt_place_t call; /**< the call that it belongs to */
-  rt_place_t echo; /**< what the endpoint says that it answers */
-  el_str_t hidden; /**< from all stages but the last */
+  rt_place_t call; /**< the call that was sent */
+  rt_place_t echo; /**< the call that the endpoint says it answers */
+  el_str_t hidden; /**< hidden state; from all stages but the last */
   uint64_t token;  /**< from the last stage */
   el_str_t text;
   int has_token;
-  int finish; /**< the model ends its answer with this token */
+  int finish; /**< this token ends the model's answer */
   el_verdict_t verdict;
   rt_fail_t fail;
-  el_time_t rest; /**< the endpoint wants nothing for so long */
+  el_time_t rest; /**< the endpoint asks to be sent nothing for this long */
 
-  /* RT_EV_LEAVING (of the endpoint in target), RT_EV_HOSTS */
+  /* RT_EV_LEAVING and RT_EV_HOSTS */
   int leaving;
   uint64_t hosts;
 } rt_event_t;
@@ -99,30 +102,30 @@
 typedef enum rt_action_kind
 {
   RT_ACT_CALL,    /**< call an endpoint */
-  RT_ACT_ABANDON, /**< tell an endpoint to drop an attempt */
-  RT_ACT_TOKEN,   /**< hand a token to the caller */
-  RT_ACT_END,     /**< the request has its final answer */
+  RT_ACT_ABANDON, /**< tell an endpoint to discard an attempt */
+  RT_ACT_TOKEN,   /**< deliver a token to the caller */
+  RT_ACT_END,     /**< the request has ended */
   RT_ACTIONS
 } rt_action_kind_t;
 
 /** Why a request ended. */
 typedef enum rt_reason
 {
-  RT_DONE,          /**< whole: the model ended it */
-  RT_LENGTH,        /**< whole: the most tokens were reached */
-  RT_CANCELLED,     /**< the caller has gone */
-  RT_NO_MODEL,      /**< no such model or service */
-  RT_NO_ROUTE,      /**< no endpoints can serve it now */
-  RT_QUEUE_FULL,    /**< too many wait */
-  RT_CUSTOMER_FULL, /**< the customer has too many in flight */
-  RT_DEADLINE,      /**< its time was over */
+  RT_DONE,          /**< complete: the model or service ended its answer */
+  RT_LENGTH,        /**< complete: the token limit was reached */
+  RT_CANCELLED,     /**< the caller disconnected */
+  RT_NO_MODEL,      /**< unknown model, service or customer */
+  RT_NO_ROUTE,      /**< no available endpoints can serve it */
+  RT_QUEUE_FULL,    /**< the request queue is full */
+  RT_CUSTOMER_FULL, /**< the customer has too many requests in flight */
+  RT_DEADLINE,      /**< the deadline has passed */
   RT_RETRIES,       /**< failed, and no further retry is allowed */
-  RT_ENDPOINT,      /**< failed at the endpoint and may not be repeated */
+  RT_ENDPOINT,      /**< failed at the endpoint and must not be repeated */
   RT_STOPPING,      /**< this host is stopping */
   RT_REASONS
 } rt_reason_t;
 
-/** One action. Strings are valid during the callback only. */
+/** One action. Its strings and arrays are valid during the callback only. */
 typedef struct rt_action
 {
   rt_action_kind_t kind;
@@ -134,12 +137,12 @@
   el_str_t endpoint;
   el_str_t address;
   uint64_t priority;
-  el_time_t due;        /**< after this the answer is of no use */
-  el_str_t prompt;      /**< first stage of an attempt's first step only */
-  el_str_t hidden;      /**< all stages but the first */
-  const uint64_t *feed; /**< tokens for the first stage to take in */
+  el_time_t due;        /**< an answer after this time is not used */
+  el_str_t prompt;      /**< first stage, in an attempt's first step only */
+  el_str_t hidden;      /**< hidden state; all stages but the first */
+  const uint64_t *feed; /**< input tokens of the first stage */
   size_t nfeed;
-  int final; /**< the stage samples a token */
+  int final; /**< last stage: it samples a token */
 
   /* RT_ACT_TOKEN */
   uint64_t token;
@@ -148,7 +151,7 @@
   /* RT_ACT_END */
   el_verdict_t verdict;
   rt_reason_t reason;
-  uint64_t tokens; /**< in the whole answer */
+  uint64_t tokens; /**< in the answer; for RT_ACT_TOKEN, those before it */
   uint64_t retry_after_ms;
 } rt_action_t;
 
@@ -156,32 +159,34 @@
 
 typedef struct rt_options
 {
-  uint64_t seed;        /**< of the choices made at random */
-  size_t max_active;    /**< streams running at once */
-  size_t max_queue;     /**< streams waiting at once */
-  el_time_t call_limit; /**< longest wait for one stage */
-  el_time_t leave_hold; /**< how long an endpoint's own refusal counts */
+  uint64_t seed;        /**< seed of the random number generator */
+  size_t max_active;    /**< maximum number of running streams */
+  size_t max_queue;     /**< maximum number of queued streams */
+  el_time_t call_limit; /**< time limit of one call to a pipeline stage */
+  el_time_t leave_hold; /**< for how long an endpoint counts as leaving after
+                             a report that it leaves */
   rt_act_cb act;
   void *arg;
 } rt_options_t;
 
-/** Counts since the start; read by the holder's metrics. */
+/** Counters since the start, exported as metrics. */
 typedef struct rt_counts
 {
   uint64_t requests;
-  uint64_t refused;   /**< ended as not run */
-  uint64_t whole;     /**< ended with the whole answer */
-  uint64_t broken;    /**< ended otherwise, not by the caller */
+  uint64_t refused;   /**< ended without having run */
+  uint64_t whole;     /**< ended with a complete answer */
+  uint64_t broken;    /**< ran or may have run, and ended without a complete
+                           answer */
   uint64_t cancelled; /**< ended by the caller */
-  uint64_t tokens;
-  uint64_t calls;
-  uint64_t rebuilds; /**< attempts after the first */
-  uint64_t retries;  /**< of those, the ones that took from a budget */
-  uint64_t late;     /**< answers to calls no longer waited for */
-  uint64_t crossed;  /**< answers to another call than asked */
-  uint64_t ejected;  /**< times an endpoint was set aside */
-  uint64_t leaving;  /**< times an endpoint said that it leaves */
-  uint64_t rests;    /**< times an endpoint asked for rest */
+  uint64_t tokens;    /**< delivered to callers */
+  uint64_t calls;     /**< sent to endpoints */
+  uint64_t rebuilds;  /**< attempts scheduled after a failed call */
+  uint64_t retries;   /**< of those, the ones charged to a retry budget */
+  uint64_t late;      /**< results of calls that are no longer pending */
+  uint64_t crossed;   /**< answers that belong to another call */
+  uint64_t ejected;   /**< times an endpoint was ejected after failures */
+  uint64_t leaving;   /**< calls refused because the endpoint is leaving */
+  uint64_t rests;     /**< rests begun because an endpoint asked for one */
 } rt_counts_t;
 
 rt_router_t *rt_router_new (const rt_options_t *options);
@@ -205,7 +210,7 @@
 const char *rt_reason_name (rt_reason_t reason);
 const char *rt_fail_name (rt_fail_t fail);
 
-/* Trace: events and actions as JSON objects, one a line. */
+/* Trace: events and actions as JSON objects, one per line. */
 
 json_t *rt_trace_event (el_time_t now, const rt_event_t *event);
 json_t *rt_trace_action (const rt_action_t *action);
--- a/route/router.c
+++ b/route/router.c
@@ -3,22 +3,24 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * The router: takes events, keeps the streams, and applies the rules that all
- * kinds of work share: which answers count, what a failure leads to, and how
- * a request ends.
+ * The router: dispatches events, keeps the table of streams and implements
+ * what all request types share: matching answers to calls, retrying after
+ * failures and ending requests.
  */
 #include <inttypes.h>
 #include <string.h>
 
 #include "librt.h"
 
-/* Attempts of a stream that has delivered nothing. */
+/* Limit on attempts for a stream that has no tokens. */
 #define ATTEMPTS_MAX 4
-/* The smoothed time of a stream moves by this part of each new one. */
-#define MEAN_WEIGHT 16
-/* Callers who are told to come back after a rest are spread over this part of
-   what is left of it. */
-#define REST_SPREAD_PART 4
+/* Each finished stream contributes one part in this many to the moving average
+   of run times. */
+#define MEAN_RUN_DIVISOR 16
+/* The Retry-After of a caller that has to wait for a rest to end is extended
+   at random by up to this fraction (one part in so many) of the wait, so that
+   callers do not all return at once. */
+#define REST_JITTER_DIVISOR 4
 
 typedef void (*event_fn) (rt_router_t *router, el_time_t now,
                           const rt_event_t *event);
@@ -31,7 +33,7 @@
 static void on_leaving (rt_router_t *, el_time_t, const rt_event_t *);
 static void on_hosts (rt_router_t *, el_time_t, const rt_event_t *);
 static void on_stop (rt_router_t *, el_time_t, const rt_event_t *);
-static void stream_timer (void *arg, el_time_t now);
+static void on_stream_timer (void *arg, el_time_t now);
 
 static const event_fn handlers[RT_EVENTS] = {
   [RT_EV_REQUEST] = on_request, [RT_EV_REPLY] = on_reply,
@@ -40,18 +42,18 @@
   [RT_EV_HOSTS] = on_hosts,     [RT_EV_STOP] = on_stop,
 };
 
-static const rt_work_ops_t *const works[RT_WORKS] = {
+static const rt_work_ops_t *const work_ops[RT_WORKS] = {
   [RT_CHAT] = &rt_chat_ops,
   [RT_CALL] = &rt_call_ops,
 };
 
-/* What a reason means for the one who asked. */
+/* How each reason is reported to the caller. */
 static const struct
 {
   const char *name;
-  int whole;     /* the answer is all there */
-  int come_back; /* another try later may work */
-} reasons[RT_REASONS] = {
+  int whole;     /* the answer is complete */
+  int retryable; /* the same request may succeed later */
+} reason_info[RT_REASONS] = {
   [RT_DONE] = { "stop", 1, 0 },
   [RT_LENGTH] = { "length", 1, 0 },
   [RT_CANCELLED] = { "cancelled", 0, 0 },
@@ -65,7 +67,7 @@
   [RT_STOPPING] = { "stopping", 0, 1 },
 };
 
-static const char *const fail_names[RT_FAILS] = {
+static const char *const failure_names[RT_FAILS] = {
   [RT_FAIL_CONNECT] = "connect", [RT_FAIL_BROKEN] = "broken",
   [RT_FAIL_LEAVING] = "leaving", [RT_FAIL_BUSY] = "busy",
   [RT_FAIL_REFUSED] = "refused", [RT_FAIL_TIMEOUT] = "timeout",
@@ -75,13 +77,13 @@
 const char *
 rt_reason_name (rt_reason_t reason)
 {
-  return reasons[reason].name;
+  return reason_info[reason].name;
 }
 
 const char *
 rt_fail_name (rt_fail_t fail)
 {
-  return fail_names[fail];
+  return failure_names[fail];
 }
 
 rt_router_t *
@@ -116,13 +118,14 @@
 
   HASH_ITER (hh, router->streams, stream, next)
   stream_free (stream);
-  rt_table_free (router);
+  rt_tables_free (router);
   el_timers_free (&router->timers);
   free (router);
 }
 
-/** The next number of the router's own sequence (splitmix64, by Sebastiano
-    Vigna, public domain), so that a replay draws the same. */
+/** Returns the next number of the router's own pseudorandom sequence
+    (splitmix64 by Sebastiano Vigna, public domain). A replayed trace with the
+    same seed draws the same numbers. */
 uint64_t
 rt_random (rt_router_t *router)
 {
@@ -134,12 +137,12 @@
 }
 
 void
-rt_act (rt_router_t *router, const rt_action_t *action)
+rt_emit_action (rt_router_t *router, const rt_action_t *action)
 {
   router->options.act (router->options.arg, action);
 }
 
-/** Take in one event; actions are handed out before it returns. */
+/** Handle one event. All resulting actions are emitted before it returns. */
 void
 rt_router_event (rt_router_t *router, el_time_t now, const rt_event_t *event)
 {
@@ -155,28 +158,30 @@
   return stream;
 }
 
-/* Have the stream looked at when its time or that of its call is over. */
+/* Set the stream's timer to DUE or to the stream's deadline, whichever is
+   earlier. */
 static void
-stream_arm (rt_stream_t *stream, el_time_t due)
+stream_set_timer (rt_stream_t *stream, el_time_t due)
 {
   if (due > stream->deadline)
     due = stream->deadline;
   el_timers_set (&stream->router->timers, &stream->timer, due);
 }
 
-/** Send the stream's next call to HOP; ACTION holds what is its own. */
+/** Send the stream's next call to HOP. ACTION contains the fields specific to
+    the request type; the common ones are filled in here. */
 void
-rt_stream_call (rt_stream_t *stream, el_time_t now, const rt_hop_t *hop,
-                rt_action_t *action)
+rt_stream_send_call (rt_stream_t *stream, el_time_t now, const rt_hop_t *hop,
+                     rt_action_t *action)
 {
   rt_router_t *router = stream->router;
 
-  stream->calling = 1;
+  stream->call_pending = 1;
   stream->call_due = stream->work == RT_CALL
                          ? stream->deadline
                          : now + router->options.call_limit;
-  stream_arm (stream, stream->call_due);
-  rt_endpoint_flight (router, hop->endpoint, now, 1);
+  stream_set_timer (stream, stream->call_due);
+  rt_endpoint_adjust_in_flight (router, hop->endpoint, now, 1);
   router->counts.calls++;
   action->kind = RT_ACT_CALL;
   action->stream = stream->id;
@@ -192,38 +197,42 @@
   action->priority = stream->customer->priority;
   action->due = stream->call_due < stream->deadline ? stream->call_due
                                                     : stream->deadline;
-  rt_act (router, action);
+  rt_emit_action (router, action);
 }
 
-/* The call that was out is over. */
+/* Record the outcome of the pending call. */
 static void
-stream_call_over (rt_stream_t *stream, el_verdict_t verdict)
+stream_call_ended (rt_stream_t *stream, el_verdict_t verdict)
 {
-  stream->calling = 0;
+  stream->call_pending = 0;
   stream->verdict = el_verdict_join (stream->verdict, verdict);
-  rt_endpoint_flight (stream->router,
-                      stream->route->hops[stream->hop].endpoint, 0, -1);
+  rt_endpoint_adjust_in_flight (
+      stream->router, stream->route->hops[stream->hop].endpoint, 0, -1);
 }
 
-/* When a refused caller should come back: when the first rest is over that
-   keeps it out, spread, or as the queue passes. */
+/* The time in milliseconds after which a refused caller should retry: if only
+   rests keep a route from being available, when the first route is available
+   again, plus jitter; otherwise an estimate from the queue. */
 static uint64_t
 stream_retry_after (const rt_stream_t *stream, el_time_t now,
                     rt_reason_t reason)
 {
   rt_router_t *router = stream->router;
-  el_time_t opens
-      = reason == RT_NO_ROUTE ? works[stream->work]->opens (stream, now) : 0;
+  el_time_t available_at
+      = reason == RT_NO_ROUTE
+            ? work_ops[stream->work]->available_at (stream, now)
+            : 0;
   uint64_t wait;
 
-  if (opens <= now)
+  if (available_at <= now)
     return rt_admit_retry_after (router);
-  wait = (opens - now) / EL_MSEC + 1;
-  return wait + rt_random (router) % (wait / REST_SPREAD_PART + 1);
+  wait = (available_at - now) / EL_MSEC + 1;
+  return wait + rt_random (router) % (wait / REST_JITTER_DIVISOR + 1);
 }
 
-/** End a request with its final answer, and run what waits. Without the whole
-    answer, parts of it that ran do not make the request one that ran. */
+/** End a request and start queued ones. A request that ends without its
+    complete answer is at most EL_MAY_HAVE_RUN, even if some of its calls
+    ran. */
 void
 rt_stream_end (rt_stream_t *stream, el_time_t now, rt_reason_t reason)
 {
@@ -236,17 +245,17 @@
                          .tokens = stream->ntokens };
 
   if (stream->state == RT_QUEUED)
-    rt_admit_remove (stream);
+    rt_admit_dequeue (stream);
   else
     {
       router->active--;
-      router->mean_run += (now - stream->started) / MEAN_WEIGHT;
-      router->mean_run -= router->mean_run / MEAN_WEIGHT;
+      router->mean_run_us += (now - stream->started) / MEAN_RUN_DIVISOR;
+      router->mean_run_us -= router->mean_run_us / MEAN_RUN_DIVISOR;
     }
-  if (stream->calling)
-    stream_call_over (stream, EL_MAY_HAVE_RUN);
-  works[stream->work]->leave (stream, now, !reasons[reason].whole);
-  if (reasons[reason].whole)
+  if (stream->call_pending)
+    stream_call_ended (stream, EL_MAY_HAVE_RUN);
+  work_ops[stream->work]->release (stream, now, !reason_info[reason].whole);
+  if (reason_info[reason].whole)
     {
       stream->verdict = EL_RAN;
       router->counts.whole++;
@@ -263,57 +272,59 @@
         router->counts.broken++;
     }
   action.verdict = stream->verdict;
-  if (reasons[reason].come_back)
+  if (reason_info[reason].retryable)
     action.retry_after_ms = stream_retry_after (stream, now, reason);
   stream_free (stream);
-  rt_customer_put (router, customer);
-  rt_act (router, &action);
+  rt_customer_release (router, customer);
+  rt_emit_action (router, &action);
   rt_admit_next (router, now);
 }
 
-/* Begin an attempt. A stream that has delivered tokens waits for a route to
-   come back; any other is told at once that there is none. */
+/* Start an attempt. If there is no route, a stream that has started before and
+   has tokens waits for one to become available; any other ends at once. */
 static void
-stream_start (rt_stream_t *stream, el_time_t now)
+stream_start_attempt (rt_stream_t *stream, el_time_t now)
 {
   rt_reason_t reason;
 
   stream->state = RT_RUNNING;
-  reason = works[stream->work]->start (stream, now);
+  reason = work_ops[stream->work]->start (stream, now);
   if (reason == RT_DONE)
     return;
   if (reason == RT_NO_ROUTE && stream->ntokens && stream->attempt)
     {
       stream->failures++;
       stream->state = RT_BACKOFF;
-      stream_arm (stream,
-                  now + rt_backoff (stream->router, stream->failures + 1));
+      stream_set_timer (
+          stream,
+          now + rt_retry_backoff (stream->router, stream->failures + 1));
       return;
     }
   rt_stream_end (stream, now, reason);
 }
 
-/** Begin the first attempt of an admitted stream. */
+/** Start the first attempt of an admitted stream. */
 void
-rt_stream_run (rt_stream_t *stream, el_time_t now)
+rt_stream_start (rt_stream_t *stream, el_time_t now)
 {
   rt_router_t *router = stream->router;
-  rt_budget_t *budget = works[stream->work]->budget (stream);
+  rt_retry_budget_t *budget = work_ops[stream->work]->budget (stream);
 
   router->active++;
   stream->started = now;
   if (budget)
-    rt_budget_earn (budget);
-  stream_start (stream, now);
+    rt_retry_budget_earn (budget);
+  stream_start_attempt (stream, now);
 }
 
-/* Whether the stream may have another attempt after a failure with VERDICT,
-   or why not. A stream under way is not dropped for want of budget: its
-   attempts are spread by the backoff. */
+/* Returns RT_DONE if the stream may make another attempt after a failure with
+   VERDICT, or else the reason to end it. A stream that has tokens is not
+   charged to the retry budget, so that an empty budget does not end it;
+   backoff limits the rate of its attempts. */
 static rt_reason_t
-stream_may_retry (rt_stream_t *stream, el_verdict_t verdict, rt_fail_t fail)
+stream_check_retry (rt_stream_t *stream, el_verdict_t verdict, rt_fail_t fail)
 {
-  rt_budget_t *budget = works[stream->work]->budget (stream);
+  rt_retry_budget_t *budget = work_ops[stream->work]->budget (stream);
 
   if (fail == RT_FAIL_REFUSED)
     return RT_ENDPOINT;
@@ -321,57 +332,58 @@
     return RT_ENDPOINT;
   if (stream->ntokens)
     return RT_DONE;
-  if (stream->attempt >= ATTEMPTS_MAX || !budget || !rt_budget_spend (budget))
+  if (stream->attempt >= ATTEMPTS_MAX || !budget
+      || !rt_retry_budget_spend (budget))
     return RT_RETRIES;
   stream->router->counts.retries++;
   return RT_DONE;
 }
 
-/** The call that was out failed: begin another attempt, or end. */
+/** The pending call failed: make another attempt or end the stream. */
 void
-rt_stream_failed (rt_stream_t *stream, el_time_t now, el_verdict_t verdict,
-                  rt_fail_t fail)
+rt_stream_call_failed (rt_stream_t *stream, el_time_t now,
+                       el_verdict_t verdict, rt_fail_t fail)
 {
   rt_router_t *router = stream->router;
   el_str_t endpoint = el_str_dup (stream->route->hops[stream->hop].endpoint);
   rt_reason_t reason;
   el_time_t wait;
 
-  if (stream->calling)
-    stream_call_over (stream, verdict);
+  if (stream->call_pending)
+    stream_call_ended (stream, verdict);
   rt_endpoint_failed (router, endpoint, now, fail);
   el_str_free (&stream->avoid);
   stream->avoid = endpoint;
-  reason = stream_may_retry (stream, verdict, fail);
+  reason = stream_check_retry (stream, verdict, fail);
   if (reason != RT_DONE)
     {
       rt_stream_end (stream, now, reason);
       return;
     }
-  works[stream->work]->leave (stream, now, 1);
+  work_ops[stream->work]->release (stream, now, 1);
   stream->failures++;
   router->counts.rebuilds++;
-  wait = rt_backoff (router, stream->failures);
+  wait = rt_retry_backoff (router, stream->failures);
   if (wait == 0)
     {
-      stream_start (stream, now);
+      stream_start_attempt (stream, now);
       return;
     }
   stream->state = RT_BACKOFF;
-  stream_arm (stream, now + wait);
+  stream_set_timer (stream, now + wait);
 }
 
 static void
-stream_timer (void *arg, el_time_t now)
+on_stream_timer (void *arg, el_time_t now)
 {
   rt_stream_t *stream = arg;
 
   if (now >= stream->deadline)
     rt_stream_end (stream, now, RT_DEADLINE);
   else if (stream->state == RT_BACKOFF)
-    stream_start (stream, now);
-  else if (stream->calling && now >= stream->call_due)
-    rt_stream_failed (stream, now, EL_MAY_HAVE_RUN, RT_FAIL_TIMEOUT);
+    stream_start_attempt (stream, now);
+  else if (stream->call_pending && now >= stream->call_due)
+    rt_stream_call_failed (stream, now, EL_MAY_HAVE_RUN, RT_FAIL_TIMEOUT);
 }
 
 static void
@@ -385,9 +397,9 @@
                          .reason = reason };
 
   router->counts.refused++;
-  if (reasons[reason].come_back)
+  if (reason_info[reason].retryable)
     action.retry_after_ms = rt_admit_retry_after (router);
-  rt_act (router, &action);
+  rt_emit_action (router, &action);
 }
 
 static rt_stream_t *
@@ -406,14 +418,14 @@
   stream->deadline = event->deadline;
   stream->repeatable = event->repeatable;
   stream->verdict = EL_NOT_RUN;
-  stream->timer.cb = stream_timer;
+  stream->timer.cb = on_stream_timer;
   stream->timer.arg = stream;
   if (event->nresume)
     {
       stream->tokens = el_grow (NULL, event->nresume, sizeof (uint64_t));
       memcpy (stream->tokens, event->resume,
               event->nresume * sizeof (uint64_t));
-      stream->ntokens = stream->cap_tokens = event->nresume;
+      stream->ntokens = stream->tokens_capacity = event->nresume;
     }
   HASH_ADD (hh, router->streams, id, sizeof stream->id, stream);
   return stream;
@@ -441,30 +453,30 @@
 }
 
 static int
-place_eq (const rt_place_t *a, const rt_place_t *b)
+call_id_eq (const rt_place_t *a, const rt_place_t *b)
 {
   return a->stream == b->stream && a->attempt == b->attempt
          && a->step == b->step && a->first == b->first && a->last == b->last
          && a->generation == b->generation;
 }
 
-/* The stream that waits for this very call, or NULL: then the news is late
-   and changes nothing. */
+/* Returns the stream whose pending call is the one the event belongs to. If
+   there is none, the result is late: it is counted and otherwise ignored. */
 static rt_stream_t *
-stream_waiting (rt_router_t *router, const rt_event_t *event)
+stream_awaiting_call (rt_router_t *router, const rt_event_t *event)
 {
   rt_stream_t *stream = stream_find (router, event->stream);
-  rt_place_t want;
+  rt_place_t expected;
 
-  if (stream && stream->calling)
+  if (stream && stream->call_pending)
     {
-      want = (rt_place_t){ .stream = stream->id,
-                           .attempt = stream->attempt,
-                           .step = stream->ntokens,
-                           .first = stream->route->hops[stream->hop].first,
-                           .last = stream->route->hops[stream->hop].last,
-                           .generation = stream->route->generation };
-      if (place_eq (&event->call, &want))
+      expected = (rt_place_t){ .stream = stream->id,
+                               .attempt = stream->attempt,
+                               .step = stream->ntokens,
+                               .first = stream->route->hops[stream->hop].first,
+                               .last = stream->route->hops[stream->hop].last,
+                               .generation = stream->route->generation };
+      if (call_id_eq (&event->call, &expected))
         return stream;
     }
   router->counts.late++;
@@ -474,32 +486,32 @@
 static void
 on_reply (rt_router_t *router, el_time_t now, const rt_event_t *event)
 {
-  rt_stream_t *stream = stream_waiting (router, event);
+  rt_stream_t *stream = stream_awaiting_call (router, event);
 
   if (!stream)
     return;
-  if (!place_eq (&event->call, &event->echo))
+  if (!call_id_eq (&event->call, &event->echo))
     {
       router->counts.crossed++;
-      rt_stream_failed (stream, now, EL_MAY_HAVE_RUN, RT_FAIL_CROSSED);
+      rt_stream_call_failed (stream, now, EL_MAY_HAVE_RUN, RT_FAIL_CROSSED);
       return;
     }
   rt_endpoint_answered (router, stream->route->hops[stream->hop].endpoint);
-  stream_call_over (stream, EL_RAN);
-  works[stream->work]->reply (stream, now, event);
+  stream_call_ended (stream, EL_RAN);
+  work_ops[stream->work]->reply (stream, now, event);
 }
 
 static void
 on_failed (rt_router_t *router, el_time_t now, const rt_event_t *event)
 {
-  rt_stream_t *stream = stream_waiting (router, event);
+  rt_stream_t *stream = stream_awaiting_call (router, event);
 
   if (!stream)
     return;
   if (event->rest)
-    rt_endpoint_rests (router, stream->route->hops[stream->hop].endpoint, now,
-                       event->rest);
-  rt_stream_failed (stream, now, event->verdict, event->fail);
+    rt_endpoint_rest_requested (
+        router, stream->route->hops[stream->hop].endpoint, now, event->rest);
+  rt_stream_call_failed (stream, now, event->verdict, event->fail);
 }
 
 static void
@@ -543,14 +555,15 @@
   router->stopping = 1;
 }
 
-/** When the router wants its next RT_EV_TICK. */
+/** Returns the time at which the router needs its next RT_EV_TICK. */
 el_time_t
 rt_router_next (const rt_router_t *router)
 {
   return el_timers_next (&router->timers);
 }
 
-/** Whether something that was to go to ENDPOINT still may. */
+/** Whether a request that was routed to ENDPOINT may still be sent, i.e. the
+    endpoint has not asked for a rest in the meantime. */
 int
 rt_router_may (const rt_router_t *router, el_time_t now, el_str_t endpoint)
 {
@@ -580,6 +593,7 @@
 static const char *
 endpoint_state (const rt_endpoint_t *ep, el_time_t now)
 {
+  /* Only the reasons that the router itself records. */
   static const char *const states[RT_WHYS] = { [RT_WHY_NOTHING] = "live",
                                                [RT_WHY_TRIAL] = "trial",
                                                [RT_WHY_FAILED] = "ejected",
@@ -589,7 +603,7 @@
   return ep->draining ? "draining" : states[rt_access_why (&ep->access, now)];
 }
 
-/** The router's state for operators. */
+/** Returns the router's state as JSON, for operators. */
 json_t *
 rt_router_dump (const rt_router_t *router, el_time_t now)
 {
@@ -614,7 +628,7 @@
   json_object_set_new (pipelines, pipe->key,
                        json_pack ("{s:I,s:I}", "streams",
                                   (json_int_t)pipe->streams, "tokensToCome",
-                                  (json_int_t)pipe->load));
+                                  (json_int_t)pipe->tokens_pending));
   HASH_ITER (hh, router->customers, customer, next_customer)
   json_object_set_new (
       customers, customer->key,
--- a/route/stream.c
+++ b/route/stream.c
@@ -9,24 +9,24 @@
  */
 #include "librt.h"
 
-#define TOKENS_FIRST_CAP 32
+#define TOKENS_INITIAL_CAPACITY 32
 
 static rt_reason_t chat_start (rt_stream_t *, el_time_t);
 static void chat_reply (rt_stream_t *, el_time_t, const rt_event_t *);
-static void chat_leave (rt_stream_t *, el_time_t, int);
-static rt_budget_t *chat_budget (rt_stream_t *);
-static el_time_t chat_opens (const rt_stream_t *, el_time_t);
+static void chat_release (rt_stream_t *, el_time_t, int);
+static rt_retry_budget_t *chat_budget (rt_stream_t *);
+static el_time_t chat_available_at (const rt_stream_t *, el_time_t);
 
 const rt_work_ops_t rt_chat_ops = {
   .start = chat_start,
   .reply = chat_reply,
-  .leave = chat_leave,
+  .release = chat_release,
   .budget = chat_budget,
-  .opens = chat_opens,
+  .available_at = chat_available_at,
 };
 
 static uint64_t
-tokens_to_come (const rt_stream_t *stream)
+tokens_remaining (const rt_stream_t *stream)
 {
   return stream->max_tokens > stream->ntokens
              ? stream->max_tokens - stream->ntokens
@@ -36,12 +36,13 @@
 /* Call the stage that the stream has come to. The first stage takes in what
    is new to the attempt: at its start all, later the last token. */
 static void
-chat_call (rt_stream_t *stream, el_time_t now, el_str_t hidden, int fresh)
+chat_call_stage (rt_stream_t *stream, el_time_t now, el_str_t hidden,
+                 int first_step)
 {
   const rt_hop_t *hop = &stream->route->hops[stream->hop];
   rt_action_t action = { .hidden = hidden };
 
-  if (stream->hop == 0 && fresh)
+  if (stream->hop == 0 && first_step)
     {
       action.prompt = stream->prompt;
       action.feed = stream->tokens;
@@ -53,13 +54,13 @@
       action.nfeed = 1;
     }
   action.final = stream->hop + 1 == stream->route->nhops;
-  rt_stream_call (stream, now, hop, &action);
+  rt_stream_send_call (stream, now, hop, &action);
 }
 
 /* The deployment of a model that can serve now, of the newest generation. */
 static rt_deployment_t *
-deployment_pick (rt_stream_t *stream, el_time_t now, rt_pipeline_t **pipe,
-                 int *known)
+choose_deployment (rt_stream_t *stream, el_time_t now, rt_pipeline_t **pipe,
+                   int *known)
 {
   rt_router_t *router = stream->router;
   rt_deployment_t *best = NULL;
@@ -75,7 +76,7 @@
     *known = 1;
     if (best && best->generation >= dep->generation)
       continue;
-    found = rt_pick_pipeline (router, now, dep, stream->avoid);
+    found = rt_choose_pipeline (router, now, dep, stream->avoid);
     if (!found)
       continue;
     best = dep;
@@ -92,7 +93,7 @@
   el_err_t err;
   int known;
 
-  dep = deployment_pick (stream, now, &pipe, &known);
+  dep = choose_deployment (stream, now, &pipe, &known);
   if (!known)
     return RT_NO_MODEL;
   if (!dep)
@@ -106,29 +107,31 @@
     }
   if (stream->max_tokens == 0 || stream->max_tokens > dep->max_tokens)
     stream->max_tokens = dep->max_tokens;
-  pipe->load += tokens_to_come (stream);
+  pipe->tokens_pending += tokens_remaining (stream);
   pipe->streams++;
   stream->attempt++;
   stream->hop = 0;
-  chat_call (stream, now, (el_str_t){ NULL, 0 }, 1);
+  chat_call_stage (stream, now, (el_str_t){ NULL, 0 }, 1);
   return RT_DONE;
 }
 
 static void
-token_add (rt_stream_t *stream, uint64_t token)
+token_append (rt_stream_t *stream, uint64_t token)
 {
-  if (stream->ntokens == stream->cap_tokens)
+  if (stream->ntokens == stream->tokens_capacity)
     {
-      stream->cap_tokens
-          = stream->cap_tokens ? 2 * stream->cap_tokens : TOKENS_FIRST_CAP;
-      stream->tokens = el_grow (stream->tokens, stream->cap_tokens,
+      stream->tokens_capacity = stream->tokens_capacity
+                                    ? 2 * stream->tokens_capacity
+                                    : TOKENS_INITIAL_CAPACITY;
+      stream->tokens = el_grow (stream->tokens, stream->tokens_capacity,
                                 sizeof *stream->tokens);
     }
   stream->tokens[stream->ntokens++] = token;
 }
 
 static void
-chat_token (rt_stream_t *stream, el_time_t now, const rt_event_t *event)
+chat_deliver_token (rt_stream_t *stream, el_time_t now,
+                    const rt_event_t *event)
 {
   rt_router_t *router = stream->router;
   rt_pipeline_t *pipe = rt_pipeline_find (router, stream->route->pipeline);
@@ -137,20 +140,20 @@
                          .text = event->text,
                          .tokens = stream->ntokens };
 
-  if (pipe && pipe->load)
-    pipe->load--;
-  token_add (stream, event->token);
+  if (pipe && pipe->tokens_pending)
+    pipe->tokens_pending--;
+  token_append (stream, event->token);
   stream->failures = 0;
   router->counts.tokens++;
   action.stream = stream->id;
-  rt_act (router, &action);
+  rt_emit_action (router, &action);
   if (event->finish || stream->ntokens >= stream->max_tokens)
     {
       rt_stream_end (stream, now, event->finish ? RT_DONE : RT_LENGTH);
       return;
     }
   stream->hop = 0;
-  chat_call (stream, now, (el_str_t){ NULL, 0 }, 0);
+  chat_call_stage (stream, now, (el_str_t){ NULL, 0 }, 0);
 }
 
 static void
@@ -160,27 +163,27 @@
 
   if (final != event->has_token)
     {
-      rt_stream_failed (stream, now, EL_RAN, RT_FAIL_CROSSED);
+      rt_stream_call_failed (stream, now, EL_RAN, RT_FAIL_CROSSED);
       return;
     }
   if (final)
     {
-      chat_token (stream, now, event);
+      chat_deliver_token (stream, now, event);
       return;
     }
   stream->hop++;
-  chat_call (stream, now, event->hidden, 0);
+  chat_call_stage (stream, now, event->hidden, 0);
 }
 
 /* Give back the route. ABANDON tells the engines that were called to drop
    what they cached for the attempt and to stop what they run of it. */
 static void
-chat_leave (rt_stream_t *stream, el_time_t now, int abandon)
+chat_release (rt_stream_t *stream, el_time_t now, int abandon)
 {
   rt_router_t *router = stream->router;
   rt_route_t *route = stream->route;
   rt_pipeline_t *pipe;
-  uint64_t rest = tokens_to_come (stream);
+  uint64_t remaining = tokens_remaining (stream);
   size_t i;
 
   (void)now;
@@ -189,7 +192,9 @@
   pipe = rt_pipeline_find (router, route->pipeline);
   if (pipe)
     {
-      pipe->load -= rest < pipe->load ? rest : pipe->load;
+      pipe->tokens_pending -= remaining < pipe->tokens_pending
+                                  ? remaining
+                                  : pipe->tokens_pending;
       pipe->streams -= pipe->streams > 0;
     }
   for (i = 0; abandon && i < route->nhops; i++)
@@ -206,13 +211,13 @@
                                   .first = route->hops[i].first,
                                   .last = route->hops[i].last,
                                   .generation = route->generation };
-      rt_act (router, &action);
+      rt_emit_action (router, &action);
     }
   rt_route_free (route);
   stream->route = NULL;
 }
 
-static rt_budget_t *
+static rt_retry_budget_t *
 chat_budget (rt_stream_t *stream)
 {
   rt_deployment_t *dep;
@@ -226,8 +231,8 @@
 
 /* When the last of its stages may be used. */
 static el_time_t
-pipeline_opens (const rt_router_t *router, const rt_pipeline_t *pipe,
-                el_time_t now)
+pipeline_available_at (const rt_router_t *router, const rt_pipeline_t *pipe,
+                       el_time_t now)
 {
   el_time_t last = 0;
   size_t i;
@@ -236,16 +241,17 @@
     {
       const rt_endpoint_t *ep
           = rt_endpoint_find (router, pipe->stages[i].endpoint);
-      el_time_t opens = ep ? rt_endpoint_opens (ep, now) : EL_TIME_NEVER;
+      el_time_t available_at
+          = ep ? rt_endpoint_available_at (ep, now) : EL_TIME_NEVER;
 
-      if (opens > last)
-        last = opens;
+      if (available_at > last)
+        last = available_at;
     }
   return last;
 }
 
 static el_time_t
-chat_opens (const rt_stream_t *stream, el_time_t now)
+chat_available_at (const rt_stream_t *stream, el_time_t now)
 {
   const rt_deployment_t *dep;
   el_time_t first = EL_TIME_NEVER;
@@ -254,10 +260,11 @@
   for (dep = stream->router->deployments; dep; dep = dep->hh.next)
     for (i = 0; i < dep->npipes && el_str_eq (dep->model, stream->target); i++)
       {
-        el_time_t opens = pipeline_opens (stream->router, dep->pipes[i], now);
+        el_time_t available_at
+            = pipeline_available_at (stream->router, dep->pipes[i], now);
 
-        if (opens < first)
-          first = opens;
+        if (available_at < first)
+          first = available_at;
       }
   return first == EL_TIME_NEVER ? 0 : first;
 }
--- a/route/table.c
+++ b/route/table.c
@@ -10,27 +10,26 @@
 
 #include "librt.h"
 
-#define BUDGET_FIRST_TENTHS 100
+#define BUDGET_INITIAL_TENTHS 100
 
-static void table_deployment (rt_router_t *, const co_resource_t *,
+static void apply_deployment (rt_router_t *, const co_resource_t *,
                               const co_resource_t *);
-static void table_pipeline (rt_router_t *, const co_resource_t *,
+static void apply_pipeline (rt_router_t *, const co_resource_t *,
                             const co_resource_t *);
-static void table_customer (rt_router_t *, const co_resource_t *,
+static void apply_customer (rt_router_t *, const co_resource_t *,
                             const co_resource_t *);
-static void table_endpoint (rt_router_t *, const co_resource_t *,
+static void apply_endpoint (rt_router_t *, const co_resource_t *,
                             const co_resource_t *);
-static void table_service (rt_router_t *, const co_resource_t *,
+static void apply_service (rt_router_t *, const co_resource_t *,
                            const co_resource_t *);
 
-typedef void (*table_change_fn) (rt_router_t *router,
-                                 const co_resource_t *prev,
-                                 const co_resource_t *next);
+typedef void (*apply_fn) (rt_router_t *router, const co_resource_t *prev,
+                          const co_resource_t *next);
 
-static const table_change_fn changes[CO_KINDS] = {
-  [CO_DEPLOYMENT] = table_deployment, [CO_PIPELINE] = table_pipeline,
-  [CO_CUSTOMER] = table_customer,     [CO_ENDPOINT] = table_endpoint,
-  [CO_SERVICE] = table_service,
+static const apply_fn apply_by_kind[CO_KINDS] = {
+  [CO_DEPLOYMENT] = apply_deployment, [CO_PIPELINE] = apply_pipeline,
+  [CO_CUSTOMER] = apply_customer,     [CO_ENDPOINT] = apply_endpoint,
+  [CO_SERVICE] = apply_service,
 };
 
 /* Find by a counted string in a table whose key is a C string. */
@@ -47,12 +46,12 @@
 }
 
 static void
-str_replace (el_str_t *at, el_str_t with)
+str_replace (el_str_t *dst, el_str_t src)
 {
-  el_str_t copy = el_str_dup (with);
+  el_str_t copy = el_str_dup (src);
 
-  el_str_free (at);
-  *at = copy;
+  el_str_free (dst);
+  *dst = copy;
 }
 
 /** A resource came into force (NEXT), replacing PREV; either may be NULL. */
@@ -60,7 +59,7 @@
 rt_router_config (rt_router_t *router, const co_resource_t *prev,
                   const co_resource_t *next)
 {
-  changes[next ? next->kind : prev->kind](router, prev, next);
+  apply_by_kind[next ? next->kind : prev->kind](router, prev, next);
 }
 
 rt_endpoint_t *
@@ -101,7 +100,7 @@
 
 /* Collect a deployment's pipelines anew. */
 static void
-deployment_collect (rt_router_t *router, rt_deployment_t *dep)
+deployment_link_pipelines (rt_router_t *router, rt_deployment_t *dep)
 {
   rt_pipeline_t *pipe;
   rt_pipeline_t *next;
@@ -118,13 +117,13 @@
 }
 
 static void
-deployment_recollect (rt_router_t *router, el_str_t name)
+deployment_relink (rt_router_t *router, el_str_t name)
 {
   rt_deployment_t *dep;
 
   TABLE_FIND (router->deployments, name, dep);
   if (dep)
-    deployment_collect (router, dep);
+    deployment_link_pipelines (router, dep);
 }
 
 static void
@@ -137,7 +136,7 @@
 }
 
 static void
-table_deployment (rt_router_t *router, const co_resource_t *prev,
+apply_deployment (rt_router_t *router, const co_resource_t *prev,
                   const co_resource_t *next)
 {
   el_str_t name = next ? next->name : prev->name;
@@ -154,14 +153,14 @@
     {
       dep = el_alloc (sizeof *dep);
       dep->key = key_dup (name);
-      dep->budget.tenths = BUDGET_FIRST_TENTHS;
+      dep->budget.tenths = BUDGET_INITIAL_TENTHS;
       TABLE_ADD (router->deployments, dep);
     }
   str_replace (&dep->model, next->spec.deployment.model);
   dep->generation = next->spec.deployment.generation;
   dep->layers = next->spec.deployment.layers;
   dep->max_tokens = next->spec.deployment.max_tokens;
-  deployment_collect (router, dep);
+  deployment_link_pipelines (router, dep);
 }
 
 static void
@@ -179,7 +178,7 @@
 }
 
 static void
-pipeline_fill (rt_pipeline_t *pipe, const co_pipeline_t *spec)
+pipeline_copy_spec (rt_pipeline_t *pipe, const co_pipeline_t *spec)
 {
   size_t i;
 
@@ -195,7 +194,7 @@
 }
 
 static void
-table_pipeline (rt_router_t *router, const co_resource_t *prev,
+apply_pipeline (rt_router_t *router, const co_resource_t *prev,
                 const co_resource_t *next)
 {
   el_str_t name = next ? next->name : prev->name;
@@ -209,7 +208,7 @@
     }
   pipeline_clear (pipe);
   if (next)
-    pipeline_fill (pipe, &next->spec.pipeline);
+    pipeline_copy_spec (pipe, &next->spec.pipeline);
   else
     {
       HASH_DEL (router->pipelines, pipe);
@@ -217,9 +216,9 @@
       free (pipe);
     }
   if (prev)
-    deployment_recollect (router, prev->spec.pipeline.deployment);
+    deployment_relink (router, prev->spec.pipeline.deployment);
   if (next)
-    deployment_recollect (router, next->spec.pipeline.deployment);
+    deployment_relink (router, next->spec.pipeline.deployment);
 }
 
 static void
@@ -233,7 +232,7 @@
 
 /** A stream of the customer ended; forget a removed one after its last. */
 void
-rt_customer_put (rt_router_t *router, rt_customer_t *customer)
+rt_customer_release (rt_router_t *router, rt_customer_t *customer)
 {
   if (customer->in_flight)
     customer->in_flight--;
@@ -242,7 +241,7 @@
 }
 
 static void
-customer_unkey (rt_router_t *router, rt_customer_t *customer)
+customer_unindex_key (rt_router_t *router, rt_customer_t *customer)
 {
   rt_customer_t *found = NULL;
 
@@ -255,7 +254,7 @@
 }
 
 static void
-table_customer (rt_router_t *router, const co_resource_t *prev,
+apply_customer (rt_router_t *router, const co_resource_t *prev,
                 const co_resource_t *next)
 {
   el_str_t name = next ? next->name : prev->name;
@@ -263,7 +262,7 @@
   rt_customer_t *other;
 
   if (customer)
-    customer_unkey (router, customer);
+    customer_unindex_key (router, customer);
   if (!next)
     {
       customer->removed = 1;
@@ -313,7 +312,7 @@
 }
 
 static void
-table_endpoint (rt_router_t *router, const co_resource_t *prev,
+apply_endpoint (rt_router_t *router, const co_resource_t *prev,
                 const co_resource_t *next)
 {
   el_str_t name = next ? next->name : prev->name;
@@ -353,7 +352,7 @@
 }
 
 static void
-table_service (rt_router_t *router, const co_resource_t *prev,
+apply_service (rt_router_t *router, const co_resource_t *prev,
                const co_resource_t *next)
 {
   el_str_t name = next ? next->name : prev->name;
@@ -373,7 +372,7 @@
     {
       service = el_alloc (sizeof *service);
       service->key = key_dup (name);
-      service->budget.tenths = BUDGET_FIRST_TENTHS;
+      service->budget.tenths = BUDGET_INITIAL_TENTHS;
       TABLE_ADD (router->services, service);
     }
   service->spec = next->spec.service;
@@ -394,7 +393,7 @@
 
 /** Free all tables; no stream is left. */
 void
-rt_table_free (rt_router_t *router)
+rt_tables_free (rt_router_t *router)
 {
   rt_deployment_t *dep;
   rt_deployment_t *next_dep;
--- a/route/trace.c
+++ b/route/trace.c
@@ -13,9 +13,9 @@
   FIELD_NUMBER,
   FIELD_INT,
   FIELD_STR,
-  FIELD_PLACE,
+  FIELD_CALL_ID,
   FIELD_TOKENS, /* pointer; the count is the field after it */
-  FIELD_KIND    /* an enumeration; names gives its words */
+  FIELD_ENUM    /* an enumeration; names gives its words */
 } field_type_t;
 
 typedef struct field
@@ -43,67 +43,67 @@
   [RT_CHAT] = "chat",
   [RT_CALL] = "call",
 };
-static const char *const verdict_words[] = {
+static const char *const verdict_names[] = {
   [EL_MAY_HAVE_RUN] = "may-have-run",
   [EL_NOT_RUN] = "not-run",
   [EL_RAN] = "ran",
 };
-static const char *const fail_words[RT_FAILS] = {
+static const char *const failure_names[RT_FAILS] = {
   [RT_FAIL_CONNECT] = "connect", [RT_FAIL_BROKEN] = "broken",
   [RT_FAIL_LEAVING] = "leaving", [RT_FAIL_BUSY] = "busy",
   [RT_FAIL_REFUSED] = "refused", [RT_FAIL_TIMEOUT] = "timeout",
   [RT_FAIL_CROSSED] = "crossed",
 };
 
-#define WORDS(list) (list), sizeof (list) / sizeof *(list)
-#define EV(field) offsetof (rt_event_t, field)
-#define AC(field) offsetof (rt_action_t, field)
+#define NAMES(list) (list), sizeof (list) / sizeof *(list)
+#define EVENT_OFFSET(field) offsetof (rt_event_t, field)
+#define ACTION_OFFSET(field) offsetof (rt_action_t, field)
 
 static const field_t event_fields[] = {
-  { "event", FIELD_KIND, EV (kind), WORDS (event_names) },
-  { "stream", FIELD_NUMBER, EV (stream), NULL, 0 },
-  { "work", FIELD_KIND, EV (work), WORDS (work_names) },
-  { "customer", FIELD_STR, EV (customer), NULL, 0 },
-  { "target", FIELD_STR, EV (target), NULL, 0 },
-  { "prompt", FIELD_STR, EV (prompt), NULL, 0 },
-  { "resume", FIELD_TOKENS, EV (resume), NULL, 0 },
-  { "max_tokens", FIELD_NUMBER, EV (max_tokens), NULL, 0 },
-  { "deadline", FIELD_NUMBER, EV (deadline), NULL, 0 },
-  { "repeatable", FIELD_INT, EV (repeatable), NULL, 0 },
-  { "call", FIELD_PLACE, EV (call), NULL, 0 },
-  { "echo", FIELD_PLACE, EV (echo), NULL, 0 },
-  { "hidden", FIELD_STR, EV (hidden), NULL, 0 },
-  { "has_token", FIELD_INT, EV (has_token), NULL, 0 },
-  { "token", FIELD_NUMBER, EV (token), NULL, 0 },
-  { "text", FIELD_STR, EV (text), NULL, 0 },
-  { "finish", FIELD_INT, EV (finish), NULL, 0 },
-  { "verdict", FIELD_KIND, EV (verdict), WORDS (verdict_words) },
-  { "fail", FIELD_KIND, EV (fail), WORDS (fail_words) },
-  { "rest", FIELD_NUMBER, EV (rest), NULL, 0 },
-  { "leaving", FIELD_INT, EV (leaving), NULL, 0 },
-  { "hosts", FIELD_NUMBER, EV (hosts), NULL, 0 },
+  { "event", FIELD_ENUM, EVENT_OFFSET (kind), NAMES (event_names) },
+  { "stream", FIELD_NUMBER, EVENT_OFFSET (stream), NULL, 0 },
+  { "work", FIELD_ENUM, EVENT_OFFSET (work), NAMES (work_names) },
+  { "customer", FIELD_STR, EVENT_OFFSET (customer), NULL, 0 },
+  { "target", FIELD_STR, EVENT_OFFSET (target), NULL, 0 },
+  { "prompt", FIELD_STR, EVENT_OFFSET (prompt), NULL, 0 },
+  { "resume", FIELD_TOKENS, EVENT_OFFSET (resume), NULL, 0 },
+  { "max_tokens", FIELD_NUMBER, EVENT_OFFSET (max_tokens), NULL, 0 },
+  { "deadline", FIELD_NUMBER, EVENT_OFFSET (deadline), NULL, 0 },
+  { "repeatable", FIELD_INT, EVENT_OFFSET (repeatable), NULL, 0 },
+  { "call", FIELD_CALL_ID, EVENT_OFFSET (call), NULL, 0 },
+  { "echo", FIELD_CALL_ID, EVENT_OFFSET (echo), NULL, 0 },
+  { "hidden", FIELD_STR, EVENT_OFFSET (hidden), NULL, 0 },
+  { "has_token", FIELD_INT, EVENT_OFFSET (has_token), NULL, 0 },
+  { "token", FIELD_NUMBER, EVENT_OFFSET (token), NULL, 0 },
+  { "text", FIELD_STR, EVENT_OFFSET (text), NULL, 0 },
+  { "finish", FIELD_INT, EVENT_OFFSET (finish), NULL, 0 },
+  { "verdict", FIELD_ENUM, EVENT_OFFSET (verdict), NAMES (verdict_names) },
+  { "fail", FIELD_ENUM, EVENT_OFFSET (fail), NAMES (failure_names) },
+  { "rest", FIELD_NUMBER, EVENT_OFFSET (rest), NULL, 0 },
+  { "leaving", FIELD_INT, EVENT_OFFSET (leaving), NULL, 0 },
+  { "hosts", FIELD_NUMBER, EVENT_OFFSET (hosts), NULL, 0 },
 };
 
 static const field_t action_fields[] = {
-  { "action", FIELD_KIND, AC (kind), WORDS (action_names) },
-  { "stream", FIELD_NUMBER, AC (stream), NULL, 0 },
-  { "work", FIELD_KIND, AC (work), WORDS (work_names) },
-  { "endpoint", FIELD_STR, AC (endpoint), NULL, 0 },
-  { "call", FIELD_PLACE, AC (call), NULL, 0 },
-  { "prompt", FIELD_STR, AC (prompt), NULL, 0 },
-  { "hidden", FIELD_STR, AC (hidden), NULL, 0 },
-  { "feed", FIELD_TOKENS, AC (feed), NULL, 0 },
-  { "final", FIELD_INT, AC (final), NULL, 0 },
-  { "due", FIELD_NUMBER, AC (due), NULL, 0 },
-  { "token", FIELD_NUMBER, AC (token), NULL, 0 },
-  { "text", FIELD_STR, AC (text), NULL, 0 },
-  { "tokens", FIELD_NUMBER, AC (tokens), NULL, 0 },
-  { "verdict", FIELD_KIND, AC (verdict), WORDS (verdict_words) },
-  { "retry_after_ms", FIELD_NUMBER, AC (retry_after_ms), NULL, 0 },
+  { "action", FIELD_ENUM, ACTION_OFFSET (kind), NAMES (action_names) },
+  { "stream", FIELD_NUMBER, ACTION_OFFSET (stream), NULL, 0 },
+  { "work", FIELD_ENUM, ACTION_OFFSET (work), NAMES (work_names) },
+  { "endpoint", FIELD_STR, ACTION_OFFSET (endpoint), NULL, 0 },
+  { "call", FIELD_CALL_ID, ACTION_OFFSET (call), NULL, 0 },
+  { "prompt", FIELD_STR, ACTION_OFFSET (prompt), NULL, 0 },
+  { "hidden", FIELD_STR, ACTION_OFFSET (hidden), NULL, 0 },
+  { "feed", FIELD_TOKENS, ACTION_OFFSET (feed), NULL, 0 },
+  { "final", FIELD_INT, ACTION_OFFSET (final), NULL, 0 },
+  { "due", FIELD_NUMBER, ACTION_OFFSET (due), NULL, 0 },
+  { "token", FIELD_NUMBER, ACTION_OFFSET (token), NULL, 0 },
+  { "text", FIELD_STR, ACTION_OFFSET (text), NULL, 0 },
+  { "tokens", FIELD_NUMBER, ACTION_OFFSET (tokens), NULL, 0 },
+  { "verdict", FIELD_ENUM, ACTION_OFFSET (verdict), NAMES (verdict_names) },
+  { "retry_after_ms", FIELD_NUMBER, ACTION_OFFSET (retry_after_ms), NULL, 0 },
 };
 
 #define NFIELDS(list) (sizeof (list) / sizeof *(list))
-#define PLACE_NUMBERS 6
+#define CALL_ID_NUMBERS 6
 
 /* The count of a list of tokens stands behind its pointer. */
 typedef struct token_list
@@ -113,7 +113,7 @@
 } token_list_t;
 
 static json_t *
-place_write (const rt_place_t *p)
+call_id_write (const rt_place_t *p)
 {
   if (!p->stream)
     return NULL;
@@ -144,24 +144,24 @@
 }
 
 static json_t *
-field_write (const field_t *field, const void *at)
+field_write (const field_t *field, const void *value_ptr)
 {
-  const el_str_t *str = at;
+  const el_str_t *str = value_ptr;
 
   switch (field->type)
     {
     case FIELD_NUMBER:
-      return number_write (*(const uint64_t *)at);
+      return number_write (*(const uint64_t *)value_ptr);
     case FIELD_INT:
-      return number_write ((uint64_t) * (const int *)at);
+      return number_write ((uint64_t) * (const int *)value_ptr);
     case FIELD_STR:
       return str->len ? json_stringn (str->ptr, str->len) : NULL;
-    case FIELD_PLACE:
-      return place_write (at);
+    case FIELD_CALL_ID:
+      return call_id_write (value_ptr);
     case FIELD_TOKENS:
-      return tokens_write (at);
-    case FIELD_KIND:
-      return json_string (field->names[*(const int *)at]);
+      return tokens_write (value_ptr);
+    case FIELD_ENUM:
+      return json_string (field->names[*(const int *)value_ptr]);
     }
   return NULL;
 }
@@ -218,14 +218,14 @@
 }
 
 static int
-place_read (const json_t *value, rt_place_t *out)
+call_id_read (const json_t *value, rt_place_t *out)
 {
-  uint64_t numbers[PLACE_NUMBERS];
+  uint64_t numbers[CALL_ID_NUMBERS];
   size_t i;
 
-  if (json_array_size (value) != PLACE_NUMBERS)
+  if (json_array_size (value) != CALL_ID_NUMBERS)
     return 0;
-  for (i = 0; i < PLACE_NUMBERS; i++)
+  for (i = 0; i < CALL_ID_NUMBERS; i++)
     numbers[i] = (uint64_t)json_integer_value (json_array_get (value, i));
   *out = (rt_place_t){ numbers[0], numbers[1], numbers[2],
                        numbers[3], numbers[4], numbers[5] };
@@ -246,13 +246,13 @@
 }
 
 static int
-kind_read (const field_t *field, const json_t *value, int *out)
+enum_read (const field_t *field, const json_t *value, int *out)
 {
-  el_str_t word = { json_string_value (value), json_string_length (value) };
+  el_str_t wanted = { json_string_value (value), json_string_length (value) };
   size_t i;
 
   for (i = 0; i < field->nnames; i++)
-    if (el_str_eq (word, el_str (field->names[i])))
+    if (el_str_eq (wanted, el_str (field->names[i])))
       {
         *out = (int)i;
         return 1;
@@ -261,26 +261,26 @@
 }
 
 static int
-field_read (const field_t *field, const json_t *value, void *at)
+field_read (const field_t *field, const json_t *value, void *value_ptr)
 {
   switch (field->type)
     {
     case FIELD_NUMBER:
-      *(uint64_t *)at = (uint64_t)json_integer_value (value);
+      *(uint64_t *)value_ptr = (uint64_t)json_integer_value (value);
       return json_is_integer (value);
     case FIELD_INT:
-      *(int *)at = (int)json_integer_value (value);
+      *(int *)value_ptr = (int)json_integer_value (value);
       return json_is_integer (value);
     case FIELD_STR:
-      *(el_str_t *)at = (el_str_t){ json_string_value (value),
-                                    json_string_length (value) };
+      *(el_str_t *)value_ptr = (el_str_t){ json_string_value (value),
+                                           json_string_length (value) };
       return json_is_string (value);
-    case FIELD_PLACE:
-      return place_read (value, at);
+    case FIELD_CALL_ID:
+      return call_id_read (value, value_ptr);
     case FIELD_TOKENS:
-      return tokens_read (value, at);
-    case FIELD_KIND:
-      return kind_read (field, value, at);
+      return tokens_read (value, value_ptr);
+    case FIELD_ENUM:
+      return enum_read (field, value, value_ptr);
     }
   return 0;
 }
