--- a/route/admit.c
+++ b/route/admit.c
@@ -3,10 +3,11 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Admission: a bounded number of streams runs, a bounded number waits, and
- * what runs next is fair between customers. Each customer's virtual time
- * advances by what it is given over its weight times two to its priority, so
- * a higher priority gets more and no priority starves.
+ * Admission control. The numbers of running and of queued streams are bounded;
+ * queued streams are started by weighted fair queueing between customers. Each
+ * started stream advances its customer's virtual time by a fixed unit divided
+ * by weight * 2^priority, so that a higher priority gets a larger share and no
+ * priority starves.
  */
 #include "librt.h"
 
@@ -15,6 +16,8 @@
 #define RETRY_AFTER_MAX_MS 5000
 #define MEAN_RUN_INITIAL_US (200 * EL_MSEC)
 
+/* This host's share of the customer's limit on requests in flight, rounded
+   up. */
 static uint64_t
 customer_host_limit (const rt_router_t *router, const rt_customer_t *customer)
 {
@@ -37,7 +40,7 @@
   stream->router->queued++;
 }
 
-/** Take a stream that waits out of its queue. */
+/** Remove a stream from its customer's queue, if it is in there. */
 void
 rt_admit_dequeue (rt_stream_t *stream)
 {
@@ -58,7 +61,9 @@
   stream->router->queued--;
 }
 
-/* A customer that was idle starts at the present, not in the past. */
+/* Advance the customer's virtual time for one stream. A customer that was idle
+   starts from the current virtual time and gets no credit for its idle
+   time. */
 static void
 customer_charge (rt_router_t *router, rt_customer_t *customer)
 {
@@ -69,8 +74,8 @@
       += VIRTUAL_TIME_UNIT / (customer->weight << customer->priority);
 }
 
-/** Run the stream, let it wait, or give the reason to refuse it; RT_DONE
-    means that it was taken. */
+/** Start or queue the stream and return RT_DONE, or return the reason to
+    refuse it. */
 rt_reason_t
 rt_admit (rt_stream_t *stream, el_time_t now)
 {
@@ -99,9 +104,9 @@
   return RT_DONE;
 }
 
-/** Run streams that wait while there is room. A stream that ends as soon as
-    it is run asks for the next one; the loop that ran it goes on instead, so
-    that the stack stays flat. */
+/** Start queued streams while there is capacity. A stream that ends as soon as
+    it is started calls this function again; that nested call returns at once
+    and the outer loop continues, which bounds the stack depth. */
 void
 rt_admit_next (rt_router_t *router, el_time_t now)
 {
@@ -130,8 +135,9 @@
   router->admitting = 0;
 }
 
-/** When a refused caller should come back, in milliseconds: the time that the
-    queue takes to pass, spread so that they do not return together. */
+/** The time in milliseconds after which a refused caller should retry: the
+    estimated time to drain the queue, plus jitter so that refused callers do
+    not all return at once. */
 uint64_t
 rt_admit_retry_after (rt_router_t *router)
 {
--- a/route/call.c
+++ b/route/call.c
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Calls to plain services: one endpoint, one exchange.
+ * Calls to services: a single request to a single endpoint.
  */
 #include "librt.h"
 
@@ -13,7 +13,7 @@
 static rt_retry_budget_t *call_budget (rt_stream_t *);
 static el_time_t call_available_at (const rt_stream_t *, el_time_t);
 
-const rt_work_ops_t rt_call_ops = {
+const rt_request_ops_t rt_call_ops = {
   .start = call_start,
   .reply = call_reply,
   .release = call_release,
@@ -25,7 +25,7 @@
 call_start (rt_stream_t *stream, el_time_t now)
 {
   rt_router_t *router = stream->router;
-  rt_service_t *service = rt_service_find (router, stream->target);
+  rt_service_entry_t *service = rt_service_find (router, stream->target);
   rt_action_t action = { 0 };
   rt_endpoint_t *ep;
 
@@ -76,7 +76,8 @@
 static rt_retry_budget_t *
 call_budget (rt_stream_t *stream)
 {
-  rt_service_t *service = rt_service_find (stream->router, stream->target);
+  rt_service_entry_t *service
+      = rt_service_find (stream->router, stream->target);
 
   return service ? &service->budget : NULL;
 }
@@ -84,7 +85,7 @@
 static el_time_t
 call_available_at (const rt_stream_t *stream, el_time_t now)
 {
-  const rt_service_t *service
+  const rt_service_entry_t *service
       = rt_service_find (stream->router, stream->target);
   el_time_t first = EL_TIME_NEVER;
   size_t i;
--- a/route/health.c
+++ b/route/health.c
@@ -3,9 +3,9 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Which endpoints may get new work: not those that leave or rest, and not
- * those set aside after failures. Being set aside is a hint only: the choice
- * of route passes over it when nothing else is left.
+ * Which endpoints may be sent new requests: not those that are leaving or
+ * asked for a rest, and not those ejected after failures. Ejection is only a
+ * hint: route selection ignores it if no other endpoint is left.
  */
 #include "librt.h"
 
@@ -13,11 +13,11 @@
   .after = 3, .first = 500 * EL_MSEC, .doublings = 5, .most = 15 * EL_SEC
 };
 
-/* What a failure says of its endpoint. */
+/* The effect of a failure on the endpoint's ejection. */
 static const struct
 {
-  int counts;         /* towards being set aside */
-  int ejects_at_once; /* one is enough */
+  int counts;         /* as one of the consecutive failures */
+  int ejects_at_once; /* a single failure is enough */
 } failure_effects[RT_FAILS] = {
   [RT_FAIL_CONNECT] = { 1, 1 }, [RT_FAIL_BROKEN] = { 1, 0 },
   [RT_FAIL_LEAVING] = { 0, 0 }, [RT_FAIL_BUSY] = { 0, 0 },
@@ -25,7 +25,8 @@
   [RT_FAIL_CROSSED] = { 1, 0 },
 };
 
-/** Whether it may get new work, with failures passed over if need be. */
+/** Whether the endpoint may be sent new requests. IGNORE_EJECTION admits one
+    that is ejected or on trial after a rest. */
 int
 rt_endpoint_usable (const rt_endpoint_t *ep, el_time_t now,
                     int ignore_ejection)
@@ -35,7 +36,8 @@
   return !ep->draining && open <= (ignore_ejection ? RT_ASIDE : RT_DOUBT);
 }
 
-/** When it may get work again: now, when its rest is over, or never. */
+/** The earliest time at which the endpoint may be sent new requests: NOW, the
+    end of its rest, or EL_TIME_NEVER if it is draining or leaving. */
 el_time_t
 rt_endpoint_available_at (const rt_endpoint_t *ep, el_time_t now)
 {
@@ -69,7 +71,7 @@
     router->counts.ejected += !ejected;
 }
 
-/** The endpoint wants nothing from this host for so long. */
+/** The endpoint asked this host to send it nothing for the time ASKED. */
 void
 rt_endpoint_rest_requested (rt_router_t *router, el_str_t name, el_time_t now,
                             el_time_t asked)
@@ -92,7 +94,8 @@
   rt_access_served (&ep->access);
 }
 
-/** A call went out to the endpoint at NOW (1), or is over (-1). */
+/** A call was sent to the endpoint at NOW (DELTA is 1) or has ended (DELTA is
+    -1; NOW is not used). */
 void
 rt_endpoint_adjust_in_flight (rt_router_t *router, el_str_t name,
                               el_time_t now, int delta)
--- a/route/librt.h
+++ b/route/librt.h
@@ -59,13 +59,15 @@
   UT_hash_handle hh;
 };
 
-typedef struct rt_service
+/* A service with its retry budget (rt_service_t of relay.h is another type).
+ */
+typedef struct rt_service_entry
 {
   char *key;
   co_service_t spec; /* the endpoint names are owned */
   rt_retry_budget_t budget;
   UT_hash_handle hh;
-} rt_service_t;
+} rt_service_entry_t;
 
 typedef struct rt_stream rt_stream_t;
 
@@ -149,7 +151,7 @@
   rt_endpoint_t *endpoints;
   rt_pipeline_t *pipelines;
   rt_deployment_t *deployments;
-  rt_service_t *services;
+  rt_service_entry_t *services;
   rt_customer_t *customers;
   rt_customer_t *customers_by_key;
   rt_stream_t *streams;
@@ -163,7 +165,7 @@
 };
 
 /* Operations that differ between request types. */
-typedef struct rt_work_ops
+typedef struct rt_request_ops
 {
   /* Choose endpoints for the stream's next attempt and call the first one.
      Returns RT_DONE if the call was sent. */
@@ -177,10 +179,10 @@
   /* The earliest time at which endpoints can serve the stream, waiting only
      for rests to end; 0 if that never makes a route available. */
   el_time_t (*available_at) (const rt_stream_t *stream, el_time_t now);
-} rt_work_ops_t;
+} rt_request_ops_t;
 
-extern const rt_work_ops_t rt_chat_ops;
-extern const rt_work_ops_t rt_call_ops;
+extern const rt_request_ops_t rt_chat_ops;
+extern const rt_request_ops_t rt_call_ops;
 
 /* router.c */
 uint64_t rt_random (rt_router_t *router);
@@ -194,7 +196,7 @@
 
 /* table.c */
 rt_endpoint_t *rt_endpoint_find (const rt_router_t *router, el_str_t name);
-rt_service_t *rt_service_find (const rt_router_t *router, el_str_t name);
+rt_service_entry_t *rt_service_find (const rt_router_t *router, el_str_t name);
 rt_customer_t *rt_customer_find (const rt_router_t *router, el_str_t name);
 rt_pipeline_t *rt_pipeline_find (const rt_router_t *router, el_str_t name);
 void rt_customer_release (rt_router_t *router, rt_customer_t *customer);
@@ -211,7 +213,8 @@
                                    const rt_deployment_t *deployment,
                                    el_str_t avoid);
 rt_endpoint_t *rt_choose_worker (rt_router_t *router, el_time_t now,
-                                 const rt_service_t *service, el_str_t avoid);
+                                 const rt_service_entry_t *service,
+                                 el_str_t avoid);
 
 /* health.c */
 int rt_endpoint_usable (const rt_endpoint_t *endpoint, el_time_t now,
--- a/route/path.c
+++ b/route/path.c
@@ -3,8 +3,9 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Routes: every layer of a deployment once, in order, over engines of one
- * generation. rt_route_build is the only way to make one.
+ * Routes of chat streams: each layer of a deployment exactly once, in order,
+ * on engines of one generation. rt_route_build is the only function that
+ * creates them.
  */
 #include <inttypes.h>
 
@@ -26,9 +27,9 @@
   return EL_OK;
 }
 
-/** Build the route of PIPELINE. NULL, with the reason in ERR, when its stages
-    leave a gap, overlap, do not end at the deployment's last layer, or name
-    an endpoint that is no engine. */
+/** Build the route of PIPELINE. Returns NULL and sets ERR if its stages leave
+    a gap, overlap, do not end at the deployment's last layer or name an
+    endpoint that is not an engine. */
 rt_route_t *
 rt_route_build (const rt_router_t *router, const rt_deployment_t *deployment,
                 const rt_pipeline_t *pipeline, el_err_t *err)
--- a/route/pick.c
+++ b/route/pick.c
@@ -3,24 +3,25 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * The choice of route: of a few pipelines drawn at random, the one that has
- * room and is fastest. Drawing a few rather than looking at all keeps the
- * cost flat and, with load news that is local to a host, keeps hosts from
- * running to the same pipeline.
+ * Selection of pipelines and workers. Of a few pipelines sampled at random,
+ * the fastest one with spare capacity is chosen. Sampling keeps the cost
+ * independent of the number of pipelines. Because each host knows only its own
+ * load, it also keeps hosts from all choosing the same pipeline.
  */
 #include "librt.h"
 
-/* Draws before all pipelines are looked at in turn. */
+/* Samples taken; if none is usable, all pipelines are examined. */
 #define PICK_SAMPLES_MAX 16
-/* Usable pipelines that are compared. */
+/* Usable pipelines to compare before sampling stops. */
 #define PICK_CANDIDATES_MAX 4
 
-/* How far a choice may go, from best to last. */
+/* Which endpoints may be chosen, from the strictest level to the last
+   resort. */
 typedef enum pick_level
 {
-  PICK_HEALTHY, /* neither set aside nor the one that has just failed */
-  PICK_EJECTED, /* set aside as well */
-  PICK_ANY,     /* the one that has just failed as well */
+  PICK_HEALTHY, /* neither ejected nor the one that has just failed */
+  PICK_EJECTED, /* also ejected ones */
+  PICK_ANY,     /* also the one that has just failed */
   PICK_LEVELS
 } pick_level_t;
 
@@ -33,14 +34,14 @@
   return level == PICK_ANY || !el_str_eq (el_str (ep->key), avoid);
 }
 
-/* A pipeline that can be used, and how many streams it serves at once. */
+/* A usable pipeline and the number of streams it can serve at once. */
 typedef struct candidate
 {
-  rt_pipeline_t *pipe; /* NULL is none */
+  rt_pipeline_t *pipe; /* NULL if there is none */
   uint64_t capacity;
 } candidate_t;
 
-/* Fill OUT; gives 0 when an endpoint does not fit. */
+/* Fill in OUT. Returns 0 if an endpoint of the pipeline is not eligible. */
 static int
 candidate_init (const rt_router_t *router, el_time_t now, rt_pipeline_t *pipe,
                 el_str_t avoid, pick_level_t level, candidate_t *out)
@@ -59,9 +60,10 @@
   return 1;
 }
 
-/* Whether A should get the next stream rather than B. One with room goes
-   before one without; of two with room the faster one, by weight; of two
-   without the one that is less over its capacity. */
+/* Whether A is preferred to B. A pipeline with spare capacity is preferred to
+   a full one; of two with spare capacity, the one with the higher weight, as
+   it is faster; otherwise the one with fewer streams relative to its
+   capacity. */
 static int
 candidate_better (const candidate_t *a, const candidate_t *b)
 {
@@ -104,9 +106,9 @@
   return best.pipe;
 }
 
-/** Choose a pipeline; NULL when none can be used. Endpoints that are set
-    aside, and last of all AVOID, which has just failed, are used only when
-    nothing else is left, so that no group empties. */
+/** Choose a pipeline, or return NULL if none is usable. If nothing else is
+    left, ejected endpoints are used, and as a last resort AVOID, which has
+    just failed: ejection must not leave a group without endpoints. */
 rt_pipeline_t *
 rt_choose_pipeline (rt_router_t *router, el_time_t now,
                     const rt_deployment_t *dep, el_str_t avoid)
@@ -132,11 +134,12 @@
   return best.pipe;
 }
 
-/** Choose the worker of a service with the fewest calls in flight, ties at
-    random; rules as for pipelines. */
+/** Choose the worker of a service with the fewest calls in flight, starting
+    the search at a random one to break ties. Ejected and just failed workers
+    are treated as in rt_choose_pipeline. */
 rt_endpoint_t *
 rt_choose_worker (rt_router_t *router, el_time_t now,
-                  const rt_service_t *service, el_str_t avoid)
+                  const rt_service_entry_t *service, el_str_t avoid)
 {
   size_t n = service->spec.nendpoints;
   size_t start = n ? rt_random (router) % n : 0;
--- a/route/retry.c
+++ b/route/retry.c
@@ -7,7 +7,8 @@
  */
 #include "librt.h"
 
-/* A request earns a tenth of a retry; at most this many tenths are saved. */
+/* Each admitted request adds a tenth of a retry to the budget, up to the
+   maximum. */
 #define BUDGET_EARNED_TENTHS 1
 #define BUDGET_RETRY_TENTHS 10
 #define BUDGET_MAX_TENTHS 200
@@ -16,7 +17,7 @@
 #define BACKOFF_MAX (500 * EL_MSEC)
 #define BACKOFF_DOUBLINGS_MAX 6
 
-/** A request was admitted. */
+/** Add an admitted request's share to the budget. */
 void
 rt_retry_budget_earn (rt_retry_budget_t *budget)
 {
@@ -25,7 +26,7 @@
     budget->tenths = BUDGET_MAX_TENTHS;
 }
 
-/** Take one retry; gives 0 when the budget is empty. */
+/** Take one retry from the budget. Returns 0 if there is none left. */
 int
 rt_retry_budget_spend (rt_retry_budget_t *budget)
 {
@@ -35,9 +36,9 @@
   return 1;
 }
 
-/** The wait before an attempt after FAILURES in a row: none after the first,
-    then doubling, with half of it at random so that streams which failed
-    together do not return together. */
+/** The delay before the next attempt after FAILURES consecutive failures: none
+    after the first, then exponential. Half of the delay is random, so that
+    streams that failed together do not retry together. */
 el_time_t
 rt_retry_backoff (rt_router_t *router, unsigned failures)
 {
--- a/route/router.c
+++ b/route/router.c
@@ -42,7 +42,7 @@
   [RT_EV_HOSTS] = on_hosts,     [RT_EV_STOP] = on_stop,
 };
 
-static const rt_work_ops_t *const work_ops[RT_WORKS] = {
+static const rt_request_ops_t *const request_ops[RT_WORKS] = {
   [RT_CHAT] = &rt_chat_ops,
   [RT_CALL] = &rt_call_ops,
 };
@@ -220,7 +220,7 @@
   rt_router_t *router = stream->router;
   el_time_t available_at
       = reason == RT_NO_ROUTE
-            ? work_ops[stream->work]->available_at (stream, now)
+            ? request_ops[stream->work]->available_at (stream, now)
             : 0;
   uint64_t wait;
 
@@ -254,7 +254,7 @@
     }
   if (stream->call_pending)
     stream_call_ended (stream, EL_MAY_HAVE_RUN);
-  work_ops[stream->work]->release (stream, now, !reason_info[reason].whole);
+  request_ops[stream->work]->release (stream, now, !reason_info[reason].whole);
   if (reason_info[reason].whole)
     {
       stream->verdict = EL_RAN;
@@ -288,7 +288,7 @@
   rt_reason_t reason;
 
   stream->state = RT_RUNNING;
-  reason = work_ops[stream->work]->start (stream, now);
+  reason = request_ops[stream->work]->start (stream, now);
   if (reason == RT_DONE)
     return;
   if (reason == RT_NO_ROUTE && stream->ntokens && stream->attempt)
@@ -308,7 +308,7 @@
 rt_stream_start (rt_stream_t *stream, el_time_t now)
 {
   rt_router_t *router = stream->router;
-  rt_retry_budget_t *budget = work_ops[stream->work]->budget (stream);
+  rt_retry_budget_t *budget = request_ops[stream->work]->budget (stream);
 
   router->active++;
   stream->started = now;
@@ -324,7 +324,7 @@
 static rt_reason_t
 stream_check_retry (rt_stream_t *stream, el_verdict_t verdict, rt_fail_t fail)
 {
-  rt_retry_budget_t *budget = work_ops[stream->work]->budget (stream);
+  rt_retry_budget_t *budget = request_ops[stream->work]->budget (stream);
 
   if (fail == RT_FAIL_REFUSED)
     return RT_ENDPOINT;
@@ -360,7 +360,7 @@
       rt_stream_end (stream, now, reason);
       return;
     }
-  work_ops[stream->work]->release (stream, now, 1);
+  request_ops[stream->work]->release (stream, now, 1);
   stream->failures++;
   router->counts.rebuilds++;
   wait = rt_retry_backoff (router, stream->failures);
@@ -498,7 +498,7 @@
     }
   rt_endpoint_answered (router, stream->route->hops[stream->hop].endpoint);
   stream_call_ended (stream, EL_RAN);
-  work_ops[stream->work]->reply (stream, now, event);
+  request_ops[stream->work]->reply (stream, now, event);
 }
 
 static void
--- a/route/table.c
+++ b/route/table.c
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * The router's tables, kept from the configuration as resources come into
- * force and leave.
+ * The router's tables of endpoints, pipelines, deployments, services and
+ * customers, updated with each configuration change.
  */
 #include <string.h>
 
@@ -32,7 +32,7 @@
   [CO_SERVICE] = apply_service,
 };
 
-/* Find by a counted string in a table whose key is a C string. */
+/* Look up a counted string in a table whose keys are C strings. */
 #define TABLE_FIND(table, name, out)                                          \
   HASH_FIND (hh, (table), (name).ptr, (unsigned)(name).len, (out))
 #define TABLE_ADD(table, item)                                                \
@@ -54,7 +54,8 @@
   *dst = copy;
 }
 
-/** A resource came into force (NEXT), replacing PREV; either may be NULL. */
+/** Apply a configuration change: NEXT replaces PREV. PREV is NULL if the
+    resource is new, NEXT is NULL if it is removed. */
 void
 rt_router_config (rt_router_t *router, const co_resource_t *prev,
                   const co_resource_t *next)
@@ -71,10 +72,10 @@
   return ep;
 }
 
-rt_service_t *
+rt_service_entry_t *
 rt_service_find (const rt_router_t *router, el_str_t name)
 {
-  rt_service_t *service;
+  rt_service_entry_t *service;
 
   TABLE_FIND (router->services, name, service);
   return service;
@@ -98,7 +99,7 @@
   return pipe;
 }
 
-/* Collect a deployment's pipelines anew. */
+/* Rebuild the list of the deployment's pipelines. */
 static void
 deployment_link_pipelines (rt_router_t *router, rt_deployment_t *dep)
 {
@@ -230,7 +231,8 @@
   free (customer);
 }
 
-/** A stream of the customer ended; forget a removed one after its last. */
+/** A stream of the customer ended. A customer that was removed from the
+    configuration is freed with its last stream. */
 void
 rt_customer_release (rt_router_t *router, rt_customer_t *customer)
 {
@@ -288,7 +290,8 @@
                      customer->key_hash.len, customer);
 }
 
-/** The customer whose key has this hash; gives 0 when there is none. */
+/** Look up the customer whose key has this hash. Returns 0 if there is none.
+ */
 int
 rt_router_auth (const rt_router_t *router, el_str_t key_hash,
                 el_str_t *customer)
@@ -340,7 +343,7 @@
 }
 
 static void
-service_clear (rt_service_t *service)
+service_clear (rt_service_entry_t *service)
 {
   size_t i;
 
@@ -356,7 +359,7 @@
                const co_resource_t *next)
 {
   el_str_t name = next ? next->name : prev->name;
-  rt_service_t *service = rt_service_find (router, name);
+  rt_service_entry_t *service = rt_service_find (router, name);
   size_t i;
 
   if (service)
@@ -382,16 +385,16 @@
     service->spec.endpoints[i] = el_str_dup (next->spec.service.endpoints[i]);
 }
 
-/** The service as it is configured, or NULL. */
+/** Returns the configured service, or NULL. */
 const co_service_t *
 rt_router_service (const rt_router_t *router, el_str_t name)
 {
-  rt_service_t *service = rt_service_find (router, name);
+  rt_service_entry_t *service = rt_service_find (router, name);
 
   return service ? &service->spec : NULL;
 }
 
-/** Free all tables; no stream is left. */
+/** Free all tables. All streams must have been freed. */
 void
 rt_tables_free (rt_router_t *router)
 {
@@ -403,8 +406,8 @@
   rt_customer_t *next_customer;
   rt_endpoint_t *ep;
   rt_endpoint_t *next_ep;
-  rt_service_t *service;
-  rt_service_t *next_service;
+  rt_service_entry_t *service;
+  rt_service_entry_t *next_service;
 
   HASH_ITER (hh, router->deployments, dep, next_dep)
   {
--- a/route/trace.c
+++ b/route/trace.c
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Traces: events and actions as JSON objects, by one table of fields each.
- * A field that is zero is left out.
+ * Traces: converts events and actions to JSON objects and events back, using
+ * one table of fields for each. Fields that are zero are omitted.
  */
 #include "librt.h"
 
@@ -14,8 +14,8 @@
   FIELD_INT,
   FIELD_STR,
   FIELD_CALL_ID,
-  FIELD_TOKENS, /* pointer; the count is the field after it */
-  FIELD_ENUM    /* an enumeration; names gives its words */
+  FIELD_TOKENS, /* a pointer, followed by the count */
+  FIELD_ENUM    /* written as one of names */
 } field_type_t;
 
 typedef struct field
@@ -39,7 +39,7 @@
   [RT_ACT_TOKEN] = "token",
   [RT_ACT_END] = "end",
 };
-static const char *const work_names[RT_WORKS] = {
+static const char *const request_type_names[RT_WORKS] = {
   [RT_CHAT] = "chat",
   [RT_CALL] = "call",
 };
@@ -62,7 +62,7 @@
 static const field_t event_fields[] = {
   { "event", FIELD_ENUM, EVENT_OFFSET (kind), NAMES (event_names) },
   { "stream", FIELD_NUMBER, EVENT_OFFSET (stream), NULL, 0 },
-  { "work", FIELD_ENUM, EVENT_OFFSET (work), NAMES (work_names) },
+  { "work", FIELD_ENUM, EVENT_OFFSET (work), NAMES (request_type_names) },
   { "customer", FIELD_STR, EVENT_OFFSET (customer), NULL, 0 },
   { "target", FIELD_STR, EVENT_OFFSET (target), NULL, 0 },
   { "prompt", FIELD_STR, EVENT_OFFSET (prompt), NULL, 0 },
@@ -87,7 +87,7 @@
 static const field_t action_fields[] = {
   { "action", FIELD_ENUM, ACTION_OFFSET (kind), NAMES (action_names) },
   { "stream", FIELD_NUMBER, ACTION_OFFSET (stream), NULL, 0 },
-  { "work", FIELD_ENUM, ACTION_OFFSET (work), NAMES (work_names) },
+  { "work", FIELD_ENUM, ACTION_OFFSET (work), NAMES (request_type_names) },
   { "endpoint", FIELD_STR, ACTION_OFFSET (endpoint), NULL, 0 },
   { "call", FIELD_CALL_ID, ACTION_OFFSET (call), NULL, 0 },
   { "prompt", FIELD_STR, ACTION_OFFSET (prompt), NULL, 0 },
@@ -105,7 +105,8 @@
 #define NFIELDS(list) (sizeof (list) / sizeof *(list))
 #define CALL_ID_NUMBERS 6
 
-/* The count of a list of tokens stands behind its pointer. */
+/* Layout of a FIELD_TOKENS field: the pointer and the count are adjacent
+   members of the event or action. */
 typedef struct token_list
 {
   const uint64_t *list;
@@ -180,7 +181,7 @@
     }
 }
 
-/** The event as one JSON object. */
+/** Convert an event to a JSON object. */
 json_t *
 rt_trace_event (el_time_t now, const rt_event_t *event)
 {
@@ -190,7 +191,7 @@
   return out;
 }
 
-/** The action as one JSON object. */
+/** Convert an action to a JSON object. */
 json_t *
 rt_trace_action (const rt_action_t *action)
 {
@@ -205,7 +206,7 @@
   return out;
 }
 
-/** A change of configuration as one JSON object. */
+/** Convert a configuration change to a JSON object. */
 json_t *
 rt_trace_config (const co_resource_t *prev, const co_resource_t *next)
 {
@@ -285,8 +286,8 @@
   return 0;
 }
 
-/** Read an event back. Its strings point into LINE; rt_trace_release frees
-    the rest. */
+/** Read an event from a line of a trace. Its strings point into LINE;
+    rt_trace_release frees the rest. */
 el_status_t
 rt_trace_read (json_t *line, el_time_t *now, rt_event_t *event, el_err_t *err)
 {
@@ -301,7 +302,7 @@
       if (value
           && !field_read (&event_fields[i], value,
                           (char *)event + event_fields[i].offset))
-        return el_err_set (err, EL_INVALID, "%s: wrong type or word",
+        return el_err_set (err, EL_INVALID, "%s: wrong type or unknown value",
                            event_fields[i].name);
     }
   return EL_OK;
