--- a/route/admit.c
+++ b/route/admit.c
@@ -3,20 +3,23 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Admission: a bounded number of streams runs, a bounded number waits, and
- * what runs next is fair between customers. Each customer's virtual time
- * advances by what it is given over its weight times two to its priority, so
- * a higher priority gets more and no priority starves.
+ * Admission control. The numbers of running and of queued streams are bounded;
+ * queued streams are started by weighted fair queueing between customers. Each
+ * started stream advances its customer's virtual time by a fixed unit divided
+ * by weight * 2^priority, so that a higher priority gets a larger share and no
+ * priority starves.
  */
 #include "librt.h"
 
-#define VIRTUAL_UNIT 1000000
+#define VIRTUAL_TIME_UNIT 1000000
 #define RETRY_AFTER_MIN_MS 50
 #define RETRY_AFTER_MAX_MS 5000
-#define MEAN_RUN_FIRST (200 * EL_MSEC)
+#define MEAN_RUN_INITIAL_US (200 * EL_MSEC)
 
+/* This host's share of the customer's limit on requests in flight, rounded
+   up. */
 static uint64_t
-customer_share (const rt_router_t *router, const rt_customer_t *customer)
+customer_host_limit (const rt_router_t *router, const rt_customer_t *customer)
 {
   size_t hosts = router->hosts ? router->hosts : 1;
 
@@ -24,7 +27,7 @@
 }
 
 static void
-queue_add (rt_stream_t *stream)
+queue_append (rt_stream_t *stream)
 {
   rt_customer_t *customer = stream->customer;
 
@@ -37,28 +40,30 @@
   stream->router->queued++;
 }
 
-/** Take a stream that waits out of its queue. */
+/** Remove a stream from its customer's queue, if it is in there. */
 void
-rt_admit_remove (rt_stream_t *stream)
+rt_admit_dequeue (rt_stream_t *stream)
 {
   rt_customer_t *customer = stream->customer;
-  rt_stream_t **at = &customer->queue;
+  rt_stream_t **link = &customer->queue;
   rt_stream_t *prev = NULL;
 
-  while (*at && *at != stream)
+  while (*link && *link != stream)
     {
-      prev = *at;
-      at = &prev->queue_next;
+      prev = *link;
+      link = &prev->queue_next;
     }
-  if (!*at)
+  if (!*link)
     return;
-  *at = stream->queue_next;
+  *link = stream->queue_next;
   if (customer->queue_tail == stream)
     customer->queue_tail = prev;
   stream->router->queued--;
 }
 
-/* A customer that was idle starts at the present, not in the past. */
+/* Advance the customer's virtual time for one stream. A customer that was idle
+   starts from the current virtual time and gets no credit for its idle
+   time. */
 static void
 customer_charge (rt_router_t *router, rt_customer_t *customer)
 {
@@ -66,11 +71,11 @@
     customer->virtual_time = router->virtual_time;
   router->virtual_time = customer->virtual_time;
   customer->virtual_time
-      += VIRTUAL_UNIT / (customer->weight << customer->priority);
+      += VIRTUAL_TIME_UNIT / (customer->weight << customer->priority);
 }
 
-/** Run the stream, let it wait, or give the reason to refuse it; RT_DONE
-    means that it was taken. */
+/** Start or queue the stream and return RT_DONE, or return the reason to
+    refuse it. */
 rt_reason_t
 rt_admit (rt_stream_t *stream, el_time_t now)
 {
@@ -81,7 +86,7 @@
     return RT_STOPPING;
   if (stream->deadline <= now)
     return RT_DEADLINE;
-  if (customer->in_flight >= customer_share (router, customer))
+  if (customer->in_flight >= customer_host_limit (router, customer))
     return RT_CUSTOMER_FULL;
   if (router->active >= router->options.max_active
       && router->queued >= router->options.max_queue)
@@ -90,18 +95,18 @@
   if (router->active < router->options.max_active)
     {
       customer_charge (router, customer);
-      rt_stream_run (stream, now);
+      rt_stream_start (stream, now);
       return RT_DONE;
     }
   stream->state = RT_QUEUED;
-  queue_add (stream);
+  queue_append (stream);
   el_timers_set (&router->timers, &stream->timer, stream->deadline);
   return RT_DONE;
 }
 
-/** Run streams that wait while there is room. A stream that ends as soon as
-    it is run asks for the next one; the loop that ran it goes on instead, so
-    that the stack stays flat. */
+/** Start queued streams while there is capacity. A stream that ends as soon as
+    it is started calls this function again; that nested call returns at once
+    and the outer loop continues, which bounds the stack depth. */
 void
 rt_admit_next (rt_router_t *router, el_time_t now)
 {
@@ -123,19 +128,21 @@
       if (!best)
         break;
       stream = best->queue;
-      rt_admit_remove (stream);
+      rt_admit_dequeue (stream);
       customer_charge (router, best);
-      rt_stream_run (stream, now);
+      rt_stream_start (stream, now);
     }
   router->admitting = 0;
 }
 
-/** When a refused caller should come back, in milliseconds: the time that the
-    queue takes to pass, spread so that they do not return together. */
+/** The time in milliseconds after which a refused caller should retry: the
+    estimated time to drain the queue, plus jitter so that refused callers do
+    not all return at once. */
 uint64_t
 rt_admit_retry_after (rt_router_t *router)
 {
-  uint64_t mean = router->mean_run ? router->mean_run : MEAN_RUN_FIRST;
+  uint64_t mean
+      = router->mean_run_us ? router->mean_run_us : MEAN_RUN_INITIAL_US;
   uint64_t wait = mean / EL_MSEC * (router->queued + 1)
                   / (router->options.max_active + 1);
 
