--- a/Makefile
+++ b/Makefile
@@ -18,7 +18,7 @@
        base/settings.c
 COORD = coord/mbr_members.c coord/mbr_news.c coord/mbr_probe.c coord/rumor.c coord/token.c coord/ledger.c coord/cfg_schema.c coord/cfg_apply.c
 ROUTE = route/access.c route/router.c route/table.c route/path.c route/pick.c route/health.c \
-        route/admit.c route/retry.c route/stream.c route/call.c route/trace.c \
+        route/admit.c route/retry.c route/chat.c route/call.c route/trace.c \
         route/rules.c route/fleet.c route/line.c route/line_use.c route/estimate.c \
         route/layout.c route/course.c route/digest.c route/fall.c route/blame.c route/blame_judge.c route/blame_rule.c
 
--- a/bench/bench_core.c
+++ b/bench/bench_core.c
@@ -41,7 +41,7 @@
 config_to_router (void *arg, const co_resource_t *prev,
                   const co_resource_t *next)
 {
-  rt_router_config (arg, prev, next);
+  rt_router_apply_config (arg, prev, next);
 }
 
 static void
@@ -119,7 +119,7 @@
                        .deadline = UINT64_MAX / 2,
                        .repeatable = 1 };
 
-  rt_router_event (router, 1000, &event);
+  rt_router_handle_event (router, 1000, &event);
 }
 
 static void
@@ -134,7 +134,7 @@
                        .token = 7,
                        .text = EL_STR (" w7") };
 
-  rt_router_event (router, 1000, &event);
+  rt_router_handle_event (router, 1000, &event);
 }
 
 static void
--- a/bench/bench_route.c
+++ b/bench/bench_route.c
@@ -35,7 +35,7 @@
   el_timer_t timer;
   sim_t *sim;
   unsigned engine;
-  rt_place_t call;
+  rt_call_id_t call;
   int final;
   struct job *next;
 } job_t;
@@ -151,7 +151,7 @@
       engine->busy++;
       el_timers_set (&sim->timers, &next->timer, now + engine->step);
     }
-  rt_router_event (sim->router, now, &event);
+  rt_router_handle_event (sim->router, now, &event);
   free (job);
 }
 
@@ -238,7 +238,7 @@
   event.target = el_str (target);
   event.max_tokens = stream->tokens;
   event.deadline = now + DEADLINE;
-  rt_router_event (sim->router, now, &event);
+  rt_router_handle_event (sim->router, now, &event);
   el_timers_set (&sim->timers, &sim->arrival,
                  now
                      + (el_time_t)((double)EL_SEC * 2 / sim->rate
@@ -257,7 +257,7 @@
       fprintf (stderr, "bench: %s: %s\n", name, err.msg);
       exit (EXIT_FAILURE);
     }
-  rt_router_config (sim->router, NULL, res);
+  rt_router_apply_config (sim->router, NULL, res);
   co_resource_free (res);
   json_decref (spec);
 }
@@ -308,14 +308,14 @@
   for (;;)
     {
       due = el_timers_next (&sim->timers);
-      if (rt_router_next (sim->router) < due)
-        due = rt_router_next (sim->router);
+      if (rt_router_next_tick (sim->router) < due)
+        due = rt_router_next_tick (sim->router);
       if (due > until)
         break;
       if (due > sim->now)
         sim->now = due;
-      if (rt_router_next (sim->router) <= sim->now)
-        rt_router_event (sim->router, sim->now, &tick);
+      if (rt_router_next_tick (sim->router) <= sim->now)
+        rt_router_handle_event (sim->router, sim->now, &tick);
       el_timers_run (&sim->timers, sim->now);
     }
   sim->now = until;
--- a/gate/caller.c
+++ b/gate/caller.c
@@ -35,13 +35,13 @@
   const char *message;
 } reasons[RT_REASONS] = {
   [RT_CANCELLED] = { 503, "the request was cancelled" },
-  [RT_NO_MODEL] = { 404, "no such model, service or customer" },
+  [RT_NOT_FOUND] = { 404, "no such model, service or customer" },
   [RT_NO_ROUTE] = { 503, "no endpoints can serve this now" },
   [RT_QUEUE_FULL] = { 503, "too many requests wait" },
-  [RT_CUSTOMER_FULL] = { 429, "too many of the customer's requests run" },
+  [RT_CUSTOMER_LIMIT] = { 429, "too many of the customer's requests run" },
   [RT_DEADLINE] = { 504, "the request's time is over" },
-  [RT_RETRIES] = { 503, "failed, and no further retry is allowed" },
-  [RT_ENDPOINT] = { 502, "the endpoint failed" },
+  [RT_RETRIES_USED_UP] = { 503, "failed, and no further retry is allowed" },
+  [RT_ENDPOINT_FAILED] = { 502, "the endpoint failed" },
   [RT_STOPPING] = { 503, "this host is stopping; use another" },
 };
 
--- a/gate/door.c
+++ b/gate/door.c
@@ -159,7 +159,7 @@
   if (key.len)
     {
       sha256_hex (key, hash);
-      rt_router_auth (gate->router, el_str (hash), &ask->customer);
+      rt_router_authenticate (gate->router, el_str (hash), &ask->customer);
     }
   if (!ask->customer.len
       && (key.len || !net_req_header (req, "x-elmarch-session").len))
--- a/gate/engine.c
+++ b/gate/engine.c
@@ -35,7 +35,7 @@
 static const struct
 {
   const char *word;
-  rt_fail_t fail;
+  rt_failure_t fail;
 } refusals[] = {
   { "leaving", RT_FAIL_LEAVING },
   { "busy", RT_FAIL_BUSY },
@@ -43,13 +43,13 @@
   { "invalid", RT_FAIL_REFUSED },
 };
 
-static const rt_fail_t net_fails[] = {
+static const rt_failure_t net_fails[] = {
   [NET_CONNECT] = RT_FAIL_CONNECT, [NET_REFUSED] = RT_FAIL_CONNECT,
   [NET_BROKEN] = RT_FAIL_BROKEN,   [NET_TIMEOUT] = RT_FAIL_TIMEOUT,
   [NET_TOO_BIG] = RT_FAIL_BROKEN,  [NET_HELD] = RT_FAIL_BUSY,
 };
 
-rt_fail_t
+rt_failure_t
 gt_net_fail (net_outcome_t net)
 {
   return net_fails[net];
--- a/gate/flow.c
+++ b/gate/flow.c
@@ -29,7 +29,7 @@
   [RT_ACT_END] = flow_end,
 };
 
-static const flow_act_fn senders[RT_WORKS] = {
+static const flow_act_fn senders[RT_REQUEST_TYPES] = {
   [RT_CHAT] = chat_send,
   [RT_CALL] = call_send,
 };
@@ -210,8 +210,8 @@
 {
   const gt_flow_t *flow = arg;
 
-  return rt_router_may (flow->gate->router, net_clock_now (&flow->gate->clock),
-                        flow->endpoint);
+  return rt_router_may_send (
+      flow->gate->router, net_clock_now (&flow->gate->clock), flow->endpoint);
 }
 
 static void
--- a/gate/gate.c
+++ b/gate/gate.c
@@ -30,7 +30,7 @@
           EL_FC ("state", next ? "set" : "removed"));
   if (gate->options.trace_fd >= 0)
     gt_trace (gate, rt_trace_config (prev, next));
-  rt_router_config (gate->router, prev, next);
+  rt_router_apply_config (gate->router, prev, next);
 }
 
 static void
@@ -45,7 +45,7 @@
 {
   gt_gate_t *gate = arg;
 
-  return rt_router_next (gate->router);
+  return rt_router_next_tick (gate->router);
 }
 
 static void
@@ -54,7 +54,7 @@
   gt_gate_t *gate = arg;
   rt_event_t event = { .kind = RT_EV_TICK };
 
-  if (rt_router_next (gate->router) <= now)
+  if (rt_router_next_tick (gate->router) <= now)
     gt_router_event (gate, &event);
 }
 
@@ -106,7 +106,7 @@
 
   if (gate->options.trace_fd >= 0)
     gt_trace (gate, rt_trace_event (now, event));
-  rt_router_event (gate->router, now, event);
+  rt_router_handle_event (gate->router, now, event);
   gt_answer_flush (gate);
   net_clock_arm (&gate->clock);
 }
--- a/gate/libgate.h
+++ b/gate/libgate.h
@@ -51,7 +51,7 @@
 struct gt_answer
 {
   unsigned refs;
-  rt_work_t work;
+  rt_request_type_t work;
   uint64_t stream;
   el_str_t target;
   int in_session;
@@ -79,7 +79,7 @@
 /* What a caller asks, checked and typed. */
 typedef struct gt_ask
 {
-  rt_work_t work;
+  rt_request_type_t work;
   el_str_t customer;
   el_str_t target;
   int repeatable;
@@ -126,7 +126,7 @@
   co_session_t session;
   uint64_t sequence;
   net_exchange_t *exchange;
-  rt_place_t call;
+  rt_call_id_t call;
   int repeatable;
   el_str_t endpoint;
   el_str_t method;
@@ -230,7 +230,7 @@
 } gt_engine_dialect_t;
 
 extern const gt_engine_dialect_t gt_engine_http;
-rt_fail_t gt_net_fail (net_outcome_t net);
+rt_failure_t gt_net_fail (net_outcome_t net);
 int gt_refused (const net_result_t *result, rt_event_t *event);
 
 /* caller.c */
--- a/route/admit.c
+++ b/route/admit.c
@@ -87,7 +87,7 @@
   if (stream->deadline <= now)
     return RT_DEADLINE;
   if (customer->in_flight >= customer_host_limit (router, customer))
-    return RT_CUSTOMER_FULL;
+    return RT_CUSTOMER_LIMIT;
   if (router->active >= router->options.max_active
       && router->queued >= router->options.max_queue)
     return RT_QUEUE_FULL;
--- a/route/call.c
+++ b/route/call.c
@@ -30,7 +30,7 @@
   rt_endpoint_t *ep;
 
   if (!service)
-    return RT_NO_MODEL;
+    return RT_NOT_FOUND;
   ep = rt_choose_worker (router, now, service, stream->avoid);
   if (!ep)
     return RT_NO_ROUTE;
--- a/route/stream.c
+++ b/route/chat.c
@@ -98,7 +98,7 @@
 
   dep = choose_deployment (stream, now, &pipe, &known);
   if (!known)
-    return RT_NO_MODEL;
+    return RT_NOT_FOUND;
   if (!dep)
     return RT_NO_ROUTE;
   stream->route = rt_route_build (stream->router, dep, pipe, &err);
@@ -208,12 +208,12 @@
                              .endpoint = route->hops[i].endpoint,
                              .address = route->hops[i].address };
 
-      action.call = (rt_place_t){ .stream = stream->id,
-                                  .attempt = stream->attempt,
-                                  .step = stream->ntokens,
-                                  .first = route->hops[i].first,
-                                  .last = route->hops[i].last,
-                                  .generation = route->generation };
+      action.call = (rt_call_id_t){ .stream = stream->id,
+                                    .attempt = stream->attempt,
+                                    .step = stream->ntokens,
+                                    .first = route->hops[i].first,
+                                    .last = route->hops[i].last,
+                                    .generation = route->generation };
       rt_emit_action (router, &action);
     }
   rt_route_free (route);
--- a/route/health.c
+++ b/route/health.c
@@ -51,7 +51,7 @@
 /** A call to the endpoint failed. */
 void
 rt_endpoint_failed (rt_router_t *router, el_str_t name, el_time_t now,
-                    rt_fail_t fail)
+                    rt_failure_t fail)
 {
   rt_endpoint_t *ep = rt_endpoint_find (router, name);
   int ejected;
--- a/route/librt.h
+++ b/route/librt.h
@@ -116,7 +116,7 @@
 struct rt_stream
 {
   uint64_t id;
-  rt_work_t work;
+  rt_request_type_t work;
   rt_stream_state_t state;
   rt_router_t *router;
   rt_customer_t *customer;
@@ -190,7 +190,7 @@
 void rt_stream_send_call (rt_stream_t *stream, el_time_t now,
                           const rt_hop_t *hop, rt_action_t *action);
 void rt_stream_call_failed (rt_stream_t *stream, el_time_t now,
-                            el_verdict_t verdict, rt_fail_t fail);
+                            el_verdict_t verdict, rt_failure_t fail);
 void rt_stream_end (rt_stream_t *stream, el_time_t now, rt_reason_t reason);
 void rt_stream_start (rt_stream_t *stream, el_time_t now);
 
@@ -220,7 +220,7 @@
 int rt_endpoint_usable (const rt_endpoint_t *endpoint, el_time_t now,
                         int ignore_ejection);
 void rt_endpoint_failed (rt_router_t *router, el_str_t name, el_time_t now,
-                         rt_fail_t fail);
+                         rt_failure_t fail);
 void rt_endpoint_answered (rt_router_t *router, el_str_t name);
 void rt_endpoint_rest_requested (rt_router_t *router, el_str_t name,
                                  el_time_t now, el_time_t asked);
--- a/route/route.h
+++ b/route/route.h
@@ -18,16 +18,16 @@
 typedef struct rt_router rt_router_t;
 
 /** Type of a request. */
-typedef enum rt_work
+typedef enum rt_request_type
 {
   RT_CHAT, /**< generates tokens with a model, one pipeline stage at a time */
   RT_CALL, /**< a single call to a service */
-  RT_WORKS
-} rt_work_t;
+  RT_REQUEST_TYPES
+} rt_request_type_t;
 
 /** Identifies one call to an endpoint. Engines echo it in their answers, so
     that an answer to another call is recognized. */
-typedef struct rt_place
+typedef struct rt_call_id
 {
   uint64_t stream;
   uint64_t attempt;    /**< starts at 1, incremented for each new attempt */
@@ -35,10 +35,10 @@
   uint64_t first;      /**< first layer */
   uint64_t last;       /**< last layer, inclusive */
   uint64_t generation; /**< generation of the deployment */
-} rt_place_t;
+} rt_call_id_t;
 
 /** Why a call gave no usable answer. */
-typedef enum rt_fail
+typedef enum rt_failure
 {
   RT_FAIL_CONNECT, /**< the connection could not be established */
   RT_FAIL_BROKEN,  /**< the connection closed before the answer was complete */
@@ -48,7 +48,7 @@
   RT_FAIL_TIMEOUT, /**< no answer within the time limit */
   RT_FAIL_CROSSED, /**< the answer belongs to another call */
   RT_FAILS
-} rt_fail_t;
+} rt_failure_t;
 
 typedef enum rt_event_kind
 {
@@ -71,7 +71,7 @@
   uint64_t stream; /**< assigned by the caller of the router, never reused */
 
   /* RT_EV_REQUEST */
-  rt_work_t work;
+  rt_request_type_t work;
   el_str_t customer;
   el_str_t target;        /**< model or service; an endpoint for
                                RT_EV_LEAVING */
@@ -83,15 +83,15 @@
   int repeatable;
 
   /* RT_EV_REPLY and RT_EV_FAILED */
-  rt_place_t call; /**< the call that was sent */
-  rt_place_t echo; /**< the call that the endpoint says it answers */
-  el_str_t hidden; /**< hidden state; from all stages but the last */
-  uint64_t token;  /**< from the last stage */
+  rt_call_id_t call; /**< the call that was sent */
+  rt_call_id_t echo; /**< the call that the endpoint says it answers */
+  el_str_t hidden;   /**< hidden state; from all stages but the last */
+  uint64_t token;    /**< from the last stage */
   el_str_t text;
   int has_token;
   int finish; /**< this token ends the model's answer */
   el_verdict_t verdict;
-  rt_fail_t fail;
+  rt_failure_t fail;
   el_time_t rest; /**< the endpoint asks to be sent nothing for this long */
 
   /* RT_EV_LEAVING and RT_EV_HOSTS */
@@ -111,17 +111,17 @@
 /** Why a request ended. */
 typedef enum rt_reason
 {
-  RT_DONE,          /**< complete: the model or service ended its answer */
-  RT_LENGTH,        /**< complete: the token limit was reached */
-  RT_CANCELLED,     /**< the caller disconnected */
-  RT_NO_MODEL,      /**< unknown model, service or customer */
-  RT_NO_ROUTE,      /**< no available endpoints can serve it */
-  RT_QUEUE_FULL,    /**< the request queue is full */
-  RT_CUSTOMER_FULL, /**< the customer has too many requests in flight */
-  RT_DEADLINE,      /**< the deadline has passed */
-  RT_RETRIES,       /**< failed, and no further retry is allowed */
-  RT_ENDPOINT,      /**< failed at the endpoint and must not be repeated */
-  RT_STOPPING,      /**< this host is stopping */
+  RT_DONE,            /**< complete: the model or service ended its answer */
+  RT_LENGTH,          /**< complete: the token limit was reached */
+  RT_CANCELLED,       /**< the caller disconnected */
+  RT_NOT_FOUND,       /**< unknown model, service or customer */
+  RT_NO_ROUTE,        /**< no available endpoints can serve it */
+  RT_QUEUE_FULL,      /**< the request queue is full */
+  RT_CUSTOMER_LIMIT,  /**< the customer has too many requests in flight */
+  RT_DEADLINE,        /**< the deadline has passed */
+  RT_RETRIES_USED_UP, /**< failed, and no further retry is allowed */
+  RT_ENDPOINT_FAILED, /**< failed at the endpoint and must not be repeated */
+  RT_STOPPING,        /**< this host is stopping */
   RT_REASONS
 } rt_reason_t;
 
@@ -130,10 +130,10 @@
 {
   rt_action_kind_t kind;
   uint64_t stream;
-  rt_work_t work;
+  rt_request_type_t work;
 
   /* RT_ACT_CALL and RT_ACT_ABANDON */
-  rt_place_t call;
+  rt_call_id_t call;
   el_str_t endpoint;
   el_str_t address;
   uint64_t priority;
@@ -155,7 +155,7 @@
   uint64_t retry_after_ms;
 } rt_action_t;
 
-typedef void (*rt_act_cb) (void *arg, const rt_action_t *action);
+typedef void (*rt_action_cb) (void *arg, const rt_action_t *action);
 
 typedef struct rt_options
 {
@@ -165,7 +165,7 @@
   el_time_t call_limit; /**< time limit of one call to a pipeline stage */
   el_time_t leave_hold; /**< for how long an endpoint counts as leaving after
                              a report that it leaves */
-  rt_act_cb act;
+  rt_action_cb act;
   void *arg;
 } rt_options_t;
 
@@ -191,24 +191,24 @@
 
 rt_router_t *rt_router_new (const rt_options_t *options);
 void rt_router_free (rt_router_t *router);
-void rt_router_event (rt_router_t *router, el_time_t now,
-                      const rt_event_t *event);
-void rt_router_config (rt_router_t *router, const co_resource_t *prev,
-                       const co_resource_t *next);
-el_time_t rt_router_next (const rt_router_t *router);
+void rt_router_handle_event (rt_router_t *router, el_time_t now,
+                             const rt_event_t *event);
+void rt_router_apply_config (rt_router_t *router, const co_resource_t *prev,
+                             const co_resource_t *next);
+el_time_t rt_router_next_tick (const rt_router_t *router);
 const rt_counts_t *rt_router_counts (const rt_router_t *router);
 size_t rt_router_active (const rt_router_t *router);
 size_t rt_router_queued (const rt_router_t *router);
 json_t *rt_router_dump (const rt_router_t *router, el_time_t now);
-int rt_router_auth (const rt_router_t *router, el_str_t key_hash,
-                    el_str_t *customer);
+int rt_router_authenticate (const rt_router_t *router, el_str_t key_hash,
+                            el_str_t *customer);
 const co_service_t *rt_router_service (const rt_router_t *router,
                                        el_str_t name);
 
-int rt_router_may (const rt_router_t *router, el_time_t now,
-                   el_str_t endpoint);
+int rt_router_may_send (const rt_router_t *router, el_time_t now,
+                        el_str_t endpoint);
 const char *rt_reason_name (rt_reason_t reason);
-const char *rt_fail_name (rt_fail_t fail);
+const char *rt_failure_name (rt_failure_t fail);
 
 /* Trace: events and actions as JSON objects, one per line. */
 
--- a/route/router.c
+++ b/route/router.c
@@ -42,7 +42,7 @@
   [RT_EV_HOSTS] = on_hosts,     [RT_EV_STOP] = on_stop,
 };
 
-static const rt_request_ops_t *const request_ops[RT_WORKS] = {
+static const rt_request_ops_t *const request_ops[RT_REQUEST_TYPES] = {
   [RT_CHAT] = &rt_chat_ops,
   [RT_CALL] = &rt_call_ops,
 };
@@ -57,13 +57,13 @@
   [RT_DONE] = { "stop", 1, 0 },
   [RT_LENGTH] = { "length", 1, 0 },
   [RT_CANCELLED] = { "cancelled", 0, 0 },
-  [RT_NO_MODEL] = { "not-found", 0, 0 },
+  [RT_NOT_FOUND] = { "not-found", 0, 0 },
   [RT_NO_ROUTE] = { "no-route", 0, 1 },
   [RT_QUEUE_FULL] = { "queue-full", 0, 1 },
-  [RT_CUSTOMER_FULL] = { "customer-limit", 0, 1 },
+  [RT_CUSTOMER_LIMIT] = { "customer-limit", 0, 1 },
   [RT_DEADLINE] = { "deadline", 0, 1 },
-  [RT_RETRIES] = { "retries-used-up", 0, 1 },
-  [RT_ENDPOINT] = { "endpoint-failed", 0, 0 },
+  [RT_RETRIES_USED_UP] = { "retries-used-up", 0, 1 },
+  [RT_ENDPOINT_FAILED] = { "endpoint-failed", 0, 0 },
   [RT_STOPPING] = { "stopping", 0, 1 },
 };
 
@@ -81,7 +81,7 @@
 }
 
 const char *
-rt_fail_name (rt_fail_t fail)
+rt_failure_name (rt_failure_t fail)
 {
   return failure_names[fail];
 }
@@ -144,7 +144,8 @@
 
 /** Handle one event. All resulting actions are emitted before it returns. */
 void
-rt_router_event (rt_router_t *router, el_time_t now, const rt_event_t *event)
+rt_router_handle_event (rt_router_t *router, el_time_t now,
+                        const rt_event_t *event)
 {
   handlers[event->kind](router, now, event);
 }
@@ -186,12 +187,12 @@
   action->kind = RT_ACT_CALL;
   action->stream = stream->id;
   action->work = stream->work;
-  action->call = (rt_place_t){ .stream = stream->id,
-                               .attempt = stream->attempt,
-                               .step = stream->ntokens,
-                               .first = hop->first,
-                               .last = hop->last,
-                               .generation = stream->route->generation };
+  action->call = (rt_call_id_t){ .stream = stream->id,
+                                 .attempt = stream->attempt,
+                                 .step = stream->ntokens,
+                                 .first = hop->first,
+                                 .last = hop->last,
+                                 .generation = stream->route->generation };
   action->endpoint = hop->endpoint;
   action->address = hop->address;
   action->priority = stream->customer->priority;
@@ -322,19 +323,20 @@
    charged to the retry budget, so that an empty budget does not end it;
    backoff limits the rate of its attempts. */
 static rt_reason_t
-stream_check_retry (rt_stream_t *stream, el_verdict_t verdict, rt_fail_t fail)
+stream_check_retry (rt_stream_t *stream, el_verdict_t verdict,
+                    rt_failure_t fail)
 {
   rt_retry_budget_t *budget = request_ops[stream->work]->budget (stream);
 
   if (fail == RT_FAIL_REFUSED)
-    return RT_ENDPOINT;
+    return RT_ENDPOINT_FAILED;
   if (verdict != EL_NOT_RUN && !stream->repeatable)
-    return RT_ENDPOINT;
+    return RT_ENDPOINT_FAILED;
   if (stream->ntokens)
     return RT_DONE;
   if (stream->attempt >= ATTEMPTS_MAX || !budget
       || !rt_retry_budget_spend (budget))
-    return RT_RETRIES;
+    return RT_RETRIES_USED_UP;
   stream->router->counts.retries++;
   return RT_DONE;
 }
@@ -342,7 +344,7 @@
 /** The pending call failed: make another attempt or end the stream. */
 void
 rt_stream_call_failed (rt_stream_t *stream, el_time_t now,
-                       el_verdict_t verdict, rt_fail_t fail)
+                       el_verdict_t verdict, rt_failure_t fail)
 {
   rt_router_t *router = stream->router;
   el_str_t endpoint = el_str_dup (stream->route->hops[stream->hop].endpoint);
@@ -441,7 +443,7 @@
   router->counts.requests++;
   if (!customer || customer->removed)
     {
-      request_refuse (router, event, RT_NO_MODEL);
+      request_refuse (router, event, RT_NOT_FOUND);
       return;
     }
   stream = stream_new (router, event, customer);
@@ -453,7 +455,7 @@
 }
 
 static int
-call_id_eq (const rt_place_t *a, const rt_place_t *b)
+call_id_eq (const rt_call_id_t *a, const rt_call_id_t *b)
 {
   return a->stream == b->stream && a->attempt == b->attempt
          && a->step == b->step && a->first == b->first && a->last == b->last
@@ -466,16 +468,17 @@
 stream_awaiting_call (rt_router_t *router, const rt_event_t *event)
 {
   rt_stream_t *stream = stream_find (router, event->stream);
-  rt_place_t expected;
+  rt_call_id_t expected;
 
   if (stream && stream->call_pending)
     {
-      expected = (rt_place_t){ .stream = stream->id,
-                               .attempt = stream->attempt,
-                               .step = stream->ntokens,
-                               .first = stream->route->hops[stream->hop].first,
-                               .last = stream->route->hops[stream->hop].last,
-                               .generation = stream->route->generation };
+      expected
+          = (rt_call_id_t){ .stream = stream->id,
+                            .attempt = stream->attempt,
+                            .step = stream->ntokens,
+                            .first = stream->route->hops[stream->hop].first,
+                            .last = stream->route->hops[stream->hop].last,
+                            .generation = stream->route->generation };
       if (call_id_eq (&event->call, &expected))
         return stream;
     }
@@ -557,7 +560,7 @@
 
 /** Returns the time at which the router needs its next RT_EV_TICK. */
 el_time_t
-rt_router_next (const rt_router_t *router)
+rt_router_next_tick (const rt_router_t *router)
 {
   return el_timers_next (&router->timers);
 }
@@ -565,7 +568,8 @@
 /** Whether a request that was routed to ENDPOINT may still be sent, i.e. the
     endpoint has not asked for a rest in the meantime. */
 int
-rt_router_may (const rt_router_t *router, el_time_t now, el_str_t endpoint)
+rt_router_may_send (const rt_router_t *router, el_time_t now,
+                    el_str_t endpoint)
 {
   const rt_endpoint_t *ep = rt_endpoint_find (router, endpoint);
 
--- a/route/table.c
+++ b/route/table.c
@@ -57,8 +57,8 @@
 /** Apply a configuration change: NEXT replaces PREV. PREV is NULL if the
     resource is new, NEXT is NULL if it is removed. */
 void
-rt_router_config (rt_router_t *router, const co_resource_t *prev,
-                  const co_resource_t *next)
+rt_router_apply_config (rt_router_t *router, const co_resource_t *prev,
+                        const co_resource_t *next)
 {
   apply_by_kind[next ? next->kind : prev->kind](router, prev, next);
 }
@@ -293,8 +293,8 @@
 /** Look up the customer whose key has this hash. Returns 0 if there is none.
  */
 int
-rt_router_auth (const rt_router_t *router, el_str_t key_hash,
-                el_str_t *customer)
+rt_router_authenticate (const rt_router_t *router, el_str_t key_hash,
+                        el_str_t *customer)
 {
   rt_customer_t *found;
 
--- a/route/trace.c
+++ b/route/trace.c
@@ -39,7 +39,7 @@
   [RT_ACT_TOKEN] = "token",
   [RT_ACT_END] = "end",
 };
-static const char *const request_type_names[RT_WORKS] = {
+static const char *const request_type_names[RT_REQUEST_TYPES] = {
   [RT_CHAT] = "chat",
   [RT_CALL] = "call",
 };
@@ -114,7 +114,7 @@
 } token_list_t;
 
 static json_t *
-call_id_write (const rt_place_t *p)
+call_id_write (const rt_call_id_t *p)
 {
   if (!p->stream)
     return NULL;
@@ -219,7 +219,7 @@
 }
 
 static int
-call_id_read (const json_t *value, rt_place_t *out)
+call_id_read (const json_t *value, rt_call_id_t *out)
 {
   uint64_t numbers[CALL_ID_NUMBERS];
   size_t i;
@@ -228,8 +228,8 @@
     return 0;
   for (i = 0; i < CALL_ID_NUMBERS; i++)
     numbers[i] = (uint64_t)json_integer_value (json_array_get (value, i));
-  *out = (rt_place_t){ numbers[0], numbers[1], numbers[2],
-                       numbers[3], numbers[4], numbers[5] };
+  *out = (rt_call_id_t){ numbers[0], numbers[1], numbers[2],
+                         numbers[3], numbers[4], numbers[5] };
   return 1;
 }
 
--- a/tests/t_replay.c
+++ b/tests/t_replay.c
@@ -44,7 +44,7 @@
       el_str (json_string_value (json_object_get (line, "kind"))), &kind));
   co_resource_t *res = test_resource (kind, name, text, 1);
 
-  rt_router_config (router, NULL, res);
+  rt_router_apply_config (router, NULL, res);
   co_resource_free (res);
   free (text);
 }
@@ -90,7 +90,7 @@
   else
     {
       ck_assert_msg (!rt_trace_read (line, &now, &event, &err), "%s", err.msg);
-      rt_router_event (router, now, &event);
+      rt_router_handle_event (router, now, &event);
       rt_trace_release (&event);
     }
   return router;
--- a/tests/t_route.c
+++ b/tests/t_route.c
@@ -44,7 +44,7 @@
 {
   co_resource_t *res = test_resource (kind, name, json, 1);
 
-  rt_router_config (router, NULL, res);
+  rt_router_apply_config (router, NULL, res);
   co_resource_free (res);
 }
 
@@ -101,7 +101,7 @@
 }
 
 static void
-request (uint64_t stream, rt_work_t work, int repeatable)
+request (uint64_t stream, rt_request_type_t work, int repeatable)
 {
   rt_event_t event = { .kind = RT_EV_REQUEST,
                        .stream = stream,
@@ -113,7 +113,7 @@
                        .deadline = now + DEADLINE,
                        .repeatable = repeatable };
 
-  rt_router_event (router, now, &event);
+  rt_router_handle_event (router, now, &event);
 }
 
 /* The last action of a kind for a stream, or NULL. */
@@ -140,7 +140,7 @@
 }
 
 static void
-reply_place (const rt_place_t *call, const rt_place_t *echo, int final,
+reply_place (const rt_call_id_t *call, const rt_call_id_t *echo, int final,
              uint64_t token)
 {
   rt_event_t event = { .kind = RT_EV_REPLY,
@@ -152,7 +152,7 @@
                        .token = token,
                        .text = EL_STR ("t") };
 
-  rt_router_event (router, now, &event);
+  rt_router_handle_event (router, now, &event);
 }
 
 /* Answer the stream's call that is out. */
@@ -165,7 +165,7 @@
 }
 
 static void
-fail_call (uint64_t stream, el_verdict_t verdict, rt_fail_t why)
+fail_call (uint64_t stream, el_verdict_t verdict, rt_failure_t why)
 {
   rt_event_t event = { .kind = RT_EV_FAILED,
                        .stream = stream,
@@ -173,7 +173,7 @@
                        .verdict = verdict,
                        .fail = why };
 
-  rt_router_event (router, now, &event);
+  rt_router_handle_event (router, now, &event);
 }
 
 static void
@@ -182,7 +182,7 @@
   rt_event_t event = { .kind = RT_EV_TICK };
 
   now = to;
-  rt_router_event (router, now, &event);
+  rt_router_handle_event (router, now, &event);
 }
 
 START_TEST (test_chat_calls_each_layer_once_in_order)
@@ -246,7 +246,7 @@
 START_TEST (test_chat_crossed_answer_never_enters_the_stream)
 {
   act_t call;
-  rt_place_t echo;
+  rt_call_id_t echo;
 
   request (1, RT_CHAT, 1);
   reply (1, 0);
@@ -299,7 +299,7 @@
         {
         case 0:
           fail_call (1, (el_verdict_t)(random () % 3),
-                     (rt_fail_t)(random () % RT_FAIL_REFUSED));
+                     (rt_failure_t)(random () % RT_FAIL_REFUSED));
           break;
         case 1:
           if (acts[past].a.kind == RT_ACT_CALL
@@ -331,14 +331,14 @@
   reply (1, 0);
   reply (1, 50);
   leave.target = EL_STR ("a1");
-  rt_router_event (router, now, &leave);
+  rt_router_handle_event (router, now, &leave);
   leave.target = EL_STR ("b1");
-  rt_router_event (router, now, &leave);
+  rt_router_handle_event (router, now, &leave);
   fail_call (1, EL_MAY_HAVE_RUN, RT_FAIL_BROKEN);
   tick (now + EL_SEC);
   ck_assert_ptr_null (last (RT_ACT_END, 1));
   leave.leaving = 0;
-  rt_router_event (router, now, &leave);
+  rt_router_handle_event (router, now, &leave);
   tick (now + EL_SEC);
   ck_assert_str_eq (last (RT_ACT_CALL, 1)->endpoint, "b1");
   ck_assert_uint_eq (last (RT_ACT_CALL, 1)->a.call.step, 1);
@@ -361,7 +361,7 @@
   fail_call (1, EL_MAY_HAVE_RUN, RT_FAIL_BROKEN);
   ck_assert_uint_eq (count (RT_ACT_CALL, 1), 1);
   ck_assert_int_eq (last (RT_ACT_END, 1)->a.verdict, EL_MAY_HAVE_RUN);
-  ck_assert_int_eq (last (RT_ACT_END, 1)->a.reason, RT_ENDPOINT);
+  ck_assert_int_eq (last (RT_ACT_END, 1)->a.reason, RT_ENDPOINT_FAILED);
 }
 END_TEST
 
@@ -496,11 +496,11 @@
   rt_event_t hosts = { .kind = RT_EV_HOSTS, .hosts = 3 };
   uint64_t stream;
 
-  rt_router_event (router, now, &hosts);
+  rt_router_handle_event (router, now, &hosts);
   for (stream = 1; stream <= 3; stream++)
     request (stream, RT_CHAT, 1);
   ck_assert_ptr_null (last (RT_ACT_END, 2));
-  ck_assert_int_eq (last (RT_ACT_END, 3)->a.reason, RT_CUSTOMER_FULL);
+  ck_assert_int_eq (last (RT_ACT_END, 3)->a.reason, RT_CUSTOMER_LIMIT);
 }
 END_TEST
 
@@ -534,7 +534,7 @@
               .deadline = now + DEADLINE,
               .repeatable = 1 };
 
-      rt_router_event (router, now, &event);
+      rt_router_handle_event (router, now, &event);
     }
   for (i = 0; i < 80; i++)
     {
@@ -556,7 +556,7 @@
   rt_event_t stop = { .kind = RT_EV_STOP };
 
   request (1, RT_CHAT, 1);
-  rt_router_event (router, now, &stop);
+  rt_router_handle_event (router, now, &stop);
   request (2, RT_CHAT, 1);
   ck_assert_int_eq (last (RT_ACT_END, 2)->a.reason, RT_STOPPING);
   ck_assert_int_eq (last (RT_ACT_END, 2)->a.verdict, EL_NOT_RUN);
@@ -578,7 +578,7 @@
                        .target = EL_STR ("m2"),
                        .deadline = now + DEADLINE };
 
-  rt_router_event (router, now, &event);
+  rt_router_handle_event (router, now, &event);
   ck_assert_uint_eq (count (RT_ACT_CALL, 1), 0);
   ck_assert_int_eq (last (RT_ACT_END, 1)->a.verdict, EL_NOT_RUN);
 }
@@ -590,7 +590,7 @@
 
   request (1, RT_CHAT, 1);
   reply (1, 0);
-  rt_router_event (router, now, &cancel);
+  rt_router_handle_event (router, now, &cancel);
   ck_assert_uint_eq (count (RT_ACT_ABANDON, 1), 2);
   ck_assert_int_eq (last (RT_ACT_END, 1)->a.reason, RT_CANCELLED);
   ck_assert_uint_eq (rt_router_active (router), 0);
