--- a/gate/gate_relay.h
+++ b/gate/gate_relay.h
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Relayed requests: taken from callers as they are, passed on to endpoints by
- * the rules in force, answered whole or event by event.
+ * Relay of callers' HTTP requests to endpoints: routes each request by the
+ * rules in force and forwards the response whole or event by event.
  */
 #ifndef ELMARCH_GATE_RELAY_H
 #define ELMARCH_GATE_RELAY_H
@@ -17,68 +17,67 @@
 typedef struct gt_relays gt_relays_t;
 typedef struct gt_relay gt_relay_t;
 
-/** The headers of a dialect, in lower case. */
+/** Header names of a dialect, in lower case. */
 typedef struct gt_relay_names
 {
-  const char *id;        /**< names the request; echoed in its answer */
-  const char *time_left; /**< milliseconds */
-  const char *expect;    /**< the endpoint's id: any other one refuses */
+  const char *id;        /**< request id, echoed in the response */
+  const char *time_left; /**< milliseconds until the caller's deadline */
+  const char *expect; /**< endpoint id; other endpoints refuse the request */
   const char *customer;
-  const char *not_run;  /**< on an answer: the request did not run */
-  const char *seal;     /**< on an answer: the endpoint vouches for it */
-  const char *resume;   /**< the last event that the caller has */
-  const char *tokens;   /**< of the prompt, and most of the answer */
-  const char *guess;    /**< the caller's guess of the answer's tokens */
-  const char *urgency;  /**< of reading its prompt, among others */
-  const char *line;     /**< the engines that a request passes */
-  const char *at_fault; /**< on a refusal: the address of the engine that
-                             refused */
+  const char *not_run;  /**< on a response: the request was not executed */
+  const char *seal;     /**< on a response: marks it as the endpoint's own */
+  const char *resume;   /**< id of the last event that the caller received */
+  const char *tokens;   /**< prompt length and response limit, in tokens */
+  const char *guess;    /**< the caller's estimate of response tokens */
+  const char *urgency;  /**< priority of the prompt among those queued */
+  const char *line;     /**< engines of the pipeline */
+  const char *at_fault; /**< on a refusal: address of the refusing engine */
 } gt_relay_names_t;
 
-/** What came of asking an engine where a stream stands still. */
+/** Result of asking an engine where a stream is stalled. */
 typedef void (*gt_stalled_cb) (void *arg, int answered, el_str_t address,
                                const rt_asks_t *asks);
-/** What an endpoint gave when it was asked for a sign of life. */
+/** Result of a health check. */
 typedef enum gt_life
 {
-  GT_LIFE_NONE,    /**< nothing: it or this host may be cut off */
-  GT_LIFE_REFUSED, /**< nobody listens there */
-  GT_LIFE_SIGN     /**< it answered */
+  GT_LIFE_NONE,    /**< no response: the engine or this host may be cut off */
+  GT_LIFE_REFUSED, /**< connection refused */
+  GT_LIFE_SIGN     /**< the engine responded */
 } gt_life_t;
 
-/** What an engine gave, and how it does; LOAD is NULL when it did not tell. */
+/** Result of a health check; LOAD is NULL if the engine did not report any. */
 typedef void (*gt_check_cb) (void *arg, gt_life_t life, const rt_load_t *load,
                              const rt_asks_t *asks);
-/** What came of moving a stream to another line: whether it was done, else
-    the address of the engine that can't have its part, if it was named. */
+/** Result of a reroute. If not DONE, AT_FAULT is the address of the engine
+    that can't take its part, or empty if none was named. */
 typedef void (*gt_reroute_cb) (void *arg, int done, el_str_t at_fault,
                                const rt_asks_t *asks);
 
-/** How soon a stream's prompt should be read, among those that wait. */
+/** Priority of a stream's prompt among those queued at an engine. */
 typedef enum gt_urgency
 {
-  GT_URGENT_GOING, /**< its caller has events and waits for the next */
-  GT_URGENT_NEW,   /**< it begins, or its caller resumes it */
+  GT_URGENT_GOING, /**< in progress: its caller already has events */
+  GT_URGENT_NEW,   /**< new, or resumed by its caller */
   GT_URGENCIES
 } gt_urgency_t;
 
-/** What differs between dialects. */
+/** Protocol differences between platforms. */
 typedef struct gt_relay_dialect
 {
   gt_relay_names_t names;
-  const char *urgencies[GT_URGENCIES]; /**< as the header's value */
+  const char *urgencies[GT_URGENCIES]; /**< header values */
   void (*write_line) (const rt_line_t *line, el_buf_t *out);
-  /** What an answer's head asks of this host beside its result. */
+  /** Reads the backoff and draining state that a response head announces. */
   void (*read_asks) (const net_result_t *head, rt_asks_t *out);
-  /** Ask the first engine of a line which engine the stream ID waits for;
-      the exchange can be cancelled. */
+  /** Asks the first engine of a pipeline which engine the stream ID is
+      waiting for. The exchange can be cancelled. */
   net_exchange_t *(*ask_stalled) (net_client_t *client,
                                   const rt_target_t *first, el_str_t id,
                                   gt_stalled_cb done, void *arg);
-  /** Ask an engine for a sign of life; the exchange can be cancelled. */
+  /** Sends a health check to an engine. The exchange can be cancelled. */
   net_exchange_t *(*check) (net_client_t *client, const rt_target_t *engine,
                             gt_check_cb done, void *arg);
-  /** Have the first engine pass the stream ID on over another line. */
+  /** Tells the first engine to move the stream ID to another pipeline. */
   net_exchange_t *(*reroute) (net_client_t *client, el_str_t id,
                               const rt_line_t *line, gt_reroute_cb done,
                               void *arg);
@@ -87,42 +86,41 @@
 typedef struct gt_relay_counts
 {
   uint64_t requests;
-  uint64_t passed;   /**< whole answers of endpoints handed on */
-  uint64_t no_rules; /**< refused: no configuration yet, or too old */
-  uint64_t unknown;  /**< no rule: 404 */
-  uint64_t denied;   /**< no such key: 401 */
-  uint64_t refused;  /**< not run: 503 */
-  uint64_t failed;   /**< may have run: 502 */
+  uint64_t passed;   /**< complete responses forwarded */
+  uint64_t no_rules; /**< refused: no configuration, or an outdated one */
+  uint64_t unknown;  /**< no matching rule: 404 */
+  uint64_t denied;   /**< unknown key: 401 */
+  uint64_t refused;  /**< not executed: 503 */
+  uint64_t failed;   /**< may have been executed: 502 */
   uint64_t timeouts; /**< 504 */
-  uint64_t cut;      /**< streams that ended without their end */
-  uint64_t gone;     /**< callers that left */
+  uint64_t cut;      /**< streams aborted before their end */
+  uint64_t gone;     /**< callers that disconnected */
   uint64_t attempts;
   uint64_t repeats;  /**< attempts after a request's first */
-  uint64_t resumed;  /**< streams that went on at another line */
-  uint64_t rerouted; /**< streams moved within their line */
-  uint64_t held;     /**< streams that stand still and may not be sent again */
-  uint64_t waits;    /**< streams that found no endpoint to go on at */
-  uint64_t checks;   /**< engines asked for a sign of life */
-  uint64_t silent;   /**< of these, those that gave none */
-  uint64_t crossed;  /**< answers to another request */
-  uint64_t spent;    /**< repeats not made: the budget is spent */
-  uint64_t ends;     /**< endpoints that ended where requests ran */
-  uint64_t suspects; /**< runs that were noted under them */
-  uint64_t blocked;  /**< requests found to be to blame */
-  uint64_t barred;   /**< arrivals of these that were refused */
-  uint64_t apart;    /**< sends of suspects apart from others */
-  uint64_t turns;    /**< of these, waits for a turn */
-  uint64_t rests;    /**< times that an endpoint asked for rest */
-  uint64_t rest_us;  /**< time that endpoints rested, microseconds */
-  uint64_t kept;     /**< sends kept back while a connection was made */
-  uint64_t in_rest;  /**< sends to one that rests; stays 0 */
-  uint64_t rested;   /**< refused as all endpoints rest */
-  uint64_t leaves;   /**< endpoints that said in an answer that they leave, or
-                          of which other hosts told it */
+  uint64_t resumed;  /**< streams resumed on another pipeline */
+  uint64_t rerouted; /**< streams rerouted within their pipeline */
+  uint64_t held;     /**< stalled streams that may not be retried */
+  uint64_t waits;    /**< streams that waited for an endpoint to resume at */
+  uint64_t checks;   /**< health checks sent to engines */
+  uint64_t silent;   /**< of these, without a response */
+  uint64_t crossed;  /**< responses with another request's id */
+  uint64_t spent;    /**< retries refused: budget exhausted */
+  uint64_t ends;     /**< endpoint crashes with requests running */
+  uint64_t suspects; /**< runs recorded for these crashes */
+  uint64_t blocked;  /**< requests blocked for crashing endpoints */
+  uint64_t barred;   /**< arrivals of blocked requests, refused */
+  uint64_t apart;    /**< suspect requests sent to an endpoint of their own */
+  uint64_t turns;    /**< waits of suspect requests for their turn */
+  uint64_t rests;    /**< backoffs requested by endpoints */
+  uint64_t rest_us;  /**< time spent in backoff, microseconds */
+  uint64_t kept; /**< sends cancelled: the endpoint closed while connecting */
+  uint64_t in_rest; /**< sends to an endpoint in backoff; stays 0 */
+  uint64_t rested;  /**< refused: all endpoints in backoff */
+  uint64_t leaves;  /**< endpoints found draining by a response or by gossip */
   uint64_t events;
-  el_hist_t first_event; /**< microseconds from the request */
-  el_hist_t answer;      /**< microseconds to the whole plain answer */
-  el_hist_t event_gap;   /**< microseconds between events */
+  el_hist_t first_event; /**< arrival to first event, microseconds */
+  el_hist_t answer;    /**< arrival to complete plain response, microseconds */
+  el_hist_t event_gap; /**< between events, microseconds */
 } gt_relay_counts_t;
 
 typedef struct gt_relay_options
@@ -131,30 +129,29 @@
   net_client_t *client;
   rt_fleet_t *fleet;
   const gt_relay_dialect_t *dialect;
-  el_str_t listen; /**< where callers connect, ip:port */
+  el_str_t listen; /**< address for callers, ip:port */
   el_str_t hall;
-  el_str_t key; /**< shared by the hosts */
+  el_str_t key; /**< cluster key */
   size_t max_body;
-  double repeat_ratio; /**< budget of repeats of all hosts */
+  double repeat_ratio; /**< retries per request, over all hosts */
   double repeat_slack;
   el_time_t repeat_window;
-  el_time_t keys_limit; /**< keys are refused when the configuration is not
-                             known to be in force as of this long ago; 0 is
-                             no limit */
+  el_time_t keys_limit; /**< keys are refused if the configuration is not known
+                           to have been in force this long ago; 0: no limit */
   uint64_t seed;
-  /** Live hosts, this one included. */
+  /** Number of live hosts, this one included. */
   size_t (*hosts) (void *arg);
-  /** Those of this host's hall. */
+  /** Of these, those in this host's hall. */
   size_t (*hall_hosts) (void *arg);
-  /** Whether this host asks the engines of its hall how they do. */
+  /** Whether this host polls the engines of its hall. */
   int (*polls) (void *arg);
-  /** They were asked: the other hosts may be told. */
+  /** All slices were polled: the reports may be sent to other hosts. */
   void (*polled) (void *arg);
-  uint64_t witness; /**< names this incarnation of the host */
-  /** Have all hosts know BODY, named by ID, for HOLD. */
+  uint64_t witness; /**< id of this host's incarnation */
+  /** Gossips BODY under ID to all hosts for HOLD. */
   void (*tell) (void *arg, uint64_t id, el_time_t hold, el_str_t body);
-  /** A request was found to be to blame for ends of endpoints, the HOLDS-th
-      time: that is to last for LEFT. */
+  /** A request was blocked for crashing endpoints, for the HOLDS-th time,
+      for LEFT. */
   void (*blocked) (void *arg, rt_digest_t digest, unsigned holds,
                    el_time_t left);
   void *arg;
--- a/gate/librelay.h
+++ b/gate/librelay.h
@@ -3,22 +3,22 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Internals of relayed requests.
+ * Internal interfaces of the request relay.
  */
 #ifndef ELMARCH_LIBRELAY_H
 #define ELMARCH_LIBRELAY_H
 
 #include "gate_relay.h"
 
-/* The digits of a number of 64 bits and the end, with room. */
+/* Buffer size for a decimal uint64_t and its NUL. */
 #define RELAY_NUMBER_MAX 24
 
-/* One service, as far as this host counts for it. */
+/* Per-service state of this host. */
 typedef struct relay_service
 {
   char *name;
-  rt_spend_t spend; /* the budget of repeats */
-  uint64_t rest_us; /* time that its endpoints rested */
+  rt_spend_t retry_budget;
+  uint64_t backoff_us; /* total backoff of its endpoints */
   UT_hash_handle hh;
 } relay_service_t;
 
@@ -27,28 +27,29 @@
   gt_relay_options_t options;
   net_server_t *server;
   rt_rules_t *rules;
-  el_time_t born;  /* when this process began */
-  el_time_t known; /* the rules were in force at this time */
+  el_time_t started_at;
+  el_time_t rules_as_of; /* the rules were the newest version at this time */
   relay_service_t *services;
   gt_relay_t *running;
   struct relay_check *checks;
   struct relay_blame *blame;
-  struct relay_rest *rests;
-  el_time_t heard; /* other hosts told what they know; 0: not yet */
+  struct relay_backoff *backoffs;
+  el_time_t peers_heard_at; /* when the first gossip exchange completed; 0: not
+                               yet */
   el_timer_t poll;
-  unsigned poll_part;
-  el_time_t answered_asked; /* when the newest check that was answered left */
+  unsigned poll_slice;
+  el_time_t last_answered_check; /* when it was sent */
   size_t nrunning;
   gt_relay_counts_t counts;
-  uint64_t random;       /* of el_random */
-  el_time_t usual_first; /* mean time to a stream's first event */
-  el_time_t usual_gap;   /* mean time between events */
-  int closed;            /* takes no new requests */
-  uint64_t rules_due;    /* version that others have in force */
-  el_time_t rules_due_until;
+  uint64_t random;             /* state of el_random */
+  el_time_t mean_first_event;  /* moving mean from send to first event */
+  el_time_t mean_event_gap;    /* moving mean between events */
+  int stopping;                /* refuses new requests */
+  uint64_t peer_rules_version; /* newest version in force on another host */
+  el_time_t peer_rules_deadline;
 };
 
-/* Splits an event stream into whole events; a part stays behind. */
+/* Splits an event stream into complete events; buffers a partial one. */
 typedef struct relay_events
 {
   el_buf_t part;
@@ -57,7 +58,7 @@
 typedef void (*relay_event_cb) (void *arg, el_str_t event, int has_id,
                                 uint64_t id);
 
-/* One relayed request; freed with the caller's request. */
+/* One relayed request; lives as long as the caller's request. */
 struct gt_relay
 {
   gt_relays_t *relays;
@@ -70,52 +71,53 @@
   el_str_t id;
   el_time_t received;
   el_time_t deadline;
-  el_timer_t over;
-  int waiting; /* for the host's first configuration */
-  int ended;   /* the caller's answer is complete, or the caller has gone */
+  el_timer_t deadline_timer;
+  int awaits_config; /* held until the host has a configuration */
+  int ended;         /* the response is complete, or the caller disconnected */
 
-  /* the attempt under way */
+  /* Current attempt. */
   net_exchange_t *exchange;
-  rt_target_t *target; /* the endpoint, or the first engine of the line */
+  rt_target_t *target; /* the endpoint, or the pipeline's first engine */
   rt_line_t line;
   el_time_t sent;
-  el_time_t began;    /* the answer's head came: it runs there; 0 before */
-  rt_digest_t digest; /* 0: not worked out yet */
+  el_time_t began; /* response head received: the request is executing; 0: no
+                      head yet */
+  rt_digest_t digest; /* 0: not computed yet */
   rt_course_t course;
   rt_tried_t tried;
-  el_timer_t turn; /* a suspect waits for its turn */
+  el_timer_t turn; /* delay before the next attempt */
   unsigned turns;
-  unsigned waits; /* for an endpoint to go on at, since the last event */
-  int refused;    /* its answer says that it did not run */
-  int crossed;    /* its answer is to another request */
-  rt_asks_t asks; /* what its answer asks of this host */
-  int stream;     /* its answer is a stream that is passed on */
-  double prompt;  /* tokens */
-  double tokens;  /* that the stream will have, as far as can be guessed */
-
-  /* the answer as far as it went to the caller */
-  int begun;
+  unsigned waits; /* for an endpoint, since the last event */
+  int refused;    /* the response proves that the request was not executed */
+  int crossed;    /* the response carries another request's id */
+  rt_asks_t asks; /* backoff and draining state announced by the response */
+  int stream;     /* the response is forwarded event by event */
+  double prompt;  /* prompt length in tokens */
+  double tokens;  /* estimated tokens of prompt and response */
+
+  /* Response to the caller. */
+  int response_started;
   int sending;
-  int finish; /* to be ended once what is under way is sent */
-  int break_off;
-  el_buf_t out;    /* next */
-  el_buf_t flight; /* being sent */
+  int end_pending; /* end the response once pending output is sent */
+  int abort_pending;
+  el_buf_t out;       /* bytes to send next */
+  el_buf_t in_flight; /* bytes passed to h2o */
   relay_events_t events;
-  uint64_t last_id; /* of the events passed on */
+  uint64_t last_event_id; /* id of the last event forwarded */
   int has_id;
   el_time_t last_event;
   uint64_t nevents;
-  el_time_t first_event; /* from the request to the first event */
+  el_time_t first_event; /* from arrival to the first event */
   el_time_t longest_gap; /* between two events */
 
-  /* looking for an engine that stands still */
+  /* Stall detection. */
   el_timer_t watch;
   net_exchange_t *ask;
-  el_time_t still_since; /* the last event, or the sending */
-  unsigned looks;
-  unsigned moves;   /* tried since the last event */
-  rt_tried_t avoid; /* engines that moves since then go around */
-  rt_line_t next_line;
+  el_time_t last_progress; /* time of the last event, or of the send */
+  unsigned stall_checks;
+  unsigned reroutes; /* reroutes refused since the last event */
+  rt_tried_t avoid;  /* engines that a reroute has to bypass */
+  rt_line_t reroute_line;
 
   gt_relay_t *prev;
   gt_relay_t *next;
@@ -128,7 +130,7 @@
 
 /* relay_head.c */
 
-/* The headers of one attempt, with the memory of those that are made. */
+/* Request headers of one attempt; owns the generated values. */
 typedef struct relay_head
 {
   net_header_t *list;
@@ -138,27 +140,28 @@
   el_buf_t line;
 } relay_head_t;
 
-void relay_head_make (gt_relay_t *relay, el_time_t now, relay_head_t *head);
+void relay_head_build (gt_relay_t *relay, el_time_t now, relay_head_t *head);
 void relay_head_free (relay_head_t *head);
 
 /* relay_try.c */
 void relay_try (gt_relay_t *relay);
 void relay_give_up (gt_relay_t *relay, const char *reason);
-void relay_drop (gt_relay_t *relay);
-void relay_abandon (gt_relay_t *relay);
+void relay_cancel_attempt (gt_relay_t *relay);
+void relay_abandon_attempt (gt_relay_t *relay);
 int relay_may_resume (gt_relay_t *relay);
-rt_target_t *relay_at_fault (gt_relay_t *relay, const net_result_t *result);
+rt_target_t *relay_fault_target (gt_relay_t *relay,
+                                 const net_result_t *result);
 
 /* relay_wait.c */
 int relay_wait_endpoint (gt_relay_t *relay);
 
 /* relay_watch.c */
-void relay_watch_begin (gt_relay_t *relay);
+void relay_watch_start (gt_relay_t *relay);
 void relay_watch_event (gt_relay_t *relay, el_time_t gap);
-void relay_watch_end (gt_relay_t *relay);
-void relay_watch_silent (gt_relay_t *relay, rt_target_t *engine);
-void relay_watch_slow (gt_relay_t *relay, rt_target_t *engine);
-void relay_watch_given_up (gt_relay_t *relay, rt_target_t *engine);
+void relay_watch_stop (gt_relay_t *relay);
+void relay_watch_engine_silent (gt_relay_t *relay, rt_target_t *engine);
+void relay_watch_engine_slow (gt_relay_t *relay, rt_target_t *engine);
+void relay_watch_layers_released (gt_relay_t *relay, rt_target_t *engine);
 
 /* relay_check.c */
 void relay_check (gt_relays_t *relays, rt_target_t *engine);
@@ -206,55 +209,56 @@
 
 /* relay_fact.c */
 
-/* What a rumor says of requests. */
+/* Kinds of facts that hosts exchange by gossip. */
 typedef enum relay_fact_kind
 {
-  RELAY_FACT_ENDED,    /* requests ran where an endpoint ended */
-  RELAY_FACT_SURVIVED, /* a request ran to its end */
-  RELAY_FACT_BLOCKED,  /* a request is to blame */
-  RELAY_FACT_CLEARED,  /* an operator lets a request in again */
-  RELAY_FACT_LEAVES,   /* an endpoint says that it takes no new work */
+  RELAY_FACT_ENDED,    /* an endpoint crashed while requests ran there */
+  RELAY_FACT_SURVIVED, /* a request completed */
+  RELAY_FACT_BLOCKED,  /* a request is blocked for crashing endpoints */
+  RELAY_FACT_CLEARED,  /* an operator unblocked a request */
+  RELAY_FACT_LEAVES,   /* an endpoint is draining */
   RELAY_FACT_RULES,    /* a version of the rules is in force */
   RELAY_FACTS
 } relay_fact_kind_t;
 
-/* Runs under one end in one rumor: it fits a body. */
+/* Runs of one crash in one gossip message; limited by its body size. */
 #define RELAY_FACT_RUNS 12
-/* Facts of requests are told as long as they count. */
+/* How long facts about requests are gossiped: as long as they are used for
+   judging a request. */
 #define RELAY_FACT_HOLD (600 * EL_SEC)
 
 struct relay_fact
 {
   relay_fact_kind_t kind;
-  rt_ended_t runs[RELAY_FACT_RUNS]; /* of the same end */
+  rt_ended_t runs[RELAY_FACT_RUNS]; /* all of the same crash */
   size_t nruns;
-  rt_start_t start;   /* that leaves */
-  rt_digest_t digest; /* of the others */
+  rt_start_t start;   /* the endpoint start that is draining */
+  rt_digest_t digest; /* the request, for the kinds that concern one */
   uint64_t customer;
   unsigned holds;
-  uint64_t version; /* of the rules */
+  uint64_t version; /* version of the rules */
 };
 
 void relay_fact_write (const relay_fact_t *fact, el_buf_t *out);
 int relay_fact_read (el_str_t body, el_time_t at, relay_fact_t *out);
 
 /* relay_poll.c */
-void relay_poll_begin (gt_relays_t *relays);
-void relay_poll_end (gt_relays_t *relays);
+void relay_poll_start (gt_relays_t *relays);
+void relay_poll_stop (gt_relays_t *relays);
 
 /* relay_epoch.c */
 void relay_epoch_hear_rules (gt_relays_t *relays, const co_rumor_t *rumor,
                              const relay_fact_t *fact);
 
-/* relay_rest.c */
-void relay_rest_leaves_tell (gt_relays_t *relays, const rt_start_t *start);
+/* relay_backoff.c */
+void relay_drain_announce (gt_relays_t *relays, const rt_start_t *start);
 void relay_rest_hear_leaves (gt_relays_t *relays, const co_rumor_t *rumor,
                              const relay_fact_t *fact);
-void relay_rest_heard (gt_relay_t *relay, const net_result_t *head);
-int relay_rest_may (gt_relay_t *relay, el_time_t now);
-void relay_rest_sent (gt_relay_t *relay, el_time_t now);
-void relay_rest_answered (gt_relay_t *relay);
-el_time_t relay_rest_left (gt_relay_t *relay, el_time_t now);
+void relay_backoff_read_head (gt_relay_t *relay, const net_result_t *head);
+int relay_backoff_permits (gt_relay_t *relay, el_time_t now);
+void relay_backoff_sent (gt_relay_t *relay, el_time_t now);
+void relay_backoff_answered (gt_relay_t *relay);
+el_time_t relay_backoff_left (gt_relay_t *relay, el_time_t now);
 
 /* relay_log.c */
 void relay_log (gt_relay_t *relay, const char *event, int status,
@@ -266,17 +270,17 @@
 /* relay_answer.c */
 void relay_answer_refuse (gt_relay_t *relay, int status, const char *reason,
                           el_time_t retry_after);
-void relay_answer_pass (gt_relay_t *relay, const net_result_t *result);
-void relay_answer_begin (gt_relay_t *relay, const net_result_t *head);
-void relay_answer_event (gt_relay_t *relay, el_str_t event);
-void relay_answer_end (gt_relay_t *relay);
-void relay_answer_break (gt_relay_t *relay, const char *reason);
+void relay_respond_whole (gt_relay_t *relay, const net_result_t *result);
+void relay_respond_head (gt_relay_t *relay, const net_result_t *head);
+void relay_respond_event (gt_relay_t *relay, el_str_t event);
+void relay_respond_end (gt_relay_t *relay);
+void relay_respond_abort (gt_relay_t *relay, const char *reason);
 
 /* relay.c */
 relay_service_t *relay_service (gt_relays_t *relays, el_str_t name);
-void relay_finished (gt_relay_t *relay);
-int relay_spend_take (gt_relay_t *relay);
-int relay_spend_left (gt_relay_t *relay);
+void relay_finish (gt_relay_t *relay);
+int relay_retry_take (gt_relay_t *relay);
+int relay_retry_left (gt_relay_t *relay);
 rt_digest_t relay_digest (gt_relay_t *relay);
 
 #endif
--- a/gate/relay.c
+++ b/gate/relay.c
@@ -3,35 +3,35 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Relayed requests: who asks for what, and their time limits.
+ * Admission of relayed requests: rules, customer keys and deadlines.
  */
 #include <string.h>
 
 #include "librelay.h"
 
 #define BEARER EL_STR ("Bearer ")
-/* When to come back to a host that has no configuration: it reads one as soon
-   as it reaches the platform. */
-#define STARTING_RETRY (300 * EL_MSEC)
-/* A request that comes before the first configuration waits for it: a starting
-   host has it within some 200 ms. When the store does not answer, callers are
-   held up no longer than this, nor for more than a third of their time. */
-#define START_WAIT (1000 * EL_MSEC)
-#define START_WAIT_PART 3
-/* A host that stops refuses: others serve now. */
-#define STOPPING_RETRY (20 * EL_MSEC)
-/* Time for a request that names no limit and whose rule has none. */
-#define TIMEOUT_UNSAID (60 * EL_SEC)
-
-/** The caller's answer is complete, or there is nobody to answer. */
+/* Retry-after of a host without configuration: it reads one as soon as it
+   reaches the platform. */
+#define NO_CONFIG_RETRY_AFTER (300 * EL_MSEC)
+/* Requests that arrive before the first configuration are held: a starting
+   host has it within about 200 ms. If the store does not respond, callers
+   wait no longer than this, and at most a third of their deadline. */
+#define CONFIG_WAIT_MAX (1000 * EL_MSEC)
+#define CONFIG_WAIT_DIVISOR 3
+/* Short, since other hosts are serving. */
+#define STOPPING_RETRY_AFTER (20 * EL_MSEC)
+/* For a request without a limit whose rule has none either. */
+#define DEFAULT_TIMEOUT (60 * EL_SEC)
+
+/** Ends processing: the response is complete, or the caller disconnected. */
 void
-relay_finished (gt_relay_t *relay)
+relay_finish (gt_relay_t *relay)
 {
   if (relay->ended)
     return;
   relay->ended = 1;
-  net_clock_cancel (relay->relays->options.clock, &relay->over);
-  relay_drop (relay);
+  net_clock_cancel (relay->relays->options.clock, &relay->deadline_timer);
+  relay_cancel_attempt (relay);
 }
 
 static void
@@ -39,19 +39,19 @@
 {
   gt_relays_t *relays = relay->relays;
 
-  relay_finished (relay);
+  relay_finish (relay);
   DL_DELETE (relays->running, relay);
   relays->nrunning--;
   el_buf_free (&relay->out);
-  el_buf_free (&relay->flight);
+  el_buf_free (&relay->in_flight);
   relay_events_reset (&relay->events);
   rt_rules_unref (relay->rules);
   free (relay);
 }
 
-/* The caller left, or its request is about to be freed. */
+/* The caller disconnected, or its request is about to be freed. */
 static void
-relay_gone (void *arg, int freed)
+relay_caller_gone (void *arg, int freed)
 {
   gt_relay_t *relay = arg;
 
@@ -59,9 +59,9 @@
     {
       relay->relays->counts.gone++;
       relay_log (relay, "caller_gone", 0, "connection closed");
-      relay_finished (relay);
+      relay_finish (relay);
       if (!freed)
-        relay_answer_break (relay, NULL);
+        relay_respond_abort (relay, NULL);
     }
   if (freed)
     relay_free (relay);
@@ -78,18 +78,18 @@
     return;
   relay->relays->counts.gone++;
   relay_log (relay, "caller_gone", 0, "answer not taken");
-  relay_finished (relay);
+  relay_finish (relay);
 }
 
 static void
-relay_over (void *arg, el_time_t now)
+relay_deadline_expired (void *arg, el_time_t now)
 {
   gt_relay_t *relay = arg;
 
   (void)now;
   relay->relays->counts.timeouts++;
-  if (relay->begun)
-    relay_answer_break (relay, "time limit");
+  if (relay->response_started)
+    relay_respond_abort (relay, "time limit");
   else
     relay_answer_refuse (relay, 504, "time limit", 0);
 }
@@ -112,20 +112,20 @@
   return el_str_after (value, BEARER.len);
 }
 
-/* Whether the rules were in force late enough for a request received now: a
-   key that was taken away before then is known to be gone. */
+/* Whether the rules are recent enough for a request received at RECEIVED: a
+   key revoked before then is known to be revoked. */
 static int
-rules_known (const gt_relays_t *relays, el_time_t received)
+rules_fresh (const gt_relays_t *relays, el_time_t received)
 {
   return relays->rules
          && (!relays->options.keys_limit
-             || relays->known + relays->options.keys_limit > received);
+             || relays->rules_as_of + relays->options.keys_limit > received);
 }
 
-/* Find the rule; gives 0 after an answer that tells what is wrong. A host that
-   may have missed changes refuses to run rather than deny. */
+/* Finds the rule. Returns 0 after an error response. A host that may have
+   missed a change responds 503 instead of 404. */
 static int
-relay_rule (gt_relay_t *relay, int known)
+relay_match_rule (gt_relay_t *relay, int fresh)
 {
   gt_relays_t *relays = relay->relays;
 
@@ -137,31 +137,31 @@
     }
   if (relay->rule)
     return 1;
-  if (relay->rules && known)
+  if (relay->rules && fresh)
     {
       relays->counts.unknown++;
       relay_answer_refuse (relay, 404, "no rule", 0);
       return 0;
     }
   relays->counts.no_rules++;
-  relay_answer_refuse (relay, 503, "no configuration", STARTING_RETRY);
+  relay_answer_refuse (relay, 503, "no configuration", NO_CONFIG_RETRY_AFTER);
   return 0;
 }
 
-/* Find the customer by the key that the request bears; gives 0 after an answer
-   that tells what is wrong. */
+/* Finds the customer by the bearer key. Returns 0 after an error response. */
 static int
-relay_customer (gt_relay_t *relay, int known)
+relay_authenticate (gt_relay_t *relay, int fresh)
 {
   gt_relays_t *relays = relay->relays;
   const rt_key_t *key;
 
   if (!relay->rules->keyed || relay->rule->open)
     return 1;
-  if (!known)
+  if (!fresh)
     {
       relays->counts.no_rules++;
-      relay_answer_refuse (relay, 503, "keys not known", STARTING_RETRY);
+      relay_answer_refuse (relay, 503, "keys not known",
+                           NO_CONFIG_RETRY_AFTER);
       return 0;
     }
   key = rt_rules_key (relay->rules, bearer (relay->req));
@@ -175,13 +175,13 @@
   return 1;
 }
 
-/* Whether the request may be served; if not, it was answered. */
+/* Returns 0 if the request was refused, after the error response. */
 static int
 relay_admit (gt_relay_t *relay)
 {
-  int known = rules_known (relay->relays, relay->received);
+  int fresh = rules_fresh (relay->relays, relay->received);
 
-  if (!relay_rule (relay, known))
+  if (!relay_match_rule (relay, fresh))
     return 0;
   if (relay->rules->max_body
       && net_req_body (relay->req).len > relay->rules->max_body)
@@ -189,12 +189,12 @@
       relay_answer_refuse (relay, 413, "body too long", 0);
       return 0;
     }
-  return relay_customer (relay, known);
+  return relay_authenticate (relay, fresh);
 }
 
-/* The time that the caller waits, if it is less than LIMIT. */
+/* The caller's own limit, if it is below LIMIT. */
 static el_time_t
-caller_limit (const gt_relay_t *relay, el_time_t limit)
+caller_timeout (const gt_relay_t *relay, el_time_t limit)
 {
   const gt_relay_dialect_t *dialect = relay->relays->options.dialect;
   el_str_t text = net_req_header (relay->req, dialect->names.time_left);
@@ -205,27 +205,26 @@
   return limit;
 }
 
-/* When the request's time is over: what the caller waits, what the operator
-   wants it held. */
+/* Sets the deadline to the lower of the caller's limit and the rule's. */
 static void
-relay_limit (gt_relay_t *relay)
+relay_start_deadline (gt_relay_t *relay)
 {
   net_clock_t *clock = relay->relays->options.clock;
   el_time_t now = net_clock_now (clock);
-  el_time_t limit = caller_limit (
-      relay, relay->rule->timeout ? relay->rule->timeout : TIMEOUT_UNSAID);
+  el_time_t limit = caller_timeout (
+      relay, relay->rule->timeout ? relay->rule->timeout : DEFAULT_TIMEOUT);
 
   relay->deadline = relay->received + limit;
-  relay->over.cb = relay_over;
-  relay->over.arg = relay;
-  net_clock_set (clock, &relay->over,
+  relay->deadline_timer.cb = relay_deadline_expired;
+  relay->deadline_timer.arg = relay;
+  net_clock_set (clock, &relay->deadline_timer,
                  relay->deadline > now ? relay->deadline - now : 0);
 }
 
-/* The tokens that a stream will have: its prompt, and what the caller guesses
-   or half of the most that it allows. */
+/* Estimates a stream's tokens: the prompt, and the caller's estimate of the
+   response or half of the response limit. */
 static void
-relay_tokens (gt_relay_t *relay)
+relay_estimate_tokens (gt_relay_t *relay)
 {
   const gt_relay_names_t *names = &relay->relays->options.dialect->names;
   el_str_t rest = net_req_header (relay->req, names->tokens);
@@ -245,7 +244,7 @@
   relay->tokens = (double)(prompt + answer);
 }
 
-/** What this host counts for the service of that NAME. */
+/** Returns the state of the service NAME, created on first use. */
 relay_service_t *
 relay_service (gt_relays_t *relays, el_str_t name)
 {
@@ -256,42 +255,43 @@
     return service;
   service = el_alloc (sizeof *service);
   service->name = (char *)(uintptr_t)el_str_dup (name).ptr;
-  rt_spend_open (&service->spend, relays->options.repeat_ratio,
+  rt_spend_open (&service->retry_budget, relays->options.repeat_ratio,
                  relays->options.repeat_slack, relays->options.repeat_window,
-                 relays->born);
+                 relays->started_at);
   HASH_ADD_KEYPTR (hh, relays->services, service->name, (unsigned)name.len,
                    service);
   return service;
 }
 
-/** Take a repeat of RELAY's service from the budget; gives 0 when this host's
-    part is spent. */
+/** Takes a retry from the budget of RELAY's service. Returns 0 if this
+    host's share is exhausted. */
 int
-relay_spend_take (gt_relay_t *relay)
+relay_retry_take (gt_relay_t *relay)
 {
   gt_relays_t *relays = relay->relays;
   const gt_relay_options_t *o = &relays->options;
 
-  if (rt_spend_take (&relay_service (relays, relay->service->name)->spend,
-                     net_clock_now (o->clock), o->hosts (o->arg)))
+  if (rt_spend_take (
+          &relay_service (relays, relay->service->name)->retry_budget,
+          net_clock_now (o->clock), o->hosts (o->arg)))
     return 1;
   relays->counts.spent++;
   return 0;
 }
 
-/** Whether the budget has a repeat left for RELAY's service. */
+/** Whether the budget has a retry left for RELAY's service. */
 int
-relay_spend_left (gt_relay_t *relay)
+relay_retry_left (gt_relay_t *relay)
 {
   const gt_relay_options_t *o = &relay->relays->options;
 
   return rt_spend_left (
-      &relay_service (relay->relays, relay->service->name)->spend,
+      &relay_service (relay->relays, relay->service->name)->retry_budget,
       net_clock_now (o->clock), o->hosts (o->arg));
 }
 
-/** What RELAY is known by when it comes again; worked out when it is asked for
-    first. */
+/** Returns the digest that identifies RELAY when it is sent again; computed
+    on first use. */
 rt_digest_t
 relay_digest (gt_relay_t *relay)
 {
@@ -307,9 +307,9 @@
   return relay->digest;
 }
 
-/* Serve a request by the rules in force. */
+/* Admits the request and starts its first attempt. */
 static void
-relay_begin (gt_relay_t *relay)
+relay_start (gt_relay_t *relay)
 {
   gt_relays_t *relays = relay->relays;
   el_str_t service;
@@ -320,65 +320,65 @@
   relay->service = rt_rules_service (relay->rules, service);
   if (!relay->service)
     {
-      relay_answer_refuse (relay, 503, "no service", STARTING_RETRY);
+      relay_answer_refuse (relay, 503, "no service", NO_CONFIG_RETRY_AFTER);
       return;
     }
-  relay_tokens (relay);
-  rt_spend_asked (&relay_service (relays, service)->spend, relay->received);
+  relay_estimate_tokens (relay);
+  rt_spend_asked (&relay_service (relays, service)->retry_budget,
+                  relay->received);
   if (!relay_suspect_admit (relay))
     return;
-  relay_limit (relay);
+  relay_start_deadline (relay);
   relay_try (relay);
 }
 
-/* Whether rules and endpoints were read, and other hosts have told which
-   requests end endpoints: this host's own ignorance is no ground to send one.
- */
+/* Whether the rules are known and current, and other hosts have told which
+   requests crash endpoints: without that, a blocked request could be sent. */
 static int
-relays_know (const gt_relays_t *relays)
+relays_ready (const gt_relays_t *relays)
 {
-  return relays->rules && relays->known && relays->heard
+  return relays->rules && relays->rules_as_of && relays->peers_heard_at
          && !gt_relays_behind (relays);
 }
 
 static void
-wait_over (void *arg, el_time_t now)
+config_wait_expired (void *arg, el_time_t now)
 {
   gt_relay_t *relay = arg;
 
   (void)now;
-  relay->waiting = 0;
+  relay->awaits_config = 0;
   relay->relays->counts.no_rules++;
-  relay_answer_refuse (relay, 503, "no configuration", STARTING_RETRY);
+  relay_answer_refuse (relay, 503, "no configuration", NO_CONFIG_RETRY_AFTER);
 }
 
-/* Hold a request until the host knows what to do with it. */
+/* Holds a request until the host is ready. */
 static void
-relay_wait (gt_relay_t *relay)
+relay_wait_config (gt_relay_t *relay)
 {
-  relay->waiting = 1;
-  relay->over.cb = wait_over;
-  relay->over.arg = relay;
-  net_clock_set (relay->relays->options.clock, &relay->over,
-                 caller_limit (relay, START_WAIT * START_WAIT_PART)
-                     / START_WAIT_PART);
+  relay->awaits_config = 1;
+  relay->deadline_timer.cb = config_wait_expired;
+  relay->deadline_timer.arg = relay;
+  net_clock_set (relay->relays->options.clock, &relay->deadline_timer,
+                 caller_timeout (relay, CONFIG_WAIT_MAX * CONFIG_WAIT_DIVISOR)
+                     / CONFIG_WAIT_DIVISOR);
 }
 
-/* Serve the requests that waited, once all is known. */
+/* Starts the held requests once the host is ready. */
 static void
-relays_serve_waiting (gt_relays_t *relays)
+relays_start_waiting (gt_relays_t *relays)
 {
   gt_relay_t *relay;
   gt_relay_t *next;
 
-  if (!relays_know (relays))
+  if (!relays_ready (relays))
     return;
   DL_FOREACH_SAFE (relays->running, relay, next)
-  if (relay->waiting && !relay->ended)
+  if (relay->awaits_config && !relay->ended)
     {
-      relay->waiting = 0;
-      net_clock_cancel (relays->options.clock, &relay->over);
-      relay_begin (relay);
+      relay->awaits_config = 0;
+      net_clock_cancel (relays->options.clock, &relay->deadline_timer);
+      relay_start (relay);
     }
 }
 
@@ -396,22 +396,22 @@
   relay->req = req;
   relay->generator.stop = relay_generator_stop;
   relay->received = net_clock_now (relays->options.clock);
-  net_req_watch (req, relay_gone, relay);
+  net_req_watch (req, relay_caller_gone, relay);
   relay->id = net_req_header (req, dialect->names.id);
-  if (relays->closed)
+  if (relays->stopping)
     {
       relays->counts.refused++;
-      relay_answer_refuse (relay, 503, "stopping", STOPPING_RETRY);
+      relay_answer_refuse (relay, 503, "stopping", STOPPING_RETRY_AFTER);
       return;
     }
-  if (relays_know (relays))
-    relay_begin (relay);
+  if (relays_ready (relays))
+    relay_start (relay);
   else
-    relay_wait (relay);
+    relay_wait_config (relay);
 }
 
-/** Take callers' requests; NULL, with the reason in ERR, when the address
-    can't be had. */
+/** Starts listening for callers. Returns NULL, with the reason in ERR, if
+    the address can't be bound. */
 gt_relays_t *
 gt_relays_new (const gt_relay_options_t *options, el_err_t *err)
 {
@@ -424,19 +424,19 @@
 
   relays->options = *options;
   relays->random = options->seed | 1;
-  relays->born = net_clock_now (options->clock);
+  relays->started_at = net_clock_now (options->clock);
   relays->server = net_server_new (&server, err);
   if (relays->server)
     {
       relay_blame_open (relays);
-      relay_poll_begin (relays);
+      relay_poll_start (relays);
       return relays;
     }
   free (relays);
   return NULL;
 }
 
-/** RULES are in force from now on; takes over the reference. */
+/** Puts RULES in force; takes over the reference. */
 void
 gt_relays_rules (gt_relays_t *relays, rt_rules_t *rules)
 {
@@ -447,56 +447,58 @@
   relays->rules = rules;
   if (rules->idle_ms)
     net_server_idle (relays->server, rules->idle_ms);
-  relays_serve_waiting (relays);
+  relays_start_waiting (relays);
 }
 
-/** The rules were the newest at AS_OF, by the clock. */
+/** Notes that the rules in force were the newest version at AS_OF. */
 void
 gt_relays_known (gt_relays_t *relays, el_time_t as_of)
 {
-  if (as_of <= relays->known)
+  if (as_of <= relays->rules_as_of)
     return;
-  relays->known = as_of;
-  relays_serve_waiting (relays);
+  relays->rules_as_of = as_of;
+  relays_start_waiting (relays);
 }
 
-/** Other hosts have told what they know of requests, or there are none. */
+/** Notes that the first gossip exchange completed, or that there are no
+    other hosts. */
 void
 gt_relays_heard (gt_relays_t *relays)
 {
-  if (relays->heard)
+  if (relays->peers_heard_at)
     return;
-  relays->heard = net_clock_now (relays->options.clock);
-  relays_serve_waiting (relays);
+  relays->peers_heard_at = net_clock_now (relays->options.clock);
+  relays_start_waiting (relays);
 }
 
-/** The rules in force; NULL before the first. */
+/** Returns the rules in force, or NULL before the first. */
 const rt_rules_t *
 gt_relays_in_force (const gt_relays_t *relays)
 {
   return relays->rules;
 }
 
-/** Go on, but have callers' connections end with their next answer. */
+/** Closes each caller's connection after its next response; requests are
+    still served. */
 void
 gt_relays_retire (gt_relays_t *relays)
 {
   net_server_retire (relays->server);
 }
 
-/** Take no further connections, and refuse what still comes on those that
-    are open: what began goes on. */
+/** Closes the listener and refuses requests that arrive on open connections;
+    requests in progress continue. */
 void
 gt_relays_close (gt_relays_t *relays)
 {
-  if (relays->closed)
+  if (relays->stopping)
     return;
-  relays->closed = 1;
-  relay_poll_end (relays);
+  relays->stopping = 1;
+  relay_poll_stop (relays);
   net_server_stop (relays->server);
 }
 
-/** Requests whose answer is not wholly sent. */
+/** Returns the number of requests whose response is not completely sent. */
 size_t
 gt_relays_running (const gt_relays_t *relays)
 {
--- a/gate/relay_answer.c
+++ b/gate/relay_answer.c
@@ -3,18 +3,18 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * What callers of relayed requests are answered. What is not whole never
- * looks whole: it ends without its last chunk.
+ * Responses to callers of relayed requests. An incomplete response never
+ * looks complete: it ends without its last chunk.
  */
 #include <stdio.h>
 
 #include "libgate.h"
 #include "librelay.h"
 
-static void answer_proceed (h2o_generator_t *generator, h2o_req_t *req);
+static void response_proceed (h2o_generator_t *generator, h2o_req_t *req);
 
-/** Answer by this host: nothing of an endpoint's. A request that did not run
-    is told when to come back. */
+/** Responds without an endpoint's response. RETRY_AFTER tells the caller
+    when to send a request that was not executed again. */
 void
 relay_answer_refuse (gt_relay_t *relay, int status, const char *reason,
                      el_time_t retry_after)
@@ -22,7 +22,7 @@
   char text[32];
 
   relay_log (relay, "answered", status, reason);
-  relay_finished (relay);
+  relay_finish (relay);
   if (retry_after)
     {
       snprintf (text, sizeof text, "%.3f",
@@ -33,7 +33,7 @@
 }
 
 static void
-answer_head (gt_relay_t *relay, const net_result_t *result)
+response_head (gt_relay_t *relay, const net_result_t *result)
 {
   size_t i;
 
@@ -45,95 +45,96 @@
                           result->headers[i].value);
 }
 
-/** Hand a whole answer on. */
+/** Forwards a complete response. */
 void
-relay_answer_pass (gt_relay_t *relay, const net_result_t *result)
+relay_respond_whole (gt_relay_t *relay, const net_result_t *result)
 {
   relay_log (relay, "answered", result->status, "passed");
   relay->relays->counts.passed++;
   el_hist_add (&relay->relays->counts.answer,
                net_clock_now (relay->relays->options.clock) - relay->received);
-  answer_head (relay, result);
-  relay_finished (relay);
+  response_head (relay, result);
+  relay_finish (relay);
   h2o_send_inline (relay->req, result->body.ptr, result->body.len);
 }
 
-/** Begin a stream's answer with the head of the endpoint's. */
+/** Starts a stream's response with the head of the endpoint's. */
 void
-relay_answer_begin (gt_relay_t *relay, const net_result_t *head)
+relay_respond_head (gt_relay_t *relay, const net_result_t *head)
 {
-  relay->begun = 1;
-  answer_head (relay, head);
-  relay->generator.proceed = answer_proceed;
+  relay->response_started = 1;
+  response_head (relay, head);
+  relay->generator.proceed = response_proceed;
   h2o_start_response (relay->req, &relay->generator);
 }
 
 static void
-answer_push (gt_relay_t *relay)
+response_flush (gt_relay_t *relay)
 {
   h2o_send_state_t state = H2O_SEND_STATE_IN_PROGRESS;
   h2o_iovec_t vec;
-  el_buf_t held;
+  el_buf_t sent;
 
   if (relay->sending)
     return;
-  if (relay->break_off)
+  if (relay->abort_pending)
     {
-      /* h2o ends a broken answer with a chunk that can't be read. */
+      /* h2o ends an aborted response with a malformed chunk. */
       net_req_cut (relay->req);
       state = H2O_SEND_STATE_ERROR;
     }
-  else if (relay->finish)
+  else if (relay->end_pending)
     state = H2O_SEND_STATE_FINAL;
   else if (relay->out.len == 0)
     return;
-  held = relay->flight;
-  relay->flight = relay->out;
-  relay->out = held;
+  sent = relay->in_flight;
+  relay->in_flight = relay->out;
+  relay->out = sent;
   el_buf_reset (&relay->out);
   relay->sending = 1;
   if (state != H2O_SEND_STATE_IN_PROGRESS)
-    relay_finished (relay);
-  vec = h2o_iovec_init (relay->flight.ptr, relay->flight.len);
+    relay_finish (relay);
+  vec = h2o_iovec_init (relay->in_flight.ptr, relay->in_flight.len);
   h2o_send (relay->req, &vec, vec.len ? 1 : 0, state);
 }
 
 static void
-answer_proceed (h2o_generator_t *generator, h2o_req_t *req)
+response_proceed (h2o_generator_t *generator, h2o_req_t *req)
 {
   gt_relay_t *relay
       = (gt_relay_t *)((char *)generator - offsetof (gt_relay_t, generator));
 
   (void)req;
   relay->sending = 0;
-  answer_push (relay);
+  response_flush (relay);
 }
 
-/** The next event of the stream. */
+/** Forwards one event. */
 void
-relay_answer_event (gt_relay_t *relay, el_str_t event)
+relay_respond_event (gt_relay_t *relay, el_str_t event)
 {
   el_buf_add (&relay->out, event);
-  answer_push (relay);
+  response_flush (relay);
 }
 
-/** The stream is whole. */
+/** Ends the response after its last event. */
 void
-relay_answer_end (gt_relay_t *relay)
+relay_respond_end (gt_relay_t *relay)
 {
   relay_log (relay, "answered", relay->req->res.status, "stream ended");
   relay->relays->counts.passed++;
-  relay->finish = 1;
-  answer_push (relay);
+  relay->end_pending = 1;
+  response_flush (relay);
 }
 
-/** End what was begun so that it does not look whole, and the connection. */
+/** Ends the response so that it does not look complete, and closes the
+    connection. */
 void
-relay_answer_break (gt_relay_t *relay, const char *reason)
+relay_respond_abort (gt_relay_t *relay, const char *reason)
 {
-  if (!relay->begun)
+  if (!relay->response_started)
     {
-      relay_finished (relay);
+      relay_finish (relay);
       relay->req->http1_is_persistent = 0;
       net_req_reply (relay->req, 502, EL_STR ("text/plain"),
                      EL_STR ("broken off"));
@@ -144,7 +145,7 @@
       relay_log (relay, "broken_off", relay->req->res.status, reason);
       relay->relays->counts.cut++;
     }
-  relay_drop (relay);
-  relay->break_off = 1;
-  answer_push (relay);
+  relay_cancel_attempt (relay);
+  relay->abort_pending = 1;
+  response_flush (relay);
 }
--- a/gate/relay_epoch.c
+++ b/gate/relay_epoch.c
@@ -3,35 +3,35 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * What this host knows and the store has lost, as it went on from an older
- * copy: other hosts, also those that start before it is written again, should
- * know.
+ * Facts that the store lost when it continued from an older copy. Other
+ * hosts, and those that start before the facts are stored again, learn
+ * them by gossip.
  */
 #include <string.h>
 
 #include "librelay.h"
 
-/* For so long a host does without a version of the rules that others have in
-   force, and other hosts are told of it: the operator writes it again within
-   about two seconds. */
-#define RULES_WAIT (5 * EL_SEC)
-#define RULES_HOLD (30 * EL_SEC)
-/* Of the endpoints that left and are listed no more, so many are told of: the
-   copy is some seconds old. */
-#define LEFT_MOST 256
+/* How long a host waits for a version of the rules that is in force
+   elsewhere, and how long that version is gossiped: the operator stores it
+   again within about two seconds. */
+#define RULES_WAIT_MAX (5 * EL_SEC)
+#define RULES_GOSSIP_HOLD (30 * EL_SEC)
+/* Limit for the endpoints gossiped as draining that are no longer listed:
+   the copy is only seconds old. */
+#define DRAINING_MAX 256
 
 static void
-left_tell (void *arg, el_str_t id, uint64_t born)
+draining_announce (void *arg, el_str_t id, uint64_t born)
 {
   rt_start_t start = { .born = born };
   size_t len = id.len < RT_START_MAX ? id.len : RT_START_MAX - 1;
 
   memcpy (start.id, id.ptr, len);
-  relay_rest_leaves_tell (arg, &start);
+  relay_drain_announce (arg, &start);
 }
 
 static void
-rules_tell (gt_relays_t *relays)
+rules_announce (gt_relays_t *relays)
 {
   const relay_fact_t fact
       = { .kind = RELAY_FACT_RULES, .version = relays->rules->version };
@@ -39,37 +39,40 @@
   relay_rumor_tell (relays, &fact,
                     XXH3_64bits_withSeed (&fact.version, sizeof fact.version,
                                           RELAY_FACT_RULES),
-                    RULES_HOLD);
+                    RULES_GOSSIP_HOLD);
 }
 
-/** Another host has rules in force that the store may not show yet. */
+/** Another host has rules in force that the store may not have yet. */
 void
 relay_epoch_hear_rules (gt_relays_t *relays, const co_rumor_t *rumor,
                         const relay_fact_t *fact)
 {
   (void)rumor;
-  if (fact->version <= relays->rules_due)
+  if (fact->version <= relays->peer_rules_version)
     return;
-  relays->rules_due = fact->version;
-  relays->rules_due_until = net_clock_now (relays->options.clock) + RULES_WAIT;
+  relays->peer_rules_version = fact->version;
+  relays->peer_rules_deadline
+      = net_clock_now (relays->options.clock) + RULES_WAIT_MAX;
   EL_LOG (EL_LOG_INFO, "config_due", EL_FN ("version", fact->version),
           EL_FN ("in_force", relays->rules ? relays->rules->version : 0));
 }
 
-/** Whether other hosts have newer rules in force than this one: keys may have
-    been taken away since. */
+/** Whether other hosts have newer rules in force: keys may have been revoked
+    since. */
 int
 gt_relays_behind (const gt_relays_t *relays)
 {
-  return relays->rules && relays->rules->version < relays->rules_due
-         && net_clock_now (relays->options.clock) < relays->rules_due_until;
+  return relays->rules && relays->rules->version < relays->peer_rules_version
+         && net_clock_now (relays->options.clock)
+                < relays->peer_rules_deadline;
 }
 
-/** The store has begun an epoch. */
+/** The store began an epoch: gossips what it may have lost. */
 void
 gt_relays_epoch (gt_relays_t *relays)
 {
   if (relays->rules)
-    rules_tell (relays);
-  rt_fleet_left (relays->options.fleet, LEFT_MOST, left_tell, relays);
+    rules_announce (relays);
+  rt_fleet_left (relays->options.fleet, DRAINING_MAX, draining_announce,
+                 relays);
 }
--- a/gate/relay_events.c
+++ b/gate/relay_events.c
@@ -3,14 +3,14 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Event streams: split into whole events with their ids.
+ * Splits event streams into complete events and reads their ids.
  */
 #include "librelay.h"
 
-/* A part of an event that grows past this is no event. */
+/* A partial event that grows beyond this is dropped. */
 #define EVENT_MAX ((size_t)1 << 20)
 
-/* The value of the event's "id" line; gives 0 without one. */
+/* Reads the value of the event's "id" line. Returns 0 without one. */
 static int
 event_id (el_str_t event, uint64_t *id)
 {
@@ -32,10 +32,10 @@
   return 0;
 }
 
-/* The length of the first whole event of BYTES, its blank line included; 0
-   when it is not whole. */
+/* Returns the length of the first complete event of BYTES, blank line
+   included, or 0 if it is incomplete. */
 static size_t
-event_end (el_str_t bytes)
+event_length (el_str_t bytes)
 {
   size_t i;
 
@@ -49,11 +49,11 @@
 }
 
 static el_str_t
-events_each (el_str_t bytes, relay_event_cb each, void *arg)
+events_emit (el_str_t bytes, relay_event_cb each, void *arg)
 {
   size_t len;
 
-  while ((len = event_end (bytes)))
+  while ((len = event_length (bytes)))
     {
       el_str_t event = { bytes.ptr, len };
       uint64_t id = 0;
@@ -65,29 +65,29 @@
   return bytes;
 }
 
-/** Hand each event that BYTES complete to EACH. */
+/** Appends BYTES and calls EACH for every event that they complete. */
 void
 relay_events_add (relay_events_t *events, el_str_t bytes, relay_event_cb each,
                   void *arg)
 {
-  el_buf_t held = events->part;
+  el_buf_t buffered = events->part;
 
-  if (held.len == 0)
+  if (buffered.len == 0)
     {
-      bytes = events_each (bytes, each, arg);
+      bytes = events_emit (bytes, each, arg);
       if (bytes.len)
         el_buf_add (&events->part, bytes);
       return;
     }
-  el_buf_add (&held, bytes);
+  el_buf_add (&buffered, bytes);
   events->part = (el_buf_t){ NULL, 0, 0 };
-  bytes = events_each (el_buf_str (&held), each, arg);
+  bytes = events_emit (el_buf_str (&buffered), each, arg);
   if (bytes.len && bytes.len < EVENT_MAX)
     el_buf_add (&events->part, bytes);
-  el_buf_free (&held);
+  el_buf_free (&buffered);
 }
 
-/** Drop a part of an event. */
+/** Drops a partial event. */
 void
 relay_events_reset (relay_events_t *events)
 {
--- a/gate/relay_head.c
+++ b/gate/relay_head.c
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * The headers of an attempt: those of the caller that are passed on, and what
- * this host tells the endpoint.
+ * Request headers of an attempt: the caller's, and those that this host
+ * sets.
  */
 #include <inttypes.h>
 #include <stdio.h>
@@ -14,12 +14,13 @@
 #include "libgate.h"
 #include "librelay.h"
 
-/* Headers that this host adds to those of the caller. */
-#define HEADERS_OWN 6
+/* Headers that this host adds. */
+#define OWN_HEADERS_MAX 6
 
-/* Whether a caller's header is passed on: not those that this host sets. */
+/* Whether a caller's header is forwarded; those that this host sets are not.
+ */
 static int
-header_kept (const gt_relay_t *relay, el_str_t name)
+header_forwarded (const gt_relay_t *relay, el_str_t name)
 {
   const gt_relay_names_t *names = &relay->relays->options.dialect->names;
   const char *own[] = { names->time_left, names->expect, names->customer,
@@ -44,7 +45,7 @@
 }
 
 static void
-head_add_kept (gt_relay_t *relay, relay_head_t *head)
+head_add_forwarded (gt_relay_t *relay, relay_head_t *head)
 {
   const h2o_headers_t *from = &relay->req->headers;
   size_t i;
@@ -54,23 +55,23 @@
       const h2o_header_t *h = &from->entries[i];
       el_str_t name = { h->name->base, h->name->len };
 
-      if (header_kept (relay, name))
+      if (header_forwarded (relay, name))
         head->list[head->n++]
             = (net_header_t){ name, { h->value.base, h->value.len } };
     }
 }
 
-/** Make the headers of an attempt that is sent at NOW to the target chosen;
-    they point into the request, the target and HEAD itself. */
+/** Builds the headers of an attempt at the current target. They point into
+    the request, the target and HEAD itself. */
 void
-relay_head_make (gt_relay_t *relay, el_time_t now, relay_head_t *head)
+relay_head_build (gt_relay_t *relay, el_time_t now, relay_head_t *head)
 {
   const gt_relay_dialect_t *dialect = relay->relays->options.dialect;
-  size_t most = relay->req->headers.size + HEADERS_OWN;
+  size_t most = relay->req->headers.size + OWN_HEADERS_MAX;
 
   memset (head, 0, sizeof *head);
   head->list = el_alloc (most * sizeof *head->list);
-  head_add_kept (relay, head);
+  head_add_forwarded (relay, head);
   snprintf (head->time_left, sizeof head->time_left, "%" PRIu64,
             (relay->deadline - now) / EL_MSEC);
   head_add (head, dialect->names.time_left, el_str (head->time_left));
@@ -78,7 +79,8 @@
   head_add (head, dialect->names.customer, relay->customer);
   if (relay->has_id)
     {
-      snprintf (head->resume, sizeof head->resume, "%" PRIu64, relay->last_id);
+      snprintf (head->resume, sizeof head->resume, "%" PRIu64,
+                relay->last_event_id);
       head_add (head, dialect->names.resume, el_str (head->resume));
     }
   if (relay->line.n)
@@ -91,7 +93,7 @@
     }
 }
 
-/** Give back what the headers took. */
+/** Frees the headers. */
 void
 relay_head_free (relay_head_t *head)
 {
--- a/gate/relay_log.c
+++ b/gate/relay_log.c
@@ -3,22 +3,22 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * A line for each decision on a relayed request: its id, what it rests on and
- * how old that is, what came of it.
+ * Log lines for decisions on relayed requests, with the data that they are
+ * based on, its age, and the result.
  */
 #include "librelay.h"
 
-static const char *const nexts[] = { [RT_NEXT_PASS] = "pass",
-                                     [RT_NEXT_AGAIN] = "again",
-                                     [RT_NEXT_REFUSE] = "refuse",
-                                     [RT_NEXT_FAIL] = "fail" };
-static const char *const nets[]
+static const char *const next_names[] = { [RT_NEXT_PASS] = "pass",
+                                          [RT_NEXT_AGAIN] = "again",
+                                          [RT_NEXT_REFUSE] = "refuse",
+                                          [RT_NEXT_FAIL] = "fail" };
+static const char *const outcome_names[]
     = { [NET_OK] = "answered",     [NET_CONNECT] = "not connected",
         [NET_REFUSED] = "refused", [NET_BROKEN] = "broken",
         [NET_TIMEOUT] = "timeout", [NET_TOO_BIG] = "too big",
         [NET_HELD] = "kept back" };
 
-/** Log one decision on a request. */
+/** Logs the end of a request. */
 void
 relay_log (gt_relay_t *relay, const char *event, int status,
            const char *reason)
@@ -37,11 +37,12 @@
       EL_FN ("first_us", relay->first_event),
       EL_FN ("longest_gap_us", relay->longest_gap),
       EL_FN ("config", relay->rules ? relay->rules->version : 0),
-      EL_FN ("config_age_us", now - relay->relays->known),
+      EL_FN ("config_age_us", now - relay->relays->rules_as_of),
       EL_FN ("us", now - relay->received));
 }
 
-/** A choice, with what speaks for and against it and how old that is. */
+/** Logs an attempt, with what is known about its target and how old that is.
+ */
 void
 relay_log_sent (const gt_relay_t *relay, el_time_t now)
 {
@@ -58,10 +59,10 @@
       EL_FN ("told_age_us", target->told ? now - target->told : 0),
       EL_FN ("listed_epoch", target->epoch),
       EL_FN ("listed_age_us", target->listed ? now - target->listed : 0),
-      EL_FN ("known_age_us", now - relay->relays->known));
+      EL_FN ("known_age_us", now - relay->relays->rules_as_of));
 }
 
-/** An attempt was not simply passed on; NEXT follows. */
+/** Logs an attempt whose response was not simply forwarded; NEXT follows. */
 void
 relay_log_failed (gt_relay_t *relay, const rt_attempt_t *attempt,
                   const net_result_t *result, rt_next_t next)
@@ -76,14 +77,15 @@
   EL_LOG (
       EL_LOG_INFO, "attempt_failed", EL_FS ("request", relay->id),
       EL_FC ("digest", digest), EL_FS ("endpoint", relay->target->facts.id),
-      EL_FC ("net", nets[result->net]), EL_FN ("status", result->status),
+      EL_FC ("net", outcome_names[result->net]),
+      EL_FN ("status", result->status),
       EL_FC ("verdict", el_verdict_name (attempt->verdict)),
       EL_FN ("crossed", relay->crossed), EL_FN ("attempt", relay->course.sent),
       EL_FN ("sent_us", now - relay->sent),
       EL_FN ("ran_us", relay->began ? now - relay->began : 0),
       EL_FN ("events", relay->nevents),
-      EL_FN ("budget_left", relay_spend_left (relay)),
-      EL_FC ("next", nexts[next]),
+      EL_FN ("budget_left", relay_retry_left (relay)),
+      EL_FC ("next", next_names[next]),
       EL_FS ("fault", net_result_header (result, dialect->names.at_fault)),
       EL_FN ("rest_asked_us", relay->asks.rest),
       EL_FS ("line", el_buf_str (&line)));
--- a/gate/relay_metrics.c
+++ b/gate/relay_metrics.c
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * The figures of relayed requests.
+ * Metrics of relayed requests.
  */
 #include "librelay.h"
 
@@ -15,7 +15,7 @@
   const char *help;
   el_metric_kind_t kind;
   size_t offset;
-} list[] = {
+} metric_defs[] = {
   { "elmarch_relay_requests_total", "requests taken in", EL_COUNTER,
     COUNT (requests) },
   { "elmarch_relay_passed_total", "whole answers handed on", EL_COUNTER,
@@ -94,14 +94,14 @@
     EL_HISTOGRAM, COUNT (event_gap) },
 };
 
-/** Have the figures served with METRICS. */
+/** Registers the metrics. */
 void
 gt_relays_metrics (gt_relays_t *relays, el_metrics_t *metrics)
 {
   const char *base = (const char *)&relays->counts;
   size_t i;
 
-  for (i = 0; i < sizeof list / sizeof *list; i++)
-    el_metrics_add (metrics, list[i].name, list[i].help, list[i].kind,
-                    base + list[i].offset);
+  for (i = 0; i < sizeof metric_defs / sizeof *metric_defs; i++)
+    el_metrics_add (metrics, metric_defs[i].name, metric_defs[i].help,
+                    metric_defs[i].kind, base + metric_defs[i].offset);
 }
--- a/gate/relay_poll.c
+++ b/gate/relay_poll.c
@@ -3,45 +3,47 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * One host of each hall asks the hall's engines in turn how they do, and the
- * others are told: each would else have to find out for itself.
+ * Polling of a hall's engines by one of its hosts, which sends the reports
+ * to the others.
  */
 #include "librelay.h"
 
-/* The poller looks over the engines of its hall this often, some at a time. */
-#define POLL_EVERY (500 * EL_MSEC)
-#define POLL_PARTS 10
-/* Engines that are neither full nor slow are asked less often: each question
-   has its price. */
-#define POLL_CALM (1800 * EL_MSEC)
-#define POLL_FULL 0.5
-#define POLL_SLOW 1.5
-/* One that holds the first layers: its slots are what streams wait for. */
-#define POLL_TAKEN 0.6
-/* Older loads are not told. */
-#define TELL_MOST (3 * EL_SEC)
+/* All engines of the hall are considered once per interval, in POLL_SLICES
+   slices. */
+#define POLL_INTERVAL (500 * EL_MSEC)
+#define POLL_SLICES 10
+/* Engines that are neither full nor slow are polled less often, to save
+   requests. */
+#define POLL_CALM_INTERVAL (1800 * EL_MSEC)
+#define POLL_BUSY_FILL 0.5
+#define POLL_SLOW_PACE 1.5
+/* An engine that holds the first layers: streams wait for its slots. */
+#define POLL_BUSY_SLOTS 0.6
+/* Older reports are not sent to other hosts. */
+#define REPORT_MAX_AGE (3 * EL_SEC)
 
 static int
-poll_takes (const gt_relays_t *relays, const rt_target_t *engine)
+poll_covers (const gt_relays_t *relays, const rt_target_t *engine)
 {
   return engine->facts.end > engine->facts.first && !rt_target_leaves (engine)
          && el_str_eq (engine->facts.hall, relays->options.hall);
 }
 
 static el_time_t
-poll_wait (const rt_target_t *engine)
+poll_interval (const rt_target_t *engine)
 {
-  int taken = engine->facts.first == 0 && engine->taken > POLL_TAKEN;
+  int slots_busy = engine->facts.first == 0 && engine->taken > POLL_BUSY_SLOTS;
 
-  if (taken || engine->fill > POLL_FULL || engine->pace > POLL_SLOW)
-    return POLL_EVERY / 2;
-  return POLL_CALM;
+  if (slots_busy || engine->fill > POLL_BUSY_FILL
+      || engine->pace > POLL_SLOW_PACE)
+    return POLL_INTERVAL / 2;
+  return POLL_CALM_INTERVAL;
 }
 
-/* Streams that could not leave an engine which gives its layers up: there may
-   be room elsewhere by now. */
+/* Retries moving streams away from engines that released their layers: other
+   engines may have capacity by now. */
 static void
-poll_given_up (gt_relays_t *relays)
+poll_released_layers (gt_relays_t *relays)
 {
   rt_target_t *engine;
 
@@ -52,45 +54,46 @@
 }
 
 static void
-poll_look (void *arg, el_time_t now)
+poll_tick (void *arg, el_time_t now)
 {
   gt_relays_t *relays = arg;
   const gt_relay_options_t *o = &relays->options;
   rt_target_t *engine;
   size_t i = 0;
 
-  net_clock_set (o->clock, &relays->poll, POLL_EVERY / POLL_PARTS);
-  relays->poll_part = (relays->poll_part + 1) % POLL_PARTS;
-  if (relays->poll_part == 0)
-    poll_given_up (relays);
+  net_clock_set (o->clock, &relays->poll, POLL_INTERVAL / POLL_SLICES);
+  relays->poll_slice = (relays->poll_slice + 1) % POLL_SLICES;
+  if (relays->poll_slice == 0)
+    poll_released_layers (relays);
   if (!o->polls (o->arg))
     return;
   for (engine = rt_fleet_first (o->fleet); engine; engine = engine->hh.next)
-    if (poll_takes (relays, engine) && i++ % POLL_PARTS == relays->poll_part
+    if (poll_covers (relays, engine) && i++ % POLL_SLICES == relays->poll_slice
         && !rt_access_rest_left (&engine->access, now))
-      relay_check_poll (relays, engine, now - poll_wait (engine));
-  if (relays->poll_part == 0)
+      relay_check_poll (relays, engine, now - poll_interval (engine));
+  if (relays->poll_slice == 0)
     o->polled (o->arg);
 }
 
-/** Have the hall's engines asked as long as this host is the one to do so. */
+/** Starts polling; only the host that is the hall's poller sends requests. */
 void
-relay_poll_begin (gt_relays_t *relays)
+relay_poll_start (gt_relays_t *relays)
 {
-  relays->poll.cb = poll_look;
+  relays->poll.cb = poll_tick;
   relays->poll.arg = relays;
   if (relays->options.dialect->check)
-    net_clock_set (relays->options.clock, &relays->poll, POLL_EVERY);
+    net_clock_set (relays->options.clock, &relays->poll, POLL_INTERVAL);
 }
 
-/** Ask no more. */
+/** Stops polling. */
 void
-relay_poll_end (gt_relays_t *relays)
+relay_poll_stop (gt_relays_t *relays)
 {
   net_clock_cancel (relays->options.clock, &relays->poll);
 }
 
-/** What this host knows of its hall's engines; the caller frees the list. */
+/** Returns the reports of the hall's engines in OUT, which the caller frees.
+ */
 size_t
 gt_relays_tell (gt_relays_t *relays, pr_engine_t **out)
 {
@@ -101,8 +104,8 @@
 
   *out = el_alloc ((rt_fleet_count (o->fleet) + 1) * sizeof **out);
   for (engine = rt_fleet_first (o->fleet); engine; engine = engine->hh.next)
-    if (poll_takes (relays, engine) && engine->told
-        && now < engine->told + TELL_MOST)
+    if (poll_covers (relays, engine) && engine->told
+        && now < engine->told + REPORT_MAX_AGE)
       (*out)[n++] = (pr_engine_t){ .id = engine->facts.id,
                                    .born = engine->facts.born,
                                    .fill = engine->fill,
@@ -113,8 +116,8 @@
   return n;
 }
 
-/** Another host tells of engines. One that gives it no sign of life is asked
-    by this host, too: it may only be out of the other one's reach. */
+/** Processes reports from another host. An engine that is silent there is
+    checked by this host, too: it may only be out of the other host's reach. */
 void
 gt_relays_hear (gt_relays_t *relays, const pr_engine_t *news, size_t n)
 {
--- a/gate/relay_rest.c
+++ b/gate/relay_rest.c
@@ -3,38 +3,37 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * What endpoints ask of this host beside their answers: for how long they are
- * to be left in peace, and that they take no new work. It is heard with one
- * answer and counts for every choice after it (route/access.h), whichever
- * request, check or order brought it.
+ * Backoff and draining that endpoints announce in their responses. They
+ * apply to every later pick (route/access.h), whether a request, a health
+ * check or an order brought the response.
  */
 #include "librelay.h"
 
-/* How long hosts tell each other that an endpoint leaves: it serves on for
-   seconds, and a host that starts meanwhile should know. */
-#define LEAVES_HOLD (120 * EL_SEC)
+/* How long hosts gossip that an endpoint is draining: it keeps serving for
+   seconds, and a host that starts meanwhile has to know. */
+#define DRAINING_GOSSIP_HOLD (120 * EL_SEC)
 
-/* An endpoint that rests, until its rest is over. */
-typedef struct relay_rest
+/* The backoff of an endpoint, until it expires. */
+typedef struct relay_backoff
 {
   gt_relays_t *relays;
   rt_target_t *target;
-  el_timer_t over;
+  el_timer_t timer;
   UT_hash_handle hh;
-} relay_rest_t;
+} relay_backoff_t;
 
 static void
-rest_over (void *arg, el_time_t now)
+backoff_expired (void *arg, el_time_t now)
 {
-  relay_rest_t *rest = arg;
-  gt_relays_t *relays = rest->relays;
-  const rt_target_t *target = rest->target;
+  relay_backoff_t *backoff = arg;
+  gt_relays_t *relays = backoff->relays;
+  const rt_target_t *target = backoff->target;
   el_time_t left = rt_access_rest_left (&target->access, now);
   el_time_t lasted = now - target->access.rest_began;
 
   if (left)
     {
-      net_clock_set (relays->options.clock, &rest->over, left);
+      net_clock_set (relays->options.clock, &backoff->timer, left);
       return;
     }
   EL_LOG (EL_LOG_INFO, "rest_over", EL_FS ("endpoint", target->facts.id),
@@ -42,31 +41,31 @@
           EL_FN ("running", target->running), EL_FN ("lines", target->lines),
           EL_FN ("gone", target->access.gone));
   relays->counts.rest_us += lasted;
-  relay_service (relays, target->facts.service)->rest_us += lasted;
-  HASH_DEL (relays->rests, rest);
-  rt_target_unref (rest->target);
-  free (rest);
+  relay_service (relays, target->facts.service)->backoff_us += lasted;
+  HASH_DEL (relays->backoffs, backoff);
+  rt_target_unref (backoff->target);
+  free (backoff);
 }
 
-/* A line a rest, not one for each answer that asks for it again. */
+/* Logs once per backoff, not once per response that asks for it again. */
 static void
-rest_begin (gt_relays_t *relays, rt_target_t *target, el_time_t asked,
-            el_str_t by)
+backoff_start (gt_relays_t *relays, rt_target_t *target, el_time_t asked,
+               el_str_t by)
 {
   el_time_t now = net_clock_now (relays->options.clock);
-  relay_rest_t *rest;
+  relay_backoff_t *backoff;
 
-  HASH_FIND_PTR (relays->rests, &target, rest);
-  if (!rest)
+  HASH_FIND_PTR (relays->backoffs, &target, backoff);
+  if (!backoff)
     {
-      rest = el_alloc (sizeof *rest);
-      rest->relays = relays;
-      rest->target = rt_target_ref (target);
-      rest->over.cb = rest_over;
-      rest->over.arg = rest;
-      HASH_ADD_PTR (relays->rests, target, rest);
+      backoff = el_alloc (sizeof *backoff);
+      backoff->relays = relays;
+      backoff->target = rt_target_ref (target);
+      backoff->timer.cb = backoff_expired;
+      backoff->timer.arg = backoff;
+      HASH_ADD_PTR (relays->backoffs, target, backoff);
     }
-  net_clock_set (relays->options.clock, &rest->over,
+  net_clock_set (relays->options.clock, &backoff->timer,
                  rt_access_rest_left (&target->access, now));
   relays->counts.rests++;
   EL_LOG (EL_LOG_INFO, "rest_begins", EL_FS ("endpoint", target->facts.id),
@@ -75,11 +74,11 @@
           EL_FN ("asked_us", asked),
           EL_FN ("left_us", rt_access_rest_left (&target->access, now)),
           EL_FN ("running", target->running), EL_FN ("lines", target->lines),
-          EL_FN ("resting", HASH_COUNT (relays->rests)));
+          EL_FN ("resting", HASH_COUNT (relays->backoffs)));
 }
 
 static void
-leaves_log (gt_relays_t *relays, const rt_target_t *target, el_str_t by)
+draining_log (gt_relays_t *relays, const rt_target_t *target, el_str_t by)
 {
   relays->counts.leaves++;
   EL_LOG (EL_LOG_INFO, "endpoint_leaves", EL_FS ("endpoint", target->facts.id),
@@ -88,32 +87,32 @@
           EL_FN ("running", target->running), EL_FN ("lines", target->lines));
 }
 
-/** All hosts should know that START leaves. The fact is named by what it says,
-    so that it is one rumor whoever tells it. */
+/** Gossips that START is draining. The message id is derived from the fact,
+    so that all hosts send the same message. */
 void
-relay_rest_leaves_tell (gt_relays_t *relays, const rt_start_t *start)
+relay_drain_announce (gt_relays_t *relays, const rt_start_t *start)
 {
   const relay_fact_t fact = { .kind = RELAY_FACT_LEAVES, .start = *start };
 
   relay_rumor_tell (relays, &fact, rt_start_key (start) ^ RELAY_FACT_LEAVES,
-                    LEAVES_HOLD);
+                    DRAINING_GOSSIP_HOLD);
 }
 
-/* It takes no new work, whatever its entry says. The other hosts should know
-   before they send there. */
+/* Marks TARGET as draining, whatever its entry says, and tells the other
+   hosts before they send to it. */
 static void
-leaves_hear (gt_relays_t *relays, rt_target_t *target, el_str_t by)
+draining_learned (gt_relays_t *relays, rt_target_t *target, el_str_t by)
 {
   const rt_start_t start = rt_target_start (target);
 
   if (rt_target_leaves (target))
     return;
   rt_target_leave (target);
-  leaves_log (relays, target, by);
-  relay_rest_leaves_tell (relays, &start);
+  draining_log (relays, target, by);
+  relay_drain_announce (relays, &start);
 }
 
-/** Another host was told that an endpoint leaves. */
+/** Another host learned that an endpoint is draining. */
 void
 relay_rest_hear_leaves (gt_relays_t *relays, const co_rumor_t *rumor,
                         const relay_fact_t *fact)
@@ -123,30 +122,30 @@
 
   (void)rumor;
   if (target)
-    leaves_log (relays, target, EL_STR ("another host"));
+    draining_log (relays, target, EL_STR ("another host"));
 }
 
-/** An answer of TARGET to BY, a request, a check or an order, asks for
-    something. */
+/** Applies the backoff and draining that TARGET announced in a response to
+    BY, a request id, a check or an order. */
 void
 gt_relays_asked (gt_relays_t *relays, rt_target_t *target,
                  const rt_asks_t *asks, el_str_t by)
 {
   if (asks->leaves)
-    leaves_hear (relays, target, by);
+    draining_learned (relays, target, by);
   if (asks->rest
       && rt_fleet_rests (relays->options.fleet, target,
                          net_clock_now (relays->options.clock), asks->rest))
-    rest_begin (relays, target, asks->rest, by);
+    backoff_start (relays, target, asks->rest, by);
 }
 
-/** The head of RELAY's answer came. A refusal may name an engine further down
-    the line as the one at fault, and does not tell whose time it names:
-   neither is sent to. */
+/** Applies what the head of RELAY's response announces. A refusal may name
+    an engine further down the pipeline and does not tell which of the two
+    its backoff is for: it is applied to both. */
 void
-relay_rest_heard (gt_relay_t *relay, const net_result_t *head)
+relay_backoff_read_head (gt_relay_t *relay, const net_result_t *head)
 {
-  rt_target_t *fault = relay_at_fault (relay, head);
+  rt_target_t *fault = relay_fault_target (relay, head);
 
   relay->relays->options.dialect->read_asks (head, &relay->asks);
   gt_relays_asked (relay->relays, relay->target, &relay->asks, relay->id);
@@ -155,11 +154,11 @@
                      &(rt_asks_t){ .rest = relay->asks.rest }, relay->id);
 }
 
-/* Have EACH endpoint that RELAY is sent to. */
+/* Calls EACH for the endpoints that RELAY is sent to. */
 static void
-rest_each (gt_relay_t *relay, el_time_t now,
-           void (*each) (gt_relay_t *relay, rt_target_t *target,
-                         el_time_t now))
+for_each_target (gt_relay_t *relay, el_time_t now,
+                 void (*each) (gt_relay_t *relay, rt_target_t *target,
+                               el_time_t now))
 {
   size_t i;
 
@@ -177,17 +176,17 @@
   rt_access_sent (&target->access, now);
 }
 
-/** RELAY is sent. */
+/** Records that RELAY is sent. */
 void
-relay_rest_sent (gt_relay_t *relay, el_time_t now)
+relay_backoff_sent (gt_relay_t *relay, el_time_t now)
 {
-  rest_each (relay, now, sent_to);
+  for_each_target (relay, now, sent_to);
 }
 
-/** Whether RELAY may still go where it was to be sent: the choice was made
-    before a connection was there. */
+/** Whether RELAY may still be sent to the target picked, which was before
+    the connection was made. */
 int
-relay_rest_may (gt_relay_t *relay, el_time_t now)
+relay_backoff_permits (gt_relay_t *relay, el_time_t now)
 {
   size_t i;
 
@@ -205,17 +204,17 @@
   rt_access_answered (&target->access);
 }
 
-/** RELAY runs where it was sent. */
+/** Records that RELAY is executing where it was sent. */
 void
-relay_rest_answered (gt_relay_t *relay)
+relay_backoff_answered (gt_relay_t *relay)
 {
-  rest_each (relay, 0, answered_by);
+  for_each_target (relay, 0, answered_by);
 }
 
-/** Until some endpoint may serve RELAY again, where rests are all that keep
-    them from it; 0 where they are not. */
+/** Returns the time until an endpoint may serve RELAY again, or 0 if backoff
+    is not what prevents it now. */
 el_time_t
-relay_rest_left (gt_relay_t *relay, el_time_t now)
+relay_backoff_left (gt_relay_t *relay, el_time_t now)
 {
   const gt_relay_options_t *o = &relay->relays->options;
   const rt_tried_t none = { .n = 0 };
@@ -225,7 +224,7 @@
                                 .tried = &none };
   el_time_t opens;
 
-  if (!relay->relays->rests)
+  if (!relay->relays->backoffs)
     return 0;
   opens = relay->service->model.layers
               ? rt_line_opens (o->fleet, now, &want)
@@ -233,8 +232,8 @@
   return opens > now ? opens - now : 0;
 }
 
-/** The endpoints that nothing new goes to, and how long those of each service
-    have rested. */
+/** Returns the endpoints closed to new requests, and the total backoff of
+    each service. */
 json_t *
 gt_relays_closed (gt_relays_t *relays)
 {
@@ -262,6 +261,6 @@
     }
   for (service = relays->services; service; service = service->hh.next)
     json_object_set_new (rested, service->name,
-                         json_integer ((json_int_t)service->rest_us));
+                         json_integer ((json_int_t)service->backoff_us));
   return json_pack ("{s:o,s:o}", "endpoints", list, "restedUs", rested);
 }
--- a/gate/relay_try.c
+++ b/gate/relay_try.c
@@ -3,41 +3,40 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Attempts at a relayed request: where it is sent, what is made of what comes
- * back.
+ * Attempts at a relayed request: picks a target, sends the request,
+ * classifies the result and decides on a retry.
  */
 #include "librelay.h"
 
-/* A connection that rested longer is not used for what must not run twice:
-   the endpoint may be about to close it. */
-#define UNSAFE_IDLE (2 * EL_SEC)
-/* When to come back after a refusal: an endpoint that is full or missing now
-   may not be in a moment. Half of it is random so that callers spread. */
-#define REFUSED_RETRY (100 * EL_MSEC)
-/* Callers who are told to come back after a rest are spread over this part of
-   what is left of it. */
-#define REST_SPREAD_PART 4
-/* What broke off is sent again after this: 2 ms until an engine that ended has
-   refused a connection, and one that lives has answered. */
-#define BROKEN_WAIT (5 * EL_MSEC)
-/* An engine where something broke off is asked for a sign of life, unless it
-   was within this. */
-#define ASK_GAP (10 * EL_MSEC)
-/* Answers of plain services that are collected before they are passed on. */
-#define PLAIN_MAX ((size_t)4 << 20)
-
-static void try_after (gt_relay_t *relay, const rt_attempt_t *attempt,
-                       const net_result_t *result);
+/* Unsafe requests use no connection that was idle longer: the endpoint may
+   be about to close it. */
+#define UNSAFE_MAX_IDLE (2 * EL_SEC)
+/* Retry-after of a refused request: a busy or missing endpoint may be
+   available soon. Half of it is random, to spread callers. */
+#define REFUSED_RETRY_AFTER (100 * EL_MSEC)
+/* Retry-after after a backoff is spread over a quarter of the time left. */
+#define BACKOFF_SPREAD_DIVISOR 4
+/* Delay before retrying a broken request: it takes 2 ms until a crashed
+   engine has refused a connection, or a live one has responded. */
+#define BROKEN_RETRY_DELAY (5 * EL_MSEC)
+/* A broken request triggers a health check unless one was sent this
+   recently. */
+#define CHECK_MIN_INTERVAL (10 * EL_MSEC)
+/* Limit for buffered responses of plain services. */
+#define BUFFERED_BODY_MAX ((size_t)4 << 20)
+
+static void attempt_follow_up (gt_relay_t *relay, const rt_attempt_t *attempt,
+                               const net_result_t *result);
 
 static int
-is_line (const gt_relay_t *relay)
+is_pipelined (const gt_relay_t *relay)
 {
   return relay->service->model.layers > 0;
 }
 
-/* Let go of the endpoint or line of the attempt under way. */
+/* Releases the target and pipeline of the current attempt. */
 static void
-try_release (gt_relay_t *relay)
+attempt_release (gt_relay_t *relay)
 {
   rt_line_release (&relay->line);
   if (relay->target)
@@ -48,28 +47,29 @@
     }
 }
 
-/** End the attempt under way, also at the endpoint. */
+/** Cancels the current attempt, at the endpoint too. */
 void
-relay_drop (gt_relay_t *relay)
+relay_cancel_attempt (gt_relay_t *relay)
 {
-  relay_watch_end (relay);
+  relay_watch_stop (relay);
   if (relay->exchange)
     net_client_cancel (relay->exchange);
   relay->exchange = NULL;
   net_clock_cancel (relay->relays->options.clock, &relay->turn);
-  try_release (relay);
+  attempt_release (relay);
 }
 
-/* The request did not run: the caller may send it again, once there will be
-   an endpoint that does not rest. */
+/* Responds that the request was not executed, with a retry-after that
+   respects the endpoints' backoff. */
 static void
-try_refuse (gt_relay_t *relay, const char *reason)
+attempt_refuse (gt_relay_t *relay, const char *reason)
 {
   gt_relays_t *relays = relay->relays;
   el_time_t left
-      = relay_rest_left (relay, net_clock_now (relays->options.clock));
-  el_time_t spread = left ? left / REST_SPREAD_PART : REFUSED_RETRY / 2;
-  el_time_t wait = left ? left : REFUSED_RETRY / 2;
+      = relay_backoff_left (relay, net_clock_now (relays->options.clock));
+  el_time_t spread
+      = left ? left / BACKOFF_SPREAD_DIVISOR : REFUSED_RETRY_AFTER / 2;
+  el_time_t wait = left ? left : REFUSED_RETRY_AFTER / 2;
 
   relays->counts.refused++;
   relays->counts.rested += left > 0;
@@ -77,17 +77,17 @@
                        wait + el_random (&relays->random) % (spread + 1));
 }
 
-/* The request may have run, and there is no answer. */
+/* Responds that the request may have been executed. */
 static void
-try_fail (gt_relay_t *relay, const char *reason)
+attempt_fail (gt_relay_t *relay, const char *reason)
 {
   relay->relays->counts.failed++;
   relay_answer_refuse (relay, 502, reason, 0);
 }
 
-/* Find a line that begins with FIRST, or with any engine if there is none. */
+/* Picks a pipeline that starts at FIRST, or any if that fails. */
 static int
-try_line (gt_relay_t *relay, rt_target_t *first, el_time_t now)
+attempt_pick_line (gt_relay_t *relay, rt_target_t *first, el_time_t now)
 {
   const gt_relay_options_t *o = &relay->relays->options;
   rt_line_want_t want = { .service = relay->service,
@@ -102,20 +102,21 @@
   return first && rt_line_pick (o->fleet, now, &want, &relay->line);
 }
 
-/* Choose where to send; gives 0 when there is nothing to send to. */
+/* Picks the target of the next attempt. Returns 0 if there is none. */
 static int
-try_choose (gt_relay_t *relay, el_time_t now)
+attempt_pick_target (gt_relay_t *relay, el_time_t now)
 {
   gt_relays_t *relays = relay->relays;
   const gt_relay_options_t *o = &relays->options;
-  rt_target_t *apart = relay_suspect_target (relay, now);
+  rt_target_t *isolated = relay_suspect_target (relay, now);
 
   rt_fleet_share (o->fleet, o->hall_hosts (o->arg), o->hosts (o->arg));
-  if (!is_line (relay))
-    relay->target = apart ? apart
-                          : rt_fleet_pick (o->fleet, now, relay->service->name,
-                                           o->hall, &relay->tried);
-  else if (try_line (relay, apart, now))
+  if (!is_pipelined (relay))
+    relay->target = isolated
+                        ? isolated
+                        : rt_fleet_pick (o->fleet, now, relay->service->name,
+                                         o->hall, &relay->tried);
+  else if (attempt_pick_line (relay, isolated, now))
     {
       rt_line_hold (&relay->line, NULL,
                     relay->nevents ? relay->tokens : relay->prompt);
@@ -129,9 +130,9 @@
   return 1;
 }
 
-/* Note how long the caller waited for this event. */
+/* Records the time from arrival to the first event, or between events. */
 static void
-event_time (gt_relay_t *relay, el_time_t now)
+record_event_time (gt_relay_t *relay, el_time_t now)
 {
   gt_relay_counts_t *counts = &relay->relays->counts;
   el_time_t gap = now - relay->last_event;
@@ -148,7 +149,7 @@
 }
 
 static void
-try_event (void *arg, el_str_t event, int has_id, uint64_t id)
+attempt_event (void *arg, el_str_t event, int has_id, uint64_t id)
 {
   gt_relay_t *relay = arg;
   gt_relays_t *relays = relay->relays;
@@ -156,26 +157,26 @@
 
   if (relay->ended)
     return;
-  if (has_id && relay->has_id && id <= relay->last_id)
-    return; /* the caller has it from the attempt before */
+  if (has_id && relay->has_id && id <= relay->last_event_id)
+    return; /* forwarded by an earlier attempt */
   now = net_clock_now (relays->options.clock);
   relay_blame_sign (relays, relay->target);
   rt_line_event (&relay->line, now);
-  relay_watch_event (relay, now - relay->still_since);
-  event_time (relay, now);
+  relay_watch_event (relay, now - relay->last_progress);
+  record_event_time (relay, now);
   relay->last_event = now;
   relay->waits = 0;
   relays->counts.events++;
   if (has_id)
     {
-      relay->last_id = id;
+      relay->last_event_id = id;
       relay->has_id = 1;
     }
-  relay_answer_event (relay, event);
+  relay_respond_event (relay, event);
 }
 
 static void
-try_head (void *arg, const net_result_t *head)
+attempt_head (void *arg, const net_result_t *head)
 {
   gt_relay_t *relay = arg;
   const gt_relay_names_t *names = &relay->relays->options.dialect->names;
@@ -188,30 +189,32 @@
                   && !relay->crossed && head->status >= 200
                   && head->status < 300
                   && net_result_header (head, names->seal).len;
-  /* It counts for all choices from now on: of 102 requests that one engine
-     turned away in 6 s, 70 came within the rest that it had asked for. */
-  relay_rest_heard (relay, head);
+  /* The backoff applies before the body arrives: of 102 requests that one
+     engine refused in 6 s, 70 arrived within the backoff that it had
+     requested. */
+  relay_backoff_read_head (relay, head);
   if (!relay->refused)
-    relay_rest_answered (relay);
-  if (relay->stream && !relay->begun)
-    relay_answer_begin (relay, head);
+    relay_backoff_answered (relay);
+  if (relay->stream && !relay->response_started)
+    relay_respond_head (relay, head);
 }
 
-/* Pieces of a stream go on at once; others are collected. */
+/* Streams are forwarded at once; other responses are buffered. */
 static void
-try_piece (void *arg, el_str_t bytes)
+attempt_body (void *arg, el_str_t bytes)
 {
   gt_relay_t *relay = arg;
 
   if (relay->stream)
-    relay_events_add (&relay->events, bytes, try_event, relay);
-  else if (!relay->begun && relay->out.len + bytes.len <= PLAIN_MAX)
+    relay_events_add (&relay->events, bytes, attempt_event, relay);
+  else if (!relay->response_started
+           && relay->out.len + bytes.len <= BUFFERED_BODY_MAX)
     el_buf_add (&relay->out, bytes);
 }
 
-/** The engine that a refusal names, else the first of the line. */
+/** Returns the engine that a refusal names, or the attempt's target. */
 rt_target_t *
-relay_at_fault (gt_relay_t *relay, const net_result_t *result)
+relay_fault_target (gt_relay_t *relay, const net_result_t *result)
 {
   const gt_relay_names_t *names = &relay->relays->options.dialect->names;
   el_str_t address = net_result_header (result, names->at_fault);
@@ -221,18 +224,18 @@
   return named ? named : relay->target;
 }
 
-/* What the exchange proves. */
+/* Determines whether the request was executed and responded to. */
 static void
-try_judge (gt_relay_t *relay, const net_result_t *result,
-           rt_attempt_t *attempt)
+attempt_classify (gt_relay_t *relay, const net_result_t *result,
+                  rt_attempt_t *attempt)
 {
   const gt_relay_names_t *names = &relay->relays->options.dialect->names;
   int success = result->status >= 200 && result->status < 300;
-  int promise = result->status == 429 || result->status == 503
-                || result->status == 408 || result->status == 421;
+  int refusal_status = result->status == 429 || result->status == 503
+                       || result->status == 408 || result->status == 421;
 
-  *attempt
-      = (rt_attempt_t){ .verdict = result->verdict, .begun = relay->begun };
+  *attempt = (rt_attempt_t){ .verdict = result->verdict,
+                             .begun = relay->response_started };
   if (result->net != NET_OK)
     return;
   attempt->verdict = EL_MAY_HAVE_RUN;
@@ -246,9 +249,10 @@
       attempt->verdict = EL_NOT_RUN;
       return;
     }
-  /* A success that the endpoint does not vouch for, and a refusal that it
-     does not call one, are no answers. */
-  if (promise || (success && !net_result_header (result, names->seal).len)
+  /* A success without the endpoint's seal, a refusal without the header that
+     confirms it, and a truncated event prove nothing. */
+  if (refusal_status
+      || (success && !net_result_header (result, names->seal).len)
       || relay->events.part.len)
     return;
   attempt->verdict = EL_RAN;
@@ -256,13 +260,13 @@
   attempt->failed = result->status >= 500;
 }
 
-/* Remember how the endpoint did, for the choices to come. */
+/* Updates the endpoint's health, which later picks use. */
 static void
-try_note (gt_relay_t *relay, const net_result_t *result,
-          const rt_attempt_t *attempt)
+attempt_record_health (gt_relay_t *relay, const net_result_t *result,
+                       const rt_attempt_t *attempt)
 {
   el_time_t now = net_clock_now (relay->relays->options.clock);
-  rt_target_t *fault = relay_at_fault (relay, result);
+  rt_target_t *fault = relay_fault_target (relay, result);
 
   if (attempt->answered && !attempt->failed)
     rt_target_served (relay->target, now - relay->sent);
@@ -277,11 +281,11 @@
   rt_tried_add (&relay->tried, fault);
 }
 
-/* What the exchange says of the endpoint's life, and of the request's part in
-   its end. */
+/* Updates the endpoint's liveness and, if the exchange broke, records the
+   request as a possible cause of a crash. */
 static void
-try_blame (gt_relay_t *relay, const net_result_t *result,
-           const rt_attempt_t *attempt)
+attempt_record_blame (gt_relay_t *relay, const net_result_t *result,
+                      const rt_attempt_t *attempt)
 {
   gt_relays_t *relays = relay->relays;
 
@@ -296,58 +300,61 @@
   relay_blame_broken (relay, relay->target);
   if (relay->line.n)
     relay_check_poll (relays, relay->target,
-                      net_clock_now (relays->options.clock) - ASK_GAP);
+                      net_clock_now (relays->options.clock)
+                          - CHECK_MIN_INTERVAL);
 }
 
-/* It never left: nothing was spent on it, and another endpoint is chosen. */
+/* The send was cancelled before any byte left: another target is picked, and
+   nothing is charged to the retry budget. */
 static void
-try_kept (gt_relay_t *relay)
+attempt_not_sent (gt_relay_t *relay)
 {
   relay->relays->counts.kept++;
   EL_LOG (EL_LOG_INFO, "kept_back", EL_FS ("request", relay->id),
           EL_FS ("endpoint", relay->target->facts.id));
-  try_release (relay);
+  attempt_release (relay);
   relay_try (relay);
 }
 
 static int
-try_may (void *arg)
+attempt_permitted (void *arg)
 {
   gt_relay_t *relay = arg;
 
-  return relay_rest_may (relay, net_clock_now (relay->relays->options.clock));
+  return relay_backoff_permits (relay,
+                                net_clock_now (relay->relays->options.clock));
 }
 
 static void
-try_done (void *arg, const net_result_t *result)
+attempt_done (void *arg, const net_result_t *result)
 {
   gt_relay_t *relay = arg;
   rt_attempt_t attempt;
 
   relay->exchange = NULL;
-  relay_watch_end (relay);
+  relay_watch_stop (relay);
   if (result->net == NET_HELD)
     {
-      try_kept (relay);
+      attempt_not_sent (relay);
       return;
     }
-  try_judge (relay, result, &attempt);
-  try_blame (relay, result, &attempt);
-  try_note (relay, result, &attempt);
-  if (relay->begun && !relay->stream)
-    attempt.answered = 0; /* its failure can't follow a stream's head */
-  if (relay->begun && attempt.answered)
+  attempt_classify (relay, result, &attempt);
+  attempt_record_blame (relay, result, &attempt);
+  attempt_record_health (relay, result, &attempt);
+  if (relay->response_started && !relay->stream)
+    attempt.answered = 0; /* an error response can't follow a stream's head */
+  if (relay->response_started && attempt.answered)
     {
-      relay_answer_end (relay);
-      try_release (relay);
+      relay_respond_end (relay);
+      attempt_release (relay);
       return;
     }
-  try_after (relay, &attempt, result);
+  attempt_follow_up (relay, &attempt, result);
 }
 
-/* What follows an attempt; a repeat is paid for from the budget. */
+/* Decides what follows an attempt. A retry is charged to the budget. */
 static rt_next_t
-try_next (gt_relay_t *relay, const rt_attempt_t *attempt)
+attempt_next (gt_relay_t *relay, const rt_attempt_t *attempt)
 {
   el_time_t now = net_clock_now (relay->relays->options.clock);
   el_time_t left = relay->deadline > now ? relay->deadline - now : 0;
@@ -355,100 +362,102 @@
   rt_next_t next
       = rt_course_next (&relay->course, relay->rule, attempt, 1, left);
 
-  if (next != RT_NEXT_AGAIN || relay_spend_take (relay))
+  if (next != RT_NEXT_AGAIN || relay_retry_take (relay))
     return next;
   relay->course = before;
   return rt_course_next (&relay->course, relay->rule, attempt, 0, left);
 }
 
-/* The endpoint's answer goes to the caller, with what was collected of it. */
+/* Forwards the endpoint's response with its buffered body. */
 static void
-try_pass (gt_relay_t *relay, const net_result_t *result)
+attempt_forward (gt_relay_t *relay, const net_result_t *result)
 {
   net_result_t whole = *result;
 
   whole.body = el_buf_str (&relay->out);
-  relay_answer_pass (relay, &whole);
+  relay_respond_whole (relay, &whole);
 }
 
 static void
-again_due (void *arg, el_time_t now)
+retry_due (void *arg, el_time_t now)
 {
   (void)now;
   relay_try (arg);
 }
 
-/* Send once more. After a break it is known in a moment whether the endpoint
-   has ended, and whether the request is to blame for it. */
+/* Retries. After a broken exchange, waits until it is known whether the
+   endpoint crashed and the request is to blame. */
 static void
-try_again (gt_relay_t *relay, int broken)
+attempt_retry (gt_relay_t *relay, int broken)
 {
   gt_relay_counts_t *counts = &relay->relays->counts;
 
   counts->repeats++;
-  counts->resumed += relay->begun != 0;
-  relay->turn.cb = again_due;
+  counts->resumed += relay->response_started != 0;
+  relay->turn.cb = retry_due;
   relay->turn.arg = relay;
   if (broken)
-    net_clock_set (relay->relays->options.clock, &relay->turn, BROKEN_WAIT);
+    net_clock_set (relay->relays->options.clock, &relay->turn,
+                   BROKEN_RETRY_DELAY);
   else if (!relay->waits || !relay_wait_endpoint (relay))
     relay_try (relay);
 }
 
-/* Decide what follows an attempt that was not simply passed on. */
+/* Handles an attempt whose response was not simply forwarded. */
 static void
-try_after (gt_relay_t *relay, const rt_attempt_t *attempt,
-           const net_result_t *result)
+attempt_follow_up (gt_relay_t *relay, const rt_attempt_t *attempt,
+                   const net_result_t *result)
 {
-  rt_next_t next = try_next (relay, attempt);
+  rt_next_t next = attempt_next (relay, attempt);
 
   if (next == RT_NEXT_PASS)
     {
-      try_pass (relay, result);
+      attempt_forward (relay, result);
       return;
     }
   relay_log_failed (relay, attempt, result, next);
-  try_release (relay);
-  if (!relay->begun)
+  attempt_release (relay);
+  if (!relay->response_started)
     el_buf_reset (&relay->out);
   relay_events_reset (&relay->events);
   if (next == RT_NEXT_AGAIN)
-    try_again (relay, result->net == NET_BROKEN);
-  else if (relay->begun)
-    relay_answer_break (relay, "no endpoint goes on with it");
+    attempt_retry (relay, result->net == NET_BROKEN);
+  else if (relay->response_started)
+    relay_respond_abort (relay, "no endpoint goes on with it");
   else if (next == RT_NEXT_REFUSE)
-    try_refuse (relay, "not run");
+    attempt_refuse (relay, "not run");
   else
-    try_fail (relay, "may have run");
+    attempt_fail (relay, "may have run");
 }
 
-/** Whether the stream may go on at another line after the attempt under way.
- */
+/** Whether the stream may be resumed on another pipeline after the current
+    attempt. */
 int
 relay_may_resume (gt_relay_t *relay)
 {
   return relay->rule->resumable
          && relay->course.may_run + 1 < relay->rule->attempts
-         && relay_spend_left (relay);
+         && relay_retry_left (relay);
 }
 
-/** End the attempt under way as one that may have run, and go on. */
+/** Cancels the current attempt, counts it as possibly executed, and retries.
+ */
 void
-relay_abandon (gt_relay_t *relay)
+relay_abandon_attempt (gt_relay_t *relay)
 {
   const rt_attempt_t attempt
-      = { .verdict = EL_MAY_HAVE_RUN, .begun = relay->begun };
+      = { .verdict = EL_MAY_HAVE_RUN, .begun = relay->response_started };
   const net_result_t result = { .net = NET_BROKEN };
 
-  relay_watch_end (relay);
+  relay_watch_stop (relay);
   net_client_cancel (relay->exchange);
   relay->exchange = NULL;
   rt_tried_add (&relay->tried, relay->target);
-  try_after (relay, &attempt, &result);
+  attempt_follow_up (relay, &attempt, &result);
 }
 
 static void
-try_send (gt_relay_t *relay, el_time_t now)
+attempt_send (gt_relay_t *relay, el_time_t now)
 {
   const gt_relay_options_t *o = &relay->relays->options;
   const h2o_req_t *req = relay->req;
@@ -459,14 +468,14 @@
           .method = net_req_method (req),
           .path = { req->path.base, req->path.len },
           .body = net_req_body (req),
-          .max_idle = relay->rule->kind == RT_UNSAFE ? UNSAFE_IDLE : 0,
-          .may = try_may,
-          .head = try_head,
-          .piece = try_piece,
-          .done = try_done,
+          .max_idle = relay->rule->kind == RT_UNSAFE ? UNSAFE_MAX_IDLE : 0,
+          .may = attempt_permitted,
+          .head = attempt_head,
+          .piece = attempt_body,
+          .done = attempt_done,
           .arg = relay };
 
-  relay_head_make (relay, now, &head);
+  relay_head_build (relay, now, &head);
   send.headers = head.list;
   send.nheaders = head.n;
   relay->refused = 0;
@@ -477,29 +486,29 @@
   relay->asks = (rt_asks_t){ 0 };
   relay->relays->counts.attempts++;
   relay_log_sent (relay, now);
-  relay_rest_sent (relay, now);
+  relay_backoff_sent (relay, now);
   relay->exchange = net_client_send (o->client, &send);
   relay_head_free (&head);
   if (relay->line.n)
-    relay_watch_begin (relay);
+    relay_watch_start (relay);
 }
 
-/** RELAY is not to be sent any more, nor to run on. */
+/** Ends the request: cancels its attempt and fails the response. */
 void
 relay_give_up (gt_relay_t *relay, const char *reason)
 {
   int sent = relay->exchange != NULL;
 
-  relay_drop (relay);
-  if (relay->begun)
-    relay_answer_break (relay, reason);
+  relay_cancel_attempt (relay);
+  if (relay->response_started)
+    relay_respond_abort (relay, reason);
   else if (relay->course.may_run || sent)
-    try_fail (relay, reason);
+    attempt_fail (relay, reason);
   else
-    try_refuse (relay, reason);
+    attempt_refuse (relay, reason);
 }
 
-/** Send the request to the endpoint or line that suits best now. */
+/** Starts an attempt at the best target available now. */
 void
 relay_try (gt_relay_t *relay)
 {
@@ -512,17 +521,17 @@
     }
   if (relay_suspect_waits (relay, now))
     return;
-  if (try_choose (relay, now))
+  if (attempt_pick_target (relay, now))
     {
-      try_send (relay, now);
+      attempt_send (relay, now);
       return;
     }
   if (relay_wait_endpoint (relay))
     return;
-  if (relay->begun)
-    relay_answer_break (relay, "no endpoint to go on at");
+  if (relay->response_started)
+    relay_respond_abort (relay, "no endpoint to go on at");
   else if (relay->course.may_run)
-    try_fail (relay, "may have run, no endpoint left");
+    attempt_fail (relay, "may have run, no endpoint left");
   else
-    try_refuse (relay, "no endpoint");
+    attempt_refuse (relay, "no endpoint");
 }
--- a/gate/relay_wait.c
+++ b/gate/relay_wait.c
@@ -3,37 +3,37 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Streams that have lost their endpoint and find none to go on at: they wait,
- * since what their callers have is worth more than a new request, until the
- * request's time is over or its caller leaves.
+ * Streams that lost their endpoint and found none to resume at. They wait
+ * until their deadline or until the caller disconnects: what a caller has
+ * already received is worth more than a new request.
  */
 #include "librelay.h"
 
-/* Until it looks for an endpoint again, at first and at the most: streams end
-   and make room every few milliseconds; other engines hold the layers of one
-   that ended after 0.4 s at the soonest. */
-#define WAIT_LEAST (25 * EL_MSEC)
-#define WAIT_MOST (400 * EL_MSEC)
+/* Delay before looking for an endpoint again, doubled each time: streams end
+   and free capacity every few milliseconds; other engines hold the layers of
+   a crashed one after 0.4 s at the earliest. */
+#define WAIT_MIN (25 * EL_MSEC)
+#define WAIT_MAX (400 * EL_MSEC)
 
 static void
-wait_over (void *arg, el_time_t now)
+wait_expired (void *arg, el_time_t now)
 {
   gt_relay_t *relay = arg;
 
   (void)now;
-  relay->tried.n = 0; /* who refused before may have room now */
+  relay->tried.n = 0; /* endpoints that refused before may have capacity now */
   relay_try (relay);
 }
 
-/** Let RELAY look for an endpoint again in a while, each time later; gives 0
-    if it is not a stream that may go on. */
+/** Schedules another attempt, with a longer delay each time. Returns 0 if
+    RELAY is not a stream in progress that can be resumed. */
 int
 relay_wait_endpoint (gt_relay_t *relay)
 {
   gt_relays_t *relays = relay->relays;
-  el_time_t wait = WAIT_MOST;
+  el_time_t wait = WAIT_MAX;
 
-  if (!relay->begun || !relay->rule->resumable)
+  if (!relay->response_started || !relay->rule->resumable)
     return 0;
   if (relay->waits == 0)
     {
@@ -43,9 +43,9 @@
               EL_FN ("sent", relay->course.sent),
               EL_FC ("reason", "no endpoint to go on at"));
     }
-  if (WAIT_LEAST << relay->waits < WAIT_MOST)
-    wait = WAIT_LEAST << relay->waits++;
-  relay->turn.cb = wait_over;
+  if (WAIT_MIN << relay->waits < WAIT_MAX)
+    wait = WAIT_MIN << relay->waits++;
+  relay->turn.cb = wait_expired;
   relay->turn.arg = relay;
   net_clock_set (relays->options.clock, &relay->turn, wait);
   return 1;
--- a/gate/relay_watch.c
+++ b/gate/relay_watch.c
@@ -3,133 +3,134 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Streams that stand still: found by the time since their last event, and
- * moved around the engine that holds them up. First the engines of the line
- * are asked for a sign of life; when all live, the first one is asked where
- * the stream waits.
+ * Detection of stalled streams by the time since their last event. First
+ * the engines of the pipeline are sent health checks; if all respond, the
+ * pipeline's first engine is asked where the stream is stalled. The stream
+ * is then rerouted around that engine.
  */
 #include <string.h>
 
 #include "librelay.h"
 
-/* A stream without an event for this long stands still. */
-#define STILL_AFTER (75 * EL_MSEC)
-/* The same before the first event, until which a prompt is read. */
-#define STILL_FIRST (150 * EL_MSEC)
-/* Where all streams are slow, one stands still after this many times what is
-   usual on this host. */
-#define STILL_TIMES 2
-#define STILL_FIRST_TIMES 3
-#define USUAL_OVER 32
-/* A timer that fires later than this was held up with the process. */
-#define HELD_UP (10 * EL_MSEC)
-#define LOOK_AGAIN (100 * EL_MSEC)
-/* The same for a stream that can't be helped now. */
-#define WAIT_AGAIN (400 * EL_MSEC)
-/* One look of so many asks the first engine where the stream waits; the
-   others ask the engines of the line for a sign of life. */
-#define LOOKS_ASK 4
-/* Which one of them. */
-#define LOOKS_ASK_AT 2
-#define LOOKS_MAX 30
-/* Moves that fail before the stream is begun anew at another line. */
-#define MOVES_MAX 3
-
-static void watch_look (void *arg, el_time_t now);
-static void watch_move (gt_relay_t *relay);
-static void watch_moved (void *arg, int done, el_str_t at_fault,
-                         const rt_asks_t *asks);
+/* A stream is stalled after this long without an event. */
+#define STALL_TIMEOUT (75 * EL_MSEC)
+/* The same before the first event, while the prompt is read. */
+#define FIRST_EVENT_TIMEOUT (150 * EL_MSEC)
+/* If all streams are slow, the limit is this many times the mean of this
+   host. */
+#define STALL_MEAN_FACTOR 2
+#define FIRST_EVENT_MEAN_FACTOR 3
+#define MEAN_WINDOW 32
+/* A timer that fires later than this was delayed with the process. */
+#define LATE_TIMER (10 * EL_MSEC)
+#define WATCH_INTERVAL (100 * EL_MSEC)
+/* The interval for a stream that can't be retried now. */
+#define HELD_INTERVAL (400 * EL_MSEC)
+/* One of QUERY_PERIOD stall checks, the one at QUERY_PHASE, asks the first
+   engine where the stream is stalled; the others send health checks. */
+#define QUERY_PERIOD 4
+#define QUERY_PHASE 2
+#define STALL_CHECKS_MAX 30
+/* Refused reroutes before the stream is restarted on another pipeline. */
+#define REROUTES_MAX 3
+
+static void watch_tick (void *arg, el_time_t now);
+static void watch_move_stream (gt_relay_t *relay);
+static void watch_reroute_done (void *arg, int done, el_str_t at_fault,
+                                const rt_asks_t *asks);
 
 static el_time_t
-watch_limit (const gt_relay_t *relay)
+stall_timeout (const gt_relay_t *relay)
 {
   const gt_relays_t *relays = relay->relays;
-  el_time_t usual = relay->nevents ? STILL_TIMES * relays->usual_gap
-                                   : STILL_FIRST_TIMES * relays->usual_first;
-  el_time_t least = relay->nevents ? STILL_AFTER : STILL_FIRST;
+  el_time_t scaled_mean
+      = relay->nevents ? STALL_MEAN_FACTOR * relays->mean_event_gap
+                       : FIRST_EVENT_MEAN_FACTOR * relays->mean_first_event;
+  el_time_t min = relay->nevents ? STALL_TIMEOUT : FIRST_EVENT_TIMEOUT;
 
-  return usual > least ? usual : least;
+  return scaled_mean > min ? scaled_mean : min;
 }
 
-/* A moving mean over the last USUAL_OVER values or so. */
+/* Updates an exponential moving mean over about MEAN_WINDOW values. */
 static void
-usual_add (el_time_t *usual, el_time_t value)
+mean_update (el_time_t *mean, el_time_t value)
 {
-  *usual = *usual - *usual / USUAL_OVER + value / USUAL_OVER;
+  *mean = *mean - *mean / MEAN_WINDOW + value / MEAN_WINDOW;
 }
 
-/* The stream goes: what was tried while it stood still is over. */
+/* Clears the stall state: the stream makes progress. */
 static void
-watch_forget (gt_relay_t *relay)
+watch_reset (gt_relay_t *relay)
 {
-  relay->looks = 0;
-  relay->moves = 0;
+  relay->stall_checks = 0;
+  relay->reroutes = 0;
   relay->avoid.n = 0;
 }
 
-/* Let go of what was asked, and of the line that was to be moved to. */
+/* Cancels the query and releases the new pipeline. */
 static void
-watch_drop_ask (gt_relay_t *relay)
+watch_cancel_query (gt_relay_t *relay)
 {
   if (relay->ask)
     net_client_cancel (relay->ask);
   relay->ask = NULL;
-  rt_line_release (&relay->next_line);
+  rt_line_release (&relay->reroute_line);
 }
 
-/** The stream was sent: wait for its first event. */
+/** Starts watching a stream that was just sent. */
 void
-relay_watch_begin (gt_relay_t *relay)
+relay_watch_start (gt_relay_t *relay)
 {
-  relay->watch.cb = watch_look;
+  relay->watch.cb = watch_tick;
   relay->watch.arg = relay;
-  relay->still_since = relay->sent;
-  watch_forget (relay);
+  relay->last_progress = relay->sent;
+  watch_reset (relay);
   if (relay->relays->options.dialect->check)
-    net_clock_set (relay->relays->options.clock, &relay->watch, STILL_FIRST);
+    net_clock_set (relay->relays->options.clock, &relay->watch,
+                   FIRST_EVENT_TIMEOUT);
 }
 
-/** An event came after GAP. */
+/** Records an event that came after GAP. */
 void
 relay_watch_event (gt_relay_t *relay, el_time_t gap)
 {
-  usual_add (relay->nevents ? &relay->relays->usual_gap
-                            : &relay->relays->usual_first,
-             gap);
-  relay->still_since = net_clock_now (relay->relays->options.clock);
-  watch_forget (relay);
+  mean_update (relay->nevents ? &relay->relays->mean_event_gap
+                              : &relay->relays->mean_first_event,
+               gap);
+  relay->last_progress = net_clock_now (relay->relays->options.clock);
+  watch_reset (relay);
 }
 
-/** No longer look after the stream. */
+/** Stops watching the stream. */
 void
-relay_watch_end (gt_relay_t *relay)
+relay_watch_stop (gt_relay_t *relay)
 {
   net_clock_cancel (relay->relays->options.clock, &relay->watch);
-  watch_drop_ask (relay);
+  watch_cancel_query (relay);
 }
 
 static void
-watch_again (gt_relay_t *relay, el_time_t wait)
+watch_schedule (gt_relay_t *relay, el_time_t wait)
 {
   net_clock_set (relay->relays->options.clock, &relay->watch, wait);
 }
 
-/* Have the first engine pass the stream on over the line that was found. */
+/* Tells the first engine to continue the stream over the new pipeline. */
 static void
 watch_reroute (gt_relay_t *relay)
 {
   const gt_relay_options_t *o = &relay->relays->options;
 
-  rt_line_hold (&relay->next_line, &relay->line, relay->tokens);
-  relay->ask = o->dialect->reroute (o->client, relay->id, &relay->next_line,
-                                    watch_moved, relay);
+  rt_line_hold (&relay->reroute_line, &relay->line, relay->tokens);
+  relay->ask = o->dialect->reroute (o->client, relay->id, &relay->reroute_line,
+                                    watch_reroute_done, relay);
 }
 
-/* Send the stream again. One that may not be sent again stays where it is: its
-   engine may come back, and silence is no reason to end what a caller waits
-   for. */
+/* Restarts the stream. One that may not be retried stays where it is: its
+   engine may come back, and silence is no reason to end a response that the
+   caller waits for. */
 static void
-watch_begin_anew (gt_relay_t *relay, const char *why)
+watch_restart_stream (gt_relay_t *relay, const char *why)
 {
   int may = relay_may_resume (relay);
 
@@ -138,28 +139,28 @@
           EL_FN ("events", relay->nevents), EL_FC ("reason", why));
   if (may)
     {
-      relay_abandon (relay);
+      relay_abandon_attempt (relay);
       return;
     }
   relay->relays->counts.held++;
-  watch_forget (relay);
-  watch_again (relay, WAIT_AGAIN);
+  watch_reset (relay);
+  watch_schedule (relay, HELD_INTERVAL);
 }
 
-/* A move was refused: go around the engine that can't have its part, too. A
-   stream that is only slow stays where it is. */
+/* Bypasses the engine that refused its part, too. A stream that left only
+   for a slow engine, or for released layers, stays where it is. */
 static void
-watch_not_moved (gt_relay_t *relay, el_str_t at_fault)
+watch_reroute_failed (gt_relay_t *relay, el_str_t at_fault)
 {
-  rt_target_t *engine = rt_line_engine (&relay->next_line, at_fault);
+  rt_target_t *engine = rt_line_engine (&relay->reroute_line, at_fault);
 
-  /* Where none is named, one of the new ones has no room. */
+  /* If none is named, one of the new engines has no room. */
   if (!engine)
-    engine = rt_line_fullest (&relay->next_line, &relay->line);
+    engine = rt_line_fullest (&relay->reroute_line, &relay->line);
   if (relay->avoid.n == 0)
     {
-      rt_line_release (&relay->next_line);
-      watch_again (relay, LOOK_AGAIN);
+      rt_line_release (&relay->reroute_line);
+      watch_schedule (relay, WATCH_INTERVAL);
       return;
     }
   if (engine)
@@ -169,15 +170,16 @@
       if (at_fault.len)
         relay_check (relay->relays, engine);
     }
-  rt_line_release (&relay->next_line);
-  if (++relay->moves >= MOVES_MAX)
-    watch_begin_anew (relay, "moves were refused");
+  rt_line_release (&relay->reroute_line);
+  if (++relay->reroutes >= REROUTES_MAX)
+    watch_restart_stream (relay, "reroutes refused");
   else
-    watch_move (relay);
+    watch_move_stream (relay);
 }
 
 static void
-watch_moved (void *arg, int done, el_str_t at_fault, const rt_asks_t *asks)
+watch_reroute_done (void *arg, int done, el_str_t at_fault,
+                    const rt_asks_t *asks)
 {
   gt_relay_t *relay = arg;
 
@@ -185,64 +187,64 @@
   gt_relays_asked (relay->relays, relay->target, asks, relay->id);
   EL_LOG (EL_LOG_INFO, done ? "stream_moved" : "stream_not_moved",
           EL_FS ("request", relay->id), EL_FN ("events", relay->nevents),
-          EL_FN ("parts", relay->next_line.n), EL_FN ("moves", relay->moves),
-          EL_FS ("fault", at_fault));
+          EL_FN ("parts", relay->reroute_line.n),
+          EL_FN ("moves", relay->reroutes), EL_FS ("fault", at_fault));
   if (!done)
     {
-      watch_not_moved (relay, at_fault);
+      watch_reroute_failed (relay, at_fault);
       return;
     }
   relay->relays->counts.rerouted++;
   rt_line_release (&relay->line);
-  relay->line = relay->next_line;
-  relay->next_line.n = 0;
-  watch_again (relay, LOOK_AGAIN);
+  relay->line = relay->reroute_line;
+  relay->reroute_line.n = 0;
+  watch_schedule (relay, WATCH_INTERVAL);
 }
 
-/* Move the stream around the engines to avoid. A line that leaves the hall has
-   all tokens so far cross the pipe that all share; reading them at another
-   hall's own line is sooner. */
+/* Moves the stream around the engines to avoid. A pipeline that leaves the
+   hall sends all tokens so far over the shared link between halls; reading
+   them again in another hall's own pipeline is faster. */
 static void
-watch_move (gt_relay_t *relay)
+watch_move_stream (gt_relay_t *relay)
 {
   const gt_relay_options_t *o = &relay->relays->options;
-  const char *why = "its first engine is lost";
+  const char *why = "first engine lost";
 
   if (!rt_tried_has (&relay->avoid, relay->target))
     {
       why = "no line around the engine in its hall";
       if (rt_line_around (o->fleet, net_clock_now (o->clock), relay->service,
-                          &relay->line, &relay->avoid, &relay->next_line)
-          && !(rt_line_crosses (&relay->next_line)
+                          &relay->line, &relay->avoid, &relay->reroute_line)
+          && !(rt_line_crosses (&relay->reroute_line)
                && relay_may_resume (relay)))
         {
           watch_reroute (relay);
           return;
         }
     }
-  relay->next_line.n = 0;
-  watch_begin_anew (relay, why);
+  relay->reroute_line.n = 0;
+  watch_restart_stream (relay, why);
 }
 
-/** ENGINE, on the stream's line, gives no sign of life. */
+/** ENGINE, in the stream's pipeline, does not respond. */
 void
-relay_watch_silent (gt_relay_t *relay, rt_target_t *engine)
+relay_watch_engine_silent (gt_relay_t *relay, rt_target_t *engine)
 {
   EL_LOG (EL_LOG_INFO, "stream_through_silent_engine",
           EL_FS ("request", relay->id), EL_FS ("engine", engine->facts.id),
           EL_FN ("events", relay->nevents),
           EL_FN ("still_us", net_clock_now (relay->relays->options.clock)
-                                 - relay->still_since));
-  watch_drop_ask (relay);
+                                 - relay->last_progress));
+  watch_cancel_query (relay);
   relay_blame_broken (relay, engine);
   rt_tried_add (&relay->avoid, engine);
-  watch_move (relay);
+  watch_move_stream (relay);
 }
 
-/** ENGINE, on the stream's line, runs slowly: use a copy of it in the same
-    hall when there is one. */
+/** ENGINE, in the stream's pipeline, is slow: moves the stream to a copy in
+    the same hall, if there is one. */
 void
-relay_watch_slow (gt_relay_t *relay, rt_target_t *engine)
+relay_watch_engine_slow (gt_relay_t *relay, rt_target_t *engine)
 {
   const gt_relay_options_t *o = &relay->relays->options;
   rt_tried_t tried = { .n = 0 };
@@ -251,16 +253,16 @@
   if (relay->ask)
     return;
   if (rt_line_around (o->fleet, net_clock_now (o->clock), relay->service,
-                      &relay->line, &tried, &relay->next_line)
-      && !rt_line_crosses (&relay->next_line))
+                      &relay->line, &tried, &relay->reroute_line)
+      && !rt_line_crosses (&relay->reroute_line))
     watch_reroute (relay);
   else
-    relay->next_line.n = 0;
+    relay->reroute_line.n = 0;
 }
 
-/* Whether the stream passes ENGINE by layers that it holds no more. */
+/* Whether the stream uses layers of ENGINE that it no longer holds. */
 static int
-watch_passes_given_up (const gt_relay_t *relay, const rt_target_t *engine)
+watch_uses_released_layers (const gt_relay_t *relay, const rt_target_t *engine)
 {
   size_t i;
 
@@ -276,28 +278,30 @@
   return 0;
 }
 
-/** ENGINE, on the stream's line, may have given up what it runs of it: it
-   loads nothing before its streams are over or gone. From an order that moves
-   a spare copy to the copy in its place: 5.9 s in the mean with streams that
-    stay to their end, 2.5 s with this (17 and 18 moves). */
+/** ENGINE, in the stream's pipeline, may have released layers that the
+    stream uses: it loads no others until its streams have ended or left. The
+    mean time from an order that moves a spare copy until the copy is in place
+    was 5.9 s with streams that stay to their end, and 2.5 s with this (17 and
+    18 moves). */
 void
-relay_watch_given_up (gt_relay_t *relay, rt_target_t *engine)
+relay_watch_layers_released (gt_relay_t *relay, rt_target_t *engine)
 {
   const gt_relay_options_t *o = &relay->relays->options;
   rt_tried_t tried = { .n = 0 };
 
-  if (relay->ask || !watch_passes_given_up (relay, engine))
+  if (relay->ask || !watch_uses_released_layers (relay, engine))
     return;
   rt_tried_add (&tried, engine);
   if (rt_line_around (o->fleet, net_clock_now (o->clock), relay->service,
-                      &relay->line, &tried, &relay->next_line))
+                      &relay->line, &tried, &relay->reroute_line))
     watch_reroute (relay);
   else
-    relay->next_line.n = 0;
+    relay->reroute_line.n = 0;
 }
 
 static void
-watch_told (void *arg, int answered, el_str_t address, const rt_asks_t *asks)
+watch_query_done (void *arg, int answered, el_str_t address,
+                  const rt_asks_t *asks)
 {
   gt_relay_t *relay = arg;
   rt_target_t *engine = rt_line_engine (&relay->line, address);
@@ -306,58 +310,60 @@
   gt_relays_asked (relay->relays, relay->target, asks, relay->id);
   EL_LOG (EL_LOG_INFO, "stream_stands_still", EL_FS ("request", relay->id),
           EL_FN ("answered", answered), EL_FS ("engine", address),
-          EL_FN ("looks", relay->looks), EL_FN ("events", relay->nevents),
+          EL_FN ("looks", relay->stall_checks),
+          EL_FN ("events", relay->nevents),
           EL_FN ("still_us", net_clock_now (relay->relays->options.clock)
-                                 - relay->still_since));
+                                 - relay->last_progress));
   if (engine)
     {
-      /* It may live and be out of its neighbours' reach. */
+      /* It may be alive but out of its neighbours' reach. */
       rt_target_changed (engine, net_clock_now (relay->relays->options.clock));
       rt_tried_add (&relay->avoid, engine);
-      watch_move (relay);
+      watch_move_stream (relay);
     }
   else
-    watch_again (relay, LOOK_AGAIN);
+    watch_schedule (relay, WATCH_INTERVAL);
 }
 
-/* Ask the engines of the line for a sign of life; look again, each time later.
- */
+/* Sends health checks to the engines of the pipeline; waits longer each
+   time. */
 static void
 watch_check (gt_relay_t *relay)
 {
-  unsigned later = relay->looks < LOOKS_ASK ? relay->looks : LOOKS_ASK;
+  unsigned doublings = relay->stall_checks < QUERY_PERIOD ? relay->stall_checks
+                                                          : QUERY_PERIOD;
   size_t i;
 
   for (i = 0; i < relay->line.n; i++)
     relay_check (relay->relays, relay->line.part[i].target);
-  watch_again (relay, LOOK_AGAIN << later);
+  watch_schedule (relay, WATCH_INTERVAL << doublings);
 }
 
-/* Time passed; look whether the stream moves. */
+/* Checks whether the stream is stalled. */
 static void
-watch_look (void *arg, el_time_t now)
+watch_tick (void *arg, el_time_t now)
 {
   gt_relay_t *relay = arg;
   const gt_relay_options_t *o = &relay->relays->options;
-  el_time_t limit = watch_limit (relay);
-  el_time_t still = now - relay->still_since;
+  el_time_t limit = stall_timeout (relay);
+  el_time_t stalled_for = now - relay->last_progress;
 
-  if (still < limit)
+  if (stalled_for < limit)
     {
-      watch_again (relay, limit - still);
+      watch_schedule (relay, limit - stalled_for);
       return;
     }
-  if (now > relay->watch.due + HELD_UP)
+  if (now > relay->watch.due + LATE_TIMER)
     {
-      /* This process was held up: events may wait to be read. */
-      watch_again (relay, HELD_UP);
+      /* The process was delayed: events may be waiting to be read. */
+      watch_schedule (relay, LATE_TIMER);
       return;
     }
-  if (relay->ask || relay->looks++ >= LOOKS_MAX)
+  if (relay->ask || relay->stall_checks++ >= STALL_CHECKS_MAX)
     return;
-  if (relay->looks % LOOKS_ASK == LOOKS_ASK_AT)
+  if (relay->stall_checks % QUERY_PERIOD == QUERY_PHASE)
     relay->ask = o->dialect->ask_stalled (o->client, relay->target, relay->id,
-                                          watch_told, relay);
+                                          watch_query_done, relay);
   else
     watch_check (relay);
 }
