--- a/gate/librelay.h
+++ b/gate/librelay.h
@@ -267,7 +267,7 @@
 void relay_log_failed (gt_relay_t *relay, const rt_attempt_t *attempt,
                        const net_result_t *result, rt_next_t next);
 
-/* relay_answer.c */
+/* relay_response.c */
 void relay_answer_refuse (gt_relay_t *relay, int status, const char *reason,
                           el_time_t retry_after);
 void relay_respond_whole (gt_relay_t *relay, const net_result_t *result);
