--- a/gate/gate_relay.h
+++ b/gate/gate_relay.h
@@ -46,8 +46,8 @@
 } gt_life_t;
 
 /** Result of a health check; LOAD is NULL if the engine did not report any. */
-typedef void (*gt_check_cb) (void *arg, gt_life_t life, const rt_load_t *load,
-                             const rt_asks_t *asks);
+typedef void (*gt_check_cb) (void *arg, gt_life_t result,
+                             const rt_load_t *load, const rt_asks_t *asks);
 /** Result of a reroute. If not DONE, AT_FAULT is the address of the engine
     that can't take its part, or empty if none was named. */
 typedef void (*gt_reroute_cb) (void *arg, int done, el_str_t at_fault,
@@ -98,7 +98,7 @@
   uint64_t attempts;
   uint64_t repeats;  /**< attempts after a request's first */
   uint64_t resumed;  /**< streams resumed on another pipeline */
-  uint64_t rerouted; /**< streams rerouted within their pipeline */
+  uint64_t rerouted; /**< streams rerouted without a retry */
   uint64_t held;     /**< stalled streams that may not be retried */
   uint64_t waits;    /**< streams that waited for an endpoint to resume at */
   uint64_t checks;   /**< health checks sent to engines */
--- a/gate/relay_check.c
+++ b/gate/relay_check.c
@@ -140,13 +140,13 @@
 }
 
 static void
-check_done (void *arg, gt_life_t life, const rt_load_t *load,
+check_done (void *arg, gt_life_t result, const rt_load_t *load,
             const rt_asks_t *asks)
 {
   relay_check_t *check = arg;
   gt_relays_t *relays = check->relays;
   rt_target_t *engine = check->engine;
-  int answered = life == GT_LIFE_SIGN;
+  int answered = result == GT_LIFE_SIGN;
   int was_silent = engine->access.silent;
 
   check->request = NULL;
@@ -154,7 +154,7 @@
   gt_relays_asked (relays, engine, asks, EL_STR ("check"));
   engine->asked = 0;
   engine->access.silent = !answered;
-  if (life == GT_LIFE_REFUSED && !engine->refused_at)
+  if (result == GT_LIFE_REFUSED && !engine->refused_at)
     engine->refused_at = check->asked;
   if (answered)
     engine->refused_at = 0;
@@ -176,7 +176,7 @@
   relays->counts.silent++;
   rt_target_ref (engine);
   check_each_stream (relays, engine, relay_watch_engine_silent);
-  if (life == GT_LIFE_REFUSED)
+  if (result == GT_LIFE_REFUSED)
     relay_blame_refused (relays, engine);
   if (engine->access.gone)
     check_free (check);
