--- a/elmarchd/site.c
+++ b/elmarchd/site.c
@@ -80,7 +80,7 @@
 rules_item (void *arg, const pr_item_t *item)
 {
   site_t *site = arg;
-  const rt_rules_t *now = gt_relays_in_force (site->relays);
+  const rt_rules_t *now = gt_relays_rules_in_force (site->relays);
   rt_rules_t *rules;
   el_err_t err;
 
@@ -98,7 +98,7 @@
       return 0;
     }
   else
-    gt_relays_rules (site->relays, rules);
+    gt_relays_set_rules (site->relays, rules);
   return rules != NULL;
 }
 
@@ -188,8 +188,8 @@
   site_t *site = arg;
 
   return !site->stopping && site->endpoints_known
-         && gt_relays_in_force (site->relays)
-         && !gt_relays_behind (site->relays);
+         && gt_relays_rules_in_force (site->relays)
+         && !gt_relays_rules_outdated (site->relays);
 }
 
 /* Bring the gauges up to date. */
@@ -220,7 +220,7 @@
   site->heard = 1;
   EL_LOG (EL_LOG_INFO, "hosts_heard", EL_FN ("known", known),
           EL_FN ("us", now - site->began));
-  gt_relays_heard (site->relays);
+  gt_relays_peers_heard (site->relays);
 }
 
 /* A host that does not reach the store refuses keyed requests soon: callers
@@ -229,8 +229,9 @@
 site_look (void *arg, el_time_t now)
 {
   site_t *site = arg;
-  int stale = !gt_relays_in_force (site->relays)
-              || gt_relays_behind (site->relays) || !site->endpoints_known
+  int stale = !gt_relays_rules_in_force (site->relays)
+              || gt_relays_rules_outdated (site->relays)
+              || !site->endpoints_known
               || now > site->rules_known + site_news_old (site) + STALE_SLACK;
 
   if (stale != site->withdrawn)
@@ -331,7 +332,7 @@
   site->endpoints_known = 1;
   site->rules_known = as_of;
   site_hear_all (site, net_clock_now (gt_gate_clock (site->gate)));
-  gt_relays_known (site->relays, as_of);
+  gt_relays_set_rules_as_of (site->relays, as_of);
   gt_gate_heard (site->gate);
 }
 
@@ -358,7 +359,7 @@
 {
   site_t *site = arg;
 
-  gt_relays_epoch (site->relays);
+  gt_relays_store_epoch_began (site->relays);
   gt_relays_blocked_keep (site->relays);
 }
 
@@ -437,7 +438,7 @@
 {
   site_t *site = arg;
 
-  return gt_relays_tell (site->relays, out);
+  return gt_relays_engine_reports (site->relays, out);
 }
 
 static void
@@ -445,7 +446,7 @@
 {
   site_t *site = arg;
 
-  gt_relays_hear (site->relays, news, n);
+  gt_relays_receive_reports (site->relays, news, n);
 }
 
 static void
@@ -470,7 +471,7 @@
   site_t *site = arg;
   const gt_store_counts_t *counts = &site->store.counts;
   pr_position_t at = gt_follow_position (site->follow);
-  json_t *json = gt_relays_closed (site->relays);
+  json_t *json = gt_relays_closed_endpoints (site->relays);
 
   json_object_set_new (json, "store",
                        json_pack ("{s:I,s:I,s:I,s:I,s:I}", "epoch",
@@ -535,8 +536,8 @@
                                 .seed = o->seed,
                                 .hosts = site_hosts,
                                 .hall_hosts = site_hall_hosts,
-                                .polls = site_polls,
-                                .polled = site_polled,
+                                .is_poller = site_polls,
+                                .poll_done = site_polled,
                                 .witness = gt_gate_witness (site->gate),
                                 .tell = site_tell_all,
                                 .blocked = site_blocked,
@@ -639,7 +640,7 @@
   el_time_t ran = now - site->stop_began;
 
   if (ran >= site->options.stop_least)
-    gt_relays_close (site->relays);
+    gt_relays_stop (site->relays);
   if (ran < site->options.stop_most
       && (ran < site->options.stop_least || gt_relays_running (site->relays)))
     {
@@ -666,7 +667,7 @@
   EL_LOG (EL_LOG_INFO, "relays_stopping",
           EL_FN ("running", gt_relays_running (site->relays)));
   gt_planner_stop (site->planner);
-  gt_relays_retire (site->relays);
+  gt_relays_drain_connections (site->relays);
   site->stop_look.cb = stop_look;
   site->stop_look.arg = site;
   net_clock_set (gt_gate_clock (site->gate), &site->stop_look,
--- a/gate/gate_relay.h
+++ b/gate/gate_relay.h
@@ -18,35 +18,35 @@
 typedef struct gt_relay gt_relay_t;
 
 /** Header names of a dialect, in lower case. */
-typedef struct gt_relay_names
+typedef struct gt_relay_headers
 {
   const char *id;        /**< request id, echoed in the response */
   const char *time_left; /**< milliseconds until the caller's deadline */
   const char *expect; /**< endpoint id; other endpoints refuse the request */
   const char *customer;
-  const char *not_run;  /**< on a response: the request was not executed */
-  const char *seal;     /**< on a response: marks it as the endpoint's own */
-  const char *resume;   /**< id of the last event that the caller received */
-  const char *tokens;   /**< prompt length and response limit, in tokens */
-  const char *guess;    /**< the caller's estimate of response tokens */
-  const char *urgency;  /**< priority of the prompt among those queued */
+  const char *not_executed; /**< on a response: the request was not executed */
+  const char *seal;   /**< on a response: marks it as the endpoint's own */
+  const char *resume; /**< id of the last event that the caller received */
+  const char *tokens; /**< prompt length and response limit, in tokens */
+  const char *expected_tokens; /**< the caller's estimate of response tokens */
+  const char *priority; /**< priority of the prompt among those queued */
   const char *line;     /**< engines of the pipeline */
   const char *at_fault; /**< on a refusal: address of the refusing engine */
-} gt_relay_names_t;
+} gt_relay_headers_t;
 
 /** Result of asking an engine where a stream is stalled. */
 typedef void (*gt_stalled_cb) (void *arg, int answered, el_str_t address,
                                const rt_asks_t *asks);
 /** Result of a health check. */
-typedef enum gt_life
+typedef enum gt_check_result
 {
-  GT_LIFE_NONE,    /**< no response: the engine or this host may be cut off */
-  GT_LIFE_REFUSED, /**< connection refused */
-  GT_LIFE_SIGN     /**< the engine responded */
-} gt_life_t;
+  GT_CHECK_NONE,    /**< no response: the engine or this host may be cut off */
+  GT_CHECK_REFUSED, /**< connection refused */
+  GT_CHECK_OK       /**< the engine responded */
+} gt_check_result_t;
 
 /** Result of a health check; LOAD is NULL if the engine did not report any. */
-typedef void (*gt_check_cb) (void *arg, gt_life_t result,
+typedef void (*gt_check_cb) (void *arg, gt_check_result_t result,
                              const rt_load_t *load, const rt_asks_t *asks);
 /** Result of a reroute. If not DONE, AT_FAULT is the address of the engine
     that can't take its part, or empty if none was named. */
@@ -54,26 +54,26 @@
                                const rt_asks_t *asks);
 
 /** Priority of a stream's prompt among those queued at an engine. */
-typedef enum gt_urgency
+typedef enum gt_priority
 {
-  GT_URGENT_GOING, /**< in progress: its caller already has events */
-  GT_URGENT_NEW,   /**< new, or resumed by its caller */
-  GT_URGENCIES
-} gt_urgency_t;
+  GT_PRIORITY_ACTIVE, /**< in progress: its caller already has events */
+  GT_PRIORITY_NEW,    /**< new, or resumed by its caller */
+  GT_PRIORITIES
+} gt_priority_t;
 
 /** Protocol differences between platforms. */
 typedef struct gt_relay_dialect
 {
-  gt_relay_names_t names;
-  const char *urgencies[GT_URGENCIES]; /**< header values */
+  gt_relay_headers_t names;
+  const char *priorities[GT_PRIORITIES]; /**< header values */
   void (*write_line) (const rt_line_t *line, el_buf_t *out);
   /** Reads the backoff and draining state that a response head announces. */
   void (*read_asks) (const net_result_t *head, rt_asks_t *out);
   /** Asks the first engine of a pipeline which engine the stream ID is
       waiting for. The exchange can be cancelled. */
-  net_exchange_t *(*ask_stalled) (net_client_t *client,
-                                  const rt_target_t *first, el_str_t id,
-                                  gt_stalled_cb done, void *arg);
+  net_exchange_t *(*query_stalled) (net_client_t *client,
+                                    const rt_target_t *first, el_str_t id,
+                                    gt_stalled_cb done, void *arg);
   /** Sends a health check to an engine. The exchange can be cancelled. */
   net_exchange_t *(*check) (net_client_t *client, const rt_target_t *engine,
                             gt_check_cb done, void *arg);
@@ -144,9 +144,9 @@
   /** Of these, those in this host's hall. */
   size_t (*hall_hosts) (void *arg);
   /** Whether this host polls the engines of its hall. */
-  int (*polls) (void *arg);
+  int (*is_poller) (void *arg);
   /** All slices were polled: the reports may be sent to other hosts. */
-  void (*polled) (void *arg);
+  void (*poll_done) (void *arg);
   uint64_t witness; /**< id of this host's incarnation */
   /** Gossips BODY under ID to all hosts for HOLD. */
   void (*tell) (void *arg, uint64_t id, el_time_t hold, el_str_t body);
@@ -158,16 +158,18 @@
 } gt_relay_options_t;
 
 gt_relays_t *gt_relays_new (const gt_relay_options_t *options, el_err_t *err);
-void gt_relays_rules (gt_relays_t *relays, rt_rules_t *rules);
-void gt_relays_known (gt_relays_t *relays, el_time_t as_of);
-const rt_rules_t *gt_relays_in_force (const gt_relays_t *relays);
-size_t gt_relays_tell (gt_relays_t *relays, pr_engine_t **out);
-void gt_relays_hear (gt_relays_t *relays, const pr_engine_t *news, size_t n);
+void gt_relays_set_rules (gt_relays_t *relays, rt_rules_t *rules);
+void gt_relays_set_rules_as_of (gt_relays_t *relays, el_time_t as_of);
+const rt_rules_t *gt_relays_rules_in_force (const gt_relays_t *relays);
+size_t gt_relays_engine_reports (gt_relays_t *relays, pr_engine_t **out);
+void gt_relays_receive_reports (gt_relays_t *relays, const pr_engine_t *news,
+                                size_t n);
 void gt_relays_engine_changed (gt_relays_t *relays, rt_target_t *engine);
 void gt_relays_engine_gone (gt_relays_t *relays, rt_target_t *target);
 void gt_relays_rumor (gt_relays_t *relays, const co_rumor_t *rumor);
 void gt_relays_block (gt_relays_t *relays, rt_digest_t digest, unsigned holds);
-void gt_relays_ask (gt_relays_t *relays, rt_target_t *engine, el_time_t since);
+void gt_relays_check_engine (gt_relays_t *relays, rt_target_t *engine,
+                             el_time_t since);
 int gt_relays_order_blocked (gt_relays_t *relays, const rt_order_t *order);
 void gt_relays_order_ended (gt_relays_t *relays, rt_falls_t *falls,
                             const rt_order_t *order);
@@ -175,15 +177,15 @@
                            const rt_order_t *order);
 int gt_relays_unblock (gt_relays_t *relays, rt_digest_t digest);
 json_t *gt_relays_suspects (gt_relays_t *relays);
-json_t *gt_relays_closed (gt_relays_t *relays);
+json_t *gt_relays_closed_endpoints (gt_relays_t *relays);
 void gt_relays_asked (gt_relays_t *relays, rt_target_t *target,
                       const rt_asks_t *asks, el_str_t by);
-void gt_relays_heard (gt_relays_t *relays);
-void gt_relays_epoch (gt_relays_t *relays);
+void gt_relays_peers_heard (gt_relays_t *relays);
+void gt_relays_store_epoch_began (gt_relays_t *relays);
 void gt_relays_blocked_keep (gt_relays_t *relays);
-int gt_relays_behind (const gt_relays_t *relays);
-void gt_relays_retire (gt_relays_t *relays);
-void gt_relays_close (gt_relays_t *relays);
+int gt_relays_rules_outdated (const gt_relays_t *relays);
+void gt_relays_drain_connections (gt_relays_t *relays);
+void gt_relays_stop (gt_relays_t *relays);
 size_t gt_relays_running (const gt_relays_t *relays);
 void gt_relays_metrics (gt_relays_t *relays, el_metrics_t *metrics);
 
--- a/gate/librelay.h
+++ b/gate/librelay.h
@@ -80,12 +80,12 @@
   rt_target_t *target; /* the endpoint, or the pipeline's first engine */
   rt_line_t line;
   el_time_t sent;
-  el_time_t began; /* response head received: the request is executing; 0: no
+  el_time_t head_at; /* response head received: the request is executing; 0: no
                       head yet */
   rt_digest_t digest; /* 0: not computed yet */
   rt_course_t course;
   rt_tried_t tried;
-  el_timer_t turn; /* delay before the next attempt */
+  el_timer_t retry_timer; /* delay before the next attempt */
   unsigned turns;
   unsigned waits; /* for an endpoint, since the last event */
   int refused;    /* the response proves that the request was not executed */
@@ -111,8 +111,8 @@
   el_time_t longest_gap; /* between two events */
 
   /* Stall detection. */
-  el_timer_t watch;
-  net_exchange_t *ask;
+  el_timer_t watch_timer;
+  net_exchange_t *query;
   el_time_t last_progress; /* time of the last event, or of the send */
   unsigned stall_checks;
   unsigned reroutes; /* reroutes refused since the last event */
@@ -143,9 +143,9 @@
 void relay_head_build (gt_relay_t *relay, el_time_t now, relay_head_t *head);
 void relay_head_free (relay_head_t *head);
 
-/* relay_try.c */
-void relay_try (gt_relay_t *relay);
-void relay_give_up (gt_relay_t *relay, const char *reason);
+/* relay_attempt.c */
+void relay_attempt (gt_relay_t *relay);
+void relay_abort (gt_relay_t *relay, const char *reason);
 void relay_cancel_attempt (gt_relay_t *relay);
 void relay_abandon_attempt (gt_relay_t *relay);
 int relay_may_resume (gt_relay_t *relay);
@@ -165,8 +165,8 @@
 
 /* relay_check.c */
 void relay_check (gt_relays_t *relays, rt_target_t *engine);
-void relay_check_poll (gt_relays_t *relays, rt_target_t *engine,
-                       el_time_t since);
+void relay_check_unless_recent (gt_relays_t *relays, rt_target_t *engine,
+                                el_time_t since);
 void relay_check_load (gt_relays_t *relays, rt_target_t *engine,
                        const rt_load_t *load, el_time_t at);
 
@@ -216,21 +216,21 @@
   RELAY_FACT_SURVIVED, /* a request completed */
   RELAY_FACT_BLOCKED,  /* a request is blocked for crashing endpoints */
   RELAY_FACT_CLEARED,  /* an operator unblocked a request */
-  RELAY_FACT_LEAVES,   /* an endpoint is draining */
+  RELAY_FACT_DRAINING, /* an endpoint is draining */
   RELAY_FACT_RULES,    /* a version of the rules is in force */
-  RELAY_FACTS
+  RELAY_FACT_KINDS
 } relay_fact_kind_t;
 
 /* Runs of one crash in one gossip message; limited by its body size. */
-#define RELAY_FACT_RUNS 12
+#define RELAY_FACT_RUNS_MAX 12
 /* How long facts about requests are gossiped: as long as they are used for
    judging a request. */
-#define RELAY_FACT_HOLD (600 * EL_SEC)
+#define RELAY_FACT_GOSSIP_HOLD (600 * EL_SEC)
 
 struct relay_fact
 {
   relay_fact_kind_t kind;
-  rt_ended_t runs[RELAY_FACT_RUNS]; /* all of the same crash */
+  rt_ended_t runs[RELAY_FACT_RUNS_MAX]; /* all of the same crash */
   size_t nruns;
   rt_start_t start;   /* the endpoint start that is draining */
   rt_digest_t digest; /* the request, for the kinds that concern one */
@@ -247,13 +247,13 @@
 void relay_poll_stop (gt_relays_t *relays);
 
 /* relay_epoch.c */
-void relay_epoch_hear_rules (gt_relays_t *relays, const co_rumor_t *rumor,
-                             const relay_fact_t *fact);
+void relay_epoch_rules_received (gt_relays_t *relays, const co_rumor_t *rumor,
+                                 const relay_fact_t *fact);
 
 /* relay_backoff.c */
 void relay_drain_announce (gt_relays_t *relays, const rt_start_t *start);
-void relay_rest_hear_leaves (gt_relays_t *relays, const co_rumor_t *rumor,
-                             const relay_fact_t *fact);
+void relay_drain_received (gt_relays_t *relays, const co_rumor_t *rumor,
+                           const relay_fact_t *fact);
 void relay_backoff_read_head (gt_relay_t *relay, const net_result_t *head);
 int relay_backoff_permits (gt_relay_t *relay, el_time_t now);
 void relay_backoff_sent (gt_relay_t *relay, el_time_t now);
@@ -268,7 +268,7 @@
                        const net_result_t *result, rt_next_t next);
 
 /* relay_response.c */
-void relay_answer_refuse (gt_relay_t *relay, int status, const char *reason,
+void relay_respond_error (gt_relay_t *relay, int status, const char *reason,
                           el_time_t retry_after);
 void relay_respond_whole (gt_relay_t *relay, const net_result_t *result);
 void relay_respond_head (gt_relay_t *relay, const net_result_t *head);
--- a/gate/planner.c
+++ b/gate/planner.c
@@ -80,8 +80,8 @@
           EL_FN ("first", order->order.first), EL_FN ("end", order->order.end),
           EL_FC ("state", states[state]), EL_FN ("status", status));
   if (state == GT_ORDER_UNKNOWN && !order->over)
-    gt_relays_ask (order->planner->options.relays, order->order.target,
-                   order->given);
+    gt_relays_check_engine (order->planner->options.relays,
+                            order->order.target, order->given);
   if (order->over)
     order_free (order);
 }
@@ -139,7 +139,7 @@
       }
     else if (now > order->given && now < order->given + FALL_WITHIN
              && !target->access.gone)
-      gt_relays_ask (relays, target, order->given);
+      gt_relays_check_engine (relays, target, order->given);
   }
 }
 
@@ -223,7 +223,7 @@
 {
   gt_planner_t *planner = arg;
   const gt_planner_options_t *o = &planner->options;
-  const rt_rules_t *rules = gt_relays_in_force (o->relays);
+  const rt_rules_t *rules = gt_relays_rules_in_force (o->relays);
   size_t i;
 
   if (planner->stopped)
--- a/gate/relay.c
+++ b/gate/relay.c
@@ -91,7 +91,7 @@
   if (relay->response_started)
     relay_respond_abort (relay, "time limit");
   else
-    relay_answer_refuse (relay, 504, "time limit", 0);
+    relay_respond_error (relay, 504, "time limit", 0);
 }
 
 static el_str_t
@@ -140,11 +140,11 @@
   if (relay->rules && fresh)
     {
       relays->counts.unknown++;
-      relay_answer_refuse (relay, 404, "no rule", 0);
+      relay_respond_error (relay, 404, "no rule", 0);
       return 0;
     }
   relays->counts.no_rules++;
-  relay_answer_refuse (relay, 503, "no configuration", NO_CONFIG_RETRY_AFTER);
+  relay_respond_error (relay, 503, "no configuration", NO_CONFIG_RETRY_AFTER);
   return 0;
 }
 
@@ -160,7 +160,7 @@
   if (!fresh)
     {
       relays->counts.no_rules++;
-      relay_answer_refuse (relay, 503, "keys not known",
+      relay_respond_error (relay, 503, "keys not known",
                            NO_CONFIG_RETRY_AFTER);
       return 0;
     }
@@ -168,7 +168,7 @@
   if (!key)
     {
       relays->counts.denied++;
-      relay_answer_refuse (relay, 401, "no such key", 0);
+      relay_respond_error (relay, 401, "no such key", 0);
       return 0;
     }
   relay->customer = key->customer;
@@ -186,7 +186,7 @@
   if (relay->rules->max_body
       && net_req_body (relay->req).len > relay->rules->max_body)
     {
-      relay_answer_refuse (relay, 413, "body too long", 0);
+      relay_respond_error (relay, 413, "body too long", 0);
       return 0;
     }
   return relay_authenticate (relay, fresh);
@@ -226,18 +226,19 @@
 static void
 relay_estimate_tokens (gt_relay_t *relay)
 {
-  const gt_relay_names_t *names = &relay->relays->options.dialect->names;
+  const gt_relay_headers_t *names = &relay->relays->options.dialect->names;
   el_str_t rest = net_req_header (relay->req, names->tokens);
   uint64_t prompt = 0;
   uint64_t answer = 0;
-  uint64_t guess;
+  uint64_t expected_tokens;
 
   relay->prompt = relay->service->model.usual_tokens;
   relay->tokens = relay->prompt;
   if (!el_str_to_u64 (el_str_cut (&rest, ','), &prompt))
     return;
-  if (el_str_to_u64 (net_req_header (relay->req, names->guess), &guess))
-    answer = guess;
+  if (el_str_to_u64 (net_req_header (relay->req, names->expected_tokens),
+                     &expected_tokens))
+    answer = expected_tokens;
   else if (el_str_to_u64 (rest, &answer))
     answer /= 2;
   relay->prompt = (double)prompt;
@@ -320,7 +321,7 @@
   relay->service = rt_rules_service (relay->rules, service);
   if (!relay->service)
     {
-      relay_answer_refuse (relay, 503, "no service", NO_CONFIG_RETRY_AFTER);
+      relay_respond_error (relay, 503, "no service", NO_CONFIG_RETRY_AFTER);
       return;
     }
   relay_estimate_tokens (relay);
@@ -329,7 +330,7 @@
   if (!relay_suspect_admit (relay))
     return;
   relay_start_deadline (relay);
-  relay_try (relay);
+  relay_attempt (relay);
 }
 
 /* Whether the rules are known and current, and other hosts have told which
@@ -338,7 +339,7 @@
 relays_ready (const gt_relays_t *relays)
 {
   return relays->rules && relays->rules_as_of && relays->peers_heard_at
-         && !gt_relays_behind (relays);
+         && !gt_relays_rules_outdated (relays);
 }
 
 static void
@@ -349,7 +350,7 @@
   (void)now;
   relay->awaits_config = 0;
   relay->relays->counts.no_rules++;
-  relay_answer_refuse (relay, 503, "no configuration", NO_CONFIG_RETRY_AFTER);
+  relay_respond_error (relay, 503, "no configuration", NO_CONFIG_RETRY_AFTER);
 }
 
 /* Holds a request until the host is ready. */
@@ -401,7 +402,7 @@
   if (relays->stopping)
     {
       relays->counts.refused++;
-      relay_answer_refuse (relay, 503, "stopping", STOPPING_RETRY_AFTER);
+      relay_respond_error (relay, 503, "stopping", STOPPING_RETRY_AFTER);
       return;
     }
   if (relays_ready (relays))
@@ -438,7 +439,7 @@
 
 /** Puts RULES in force; takes over the reference. */
 void
-gt_relays_rules (gt_relays_t *relays, rt_rules_t *rules)
+gt_relays_set_rules (gt_relays_t *relays, rt_rules_t *rules)
 {
   EL_LOG (EL_LOG_INFO, "config_in_force", EL_FN ("version", rules->version),
           EL_FN ("rules", rules->nrules), EL_FN ("services", rules->nservices),
@@ -452,7 +453,7 @@
 
 /** Notes that the rules in force were the newest version at AS_OF. */
 void
-gt_relays_known (gt_relays_t *relays, el_time_t as_of)
+gt_relays_set_rules_as_of (gt_relays_t *relays, el_time_t as_of)
 {
   if (as_of <= relays->rules_as_of)
     return;
@@ -463,7 +464,7 @@
 /** Notes that the first gossip exchange completed, or that there are no
     other hosts. */
 void
-gt_relays_heard (gt_relays_t *relays)
+gt_relays_peers_heard (gt_relays_t *relays)
 {
   if (relays->peers_heard_at)
     return;
@@ -473,7 +474,7 @@
 
 /** Returns the rules in force, or NULL before the first. */
 const rt_rules_t *
-gt_relays_in_force (const gt_relays_t *relays)
+gt_relays_rules_in_force (const gt_relays_t *relays)
 {
   return relays->rules;
 }
@@ -481,7 +482,7 @@
 /** Closes each caller's connection after its next response; requests are
     still served. */
 void
-gt_relays_retire (gt_relays_t *relays)
+gt_relays_drain_connections (gt_relays_t *relays)
 {
   net_server_retire (relays->server);
 }
@@ -489,7 +490,7 @@
 /** Closes the listener and refuses requests that arrive on open connections;
     requests in progress continue. */
 void
-gt_relays_close (gt_relays_t *relays)
+gt_relays_stop (gt_relays_t *relays)
 {
   if (relays->stopping)
     return;
--- a/gate/relay_try.c
+++ b/gate/relay_attempt.c
@@ -55,7 +55,7 @@
   if (relay->exchange)
     net_client_cancel (relay->exchange);
   relay->exchange = NULL;
-  net_clock_cancel (relay->relays->options.clock, &relay->turn);
+  net_clock_cancel (relay->relays->options.clock, &relay->retry_timer);
   attempt_release (relay);
 }
 
@@ -73,7 +73,7 @@
 
   relays->counts.refused++;
   relays->counts.rested += left > 0;
-  relay_answer_refuse (relay, 503, left ? "all endpoints rest" : reason,
+  relay_respond_error (relay, 503, left ? "all endpoints rest" : reason,
                        wait + el_random (&relays->random) % (spread + 1));
 }
 
@@ -82,7 +82,7 @@
 attempt_fail (gt_relay_t *relay, const char *reason)
 {
   relay->relays->counts.failed++;
-  relay_answer_refuse (relay, 502, reason, 0);
+  relay_respond_error (relay, 502, reason, 0);
 }
 
 /* Picks a pipeline that starts at FIRST, or any if that fails. */
@@ -179,11 +179,11 @@
 attempt_head (void *arg, const net_result_t *head)
 {
   gt_relay_t *relay = arg;
-  const gt_relay_names_t *names = &relay->relays->options.dialect->names;
+  const gt_relay_headers_t *names = &relay->relays->options.dialect->names;
 
-  relay->began = net_clock_now (relay->relays->options.clock);
-  relay->refused
-      = net_result_header (head, names->not_run).len || head->status == 421;
+  relay->head_at = net_clock_now (relay->relays->options.clock);
+  relay->refused = net_result_header (head, names->not_executed).len
+                   || head->status == 421;
   relay->crossed = !el_str_eq (net_result_header (head, names->id), relay->id);
   relay->stream = relay->rule->kind == RT_STREAM && !relay->refused
                   && !relay->crossed && head->status >= 200
@@ -216,7 +216,7 @@
 rt_target_t *
 relay_fault_target (gt_relay_t *relay, const net_result_t *result)
 {
-  const gt_relay_names_t *names = &relay->relays->options.dialect->names;
+  const gt_relay_headers_t *names = &relay->relays->options.dialect->names;
   el_str_t address = net_result_header (result, names->at_fault);
   rt_target_t *named
       = address.len ? rt_line_engine (&relay->line, address) : NULL;
@@ -229,7 +229,7 @@
 attempt_classify (gt_relay_t *relay, const net_result_t *result,
                   rt_attempt_t *attempt)
 {
-  const gt_relay_names_t *names = &relay->relays->options.dialect->names;
+  const gt_relay_headers_t *names = &relay->relays->options.dialect->names;
   int success = result->status >= 200 && result->status < 300;
   int refusal_status = result->status == 429 || result->status == 503
                        || result->status == 408 || result->status == 421;
@@ -299,9 +299,9 @@
     return;
   relay_blame_broken (relay, relay->target);
   if (relay->line.n)
-    relay_check_poll (relays, relay->target,
-                      net_clock_now (relays->options.clock)
-                          - CHECK_MIN_INTERVAL);
+    relay_check_unless_recent (relays, relay->target,
+                               net_clock_now (relays->options.clock)
+                                   - CHECK_MIN_INTERVAL);
 }
 
 /* The send was cancelled before any byte left: another target is picked, and
@@ -313,7 +313,7 @@
   EL_LOG (EL_LOG_INFO, "kept_back", EL_FS ("request", relay->id),
           EL_FS ("endpoint", relay->target->facts.id));
   attempt_release (relay);
-  relay_try (relay);
+  relay_attempt (relay);
 }
 
 static int
@@ -382,7 +382,7 @@
 retry_due (void *arg, el_time_t now)
 {
   (void)now;
-  relay_try (arg);
+  relay_attempt (arg);
 }
 
 /* Retries. After a broken exchange, waits until it is known whether the
@@ -394,13 +394,13 @@
 
   counts->repeats++;
   counts->resumed += relay->response_started != 0;
-  relay->turn.cb = retry_due;
-  relay->turn.arg = relay;
+  relay->retry_timer.cb = retry_due;
+  relay->retry_timer.arg = relay;
   if (broken)
-    net_clock_set (relay->relays->options.clock, &relay->turn,
+    net_clock_set (relay->relays->options.clock, &relay->retry_timer,
                    BROKEN_RETRY_DELAY);
   else if (!relay->waits || !relay_wait_endpoint (relay))
-    relay_try (relay);
+    relay_attempt (relay);
 }
 
 /* Handles an attempt whose response was not simply forwarded. */
@@ -482,7 +482,7 @@
   relay->crossed = 0;
   relay->stream = 0;
   relay->sent = now;
-  relay->began = 0;
+  relay->head_at = 0;
   relay->asks = (rt_asks_t){ 0 };
   relay->relays->counts.attempts++;
   relay_log_sent (relay, now);
@@ -495,7 +495,7 @@
 
 /** Ends the request: cancels its attempt and fails the response. */
 void
-relay_give_up (gt_relay_t *relay, const char *reason)
+relay_abort (gt_relay_t *relay, const char *reason)
 {
   int sent = relay->exchange != NULL;
 
@@ -510,13 +510,13 @@
 
 /** Starts an attempt at the best target available now. */
 void
-relay_try (gt_relay_t *relay)
+relay_attempt (gt_relay_t *relay)
 {
   el_time_t now = net_clock_now (relay->relays->options.clock);
 
   if (relay_blame_of (relay).state == RT_BLAME_BLOCKED)
     {
-      relay_give_up (relay, "ends endpoints");
+      relay_abort (relay, "ends endpoints");
       return;
     }
   if (relay_suspect_waits (relay, now))
--- a/gate/relay_rest.c
+++ b/gate/relay_backoff.c
@@ -92,9 +92,9 @@
 void
 relay_drain_announce (gt_relays_t *relays, const rt_start_t *start)
 {
-  const relay_fact_t fact = { .kind = RELAY_FACT_LEAVES, .start = *start };
+  const relay_fact_t fact = { .kind = RELAY_FACT_DRAINING, .start = *start };
 
-  relay_rumor_tell (relays, &fact, rt_start_key (start) ^ RELAY_FACT_LEAVES,
+  relay_rumor_tell (relays, &fact, rt_start_key (start) ^ RELAY_FACT_DRAINING,
                     DRAINING_GOSSIP_HOLD);
 }
 
@@ -114,8 +114,8 @@
 
 /** Another host learned that an endpoint is draining. */
 void
-relay_rest_hear_leaves (gt_relays_t *relays, const co_rumor_t *rumor,
-                        const relay_fact_t *fact)
+relay_drain_received (gt_relays_t *relays, const co_rumor_t *rumor,
+                      const relay_fact_t *fact)
 {
   const rt_target_t *target = rt_fleet_leaves (
       relays->options.fleet, el_str (fact->start.id), fact->start.born);
@@ -235,7 +235,7 @@
 /** Returns the endpoints closed to new requests, and the total backoff of
     each service. */
 json_t *
-gt_relays_closed (gt_relays_t *relays)
+gt_relays_closed_endpoints (gt_relays_t *relays)
 {
   el_time_t now = net_clock_now (relays->options.clock);
   json_t *list = json_array ();
--- a/gate/relay_blame.c
+++ b/gate/relay_blame.c
@@ -108,7 +108,7 @@
           .customer = customer_key (relay),
           .host = relays->options.witness,
           .at = now,
-          .ran = now - (relay->began ? relay->began : relay->sent),
+          .ran = now - (relay->head_at ? relay->head_at : relay->sent),
           .first = target == relay->target };
 
   if (!rt_target_leaves (target))
@@ -178,15 +178,15 @@
         fact.runs[fact.nruns++] = note->ended;
       rt_blame_ended (blame->rt, now, &note->ended);
       note_drop (blame, note);
-      if (fact.nruns < RELAY_FACT_RUNS)
+      if (fact.nruns < RELAY_FACT_RUNS_MAX)
         continue;
       relay_rumor_tell (relays, &fact, el_random (&relays->random),
-                        RELAY_FACT_HOLD);
+                        RELAY_FACT_GOSSIP_HOLD);
       fact.nruns = 0;
     }
   if (fact.nruns)
     relay_rumor_tell (relays, &fact, el_random (&relays->random),
-                      RELAY_FACT_HOLD);
+                      RELAY_FACT_GOSSIP_HOLD);
   judge_soon (relays);
   if (runs == 0)
     return;
@@ -254,8 +254,8 @@
               ? other_engine (relays, target)
               : NULL;
   if (other && relays->options.dialect->check)
-    relay_check_poll (relays, other,
-                      net_clock_now (relays->options.clock) - ASK_GAP);
+    relay_check_unless_recent (
+        relays, other, net_clock_now (relays->options.clock) - ASK_GAP);
 }
 
 /** TARGET gave a sign of life: this host is not cut off, and endpoints that
@@ -344,7 +344,8 @@
   news = rt_blame_survived (relays->blame->rt, fact.digest,
                             net_clock_now (relays->options.clock));
   if (news)
-    relay_rumor_tell (relays, &fact, fact.digest ^ news, RELAY_FACT_HOLD);
+    relay_rumor_tell (relays, &fact, fact.digest ^ news,
+                      RELAY_FACT_GOSSIP_HOLD);
 }
 
 /** What is thought of RELAY now. */
@@ -370,7 +371,8 @@
       && target->facts.end > target->facts.first
       && rt_blame_unsure (relays->blame->rt, start, o->witness)
       && el_random (&relays->random) % o->hosts (o->arg) < WITNESSES)
-    relay_check_poll (relays, target, net_clock_now (o->clock) - ASK_GAP);
+    relay_check_unless_recent (relays, target,
+                               net_clock_now (o->clock) - ASK_GAP);
 }
 
 /** Another host saw an endpoint end where requests ran. */
--- a/gate/relay_block.c
+++ b/gate/relay_block.c
@@ -182,7 +182,7 @@
     return 0;
   clear_log (digest, "operator");
   relay_rumor_tell (relays, &fact, el_random (&relays->random),
-                    RELAY_FACT_HOLD);
+                    RELAY_FACT_GOSSIP_HOLD);
   return 1;
 }
 
--- a/gate/relay_check.c
+++ b/gate/relay_check.c
@@ -135,18 +135,19 @@
   el_time_t now = net_clock_now (relays->options.clock);
 
   relay_check_load (check->relays, check->engine, load, now);
-  if (load->pace >= SLOW_PACE && !relays->options.polls (relays->options.arg))
+  if (load->pace >= SLOW_PACE
+      && !relays->options.is_poller (relays->options.arg))
     net_clock_set (relays->options.clock, &check->recheck, SLOW_RECHECK);
 }
 
 static void
-check_done (void *arg, gt_life_t result, const rt_load_t *load,
+check_done (void *arg, gt_check_result_t result, const rt_load_t *load,
             const rt_asks_t *asks)
 {
   relay_check_t *check = arg;
   gt_relays_t *relays = check->relays;
   rt_target_t *engine = check->engine;
-  int answered = result == GT_LIFE_SIGN;
+  int answered = result == GT_CHECK_OK;
   int was_silent = engine->access.silent;
 
   check->request = NULL;
@@ -154,7 +155,7 @@
   gt_relays_asked (relays, engine, asks, EL_STR ("check"));
   engine->asked = 0;
   engine->access.silent = !answered;
-  if (result == GT_LIFE_REFUSED && !engine->refused_at)
+  if (result == GT_CHECK_REFUSED && !engine->refused_at)
     engine->refused_at = check->asked;
   if (answered)
     engine->refused_at = 0;
@@ -176,7 +177,7 @@
   relays->counts.silent++;
   rt_target_ref (engine);
   check_each_stream (relays, engine, relay_watch_engine_silent);
-  if (result == GT_LIFE_REFUSED)
+  if (result == GT_CHECK_REFUSED)
     relay_blame_refused (relays, engine);
   if (engine->access.gone)
     check_free (check);
@@ -205,7 +206,7 @@
     }
   net_client_cancel (check->request);
   check_done (
-      check, check->engine->alive > check->asked ? GT_LIFE_SIGN : GT_LIFE_NONE,
+      check, check->engine->alive > check->asked ? GT_CHECK_OK : GT_CHECK_NONE,
       NULL, &nothing);
 }
 
@@ -282,7 +283,8 @@
 
 /** Checks ENGINE unless it was checked after SINCE. */
 void
-relay_check_poll (gt_relays_t *relays, rt_target_t *engine, el_time_t since)
+relay_check_unless_recent (gt_relays_t *relays, rt_target_t *engine,
+                           el_time_t since)
 {
   relay_check_t *check = check_get (relays, engine);
 
@@ -290,10 +292,11 @@
     check_send (check, net_clock_now (relays->options.clock));
 }
 
-/** As relay_check_poll, for other modules. */
+/** As relay_check_unless_recent, for other modules. */
 void
-gt_relays_ask (gt_relays_t *relays, rt_target_t *engine, el_time_t since)
+gt_relays_check_engine (gt_relays_t *relays, rt_target_t *engine,
+                        el_time_t since)
 {
   if (relays->options.dialect->check)
-    relay_check_poll (relays, engine, since);
+    relay_check_unless_recent (relays, engine, since);
 }
--- a/gate/relay_epoch.c
+++ b/gate/relay_epoch.c
@@ -44,8 +44,8 @@
 
 /** Another host has rules in force that the store may not have yet. */
 void
-relay_epoch_hear_rules (gt_relays_t *relays, const co_rumor_t *rumor,
-                        const relay_fact_t *fact)
+relay_epoch_rules_received (gt_relays_t *relays, const co_rumor_t *rumor,
+                            const relay_fact_t *fact)
 {
   (void)rumor;
   if (fact->version <= relays->peer_rules_version)
@@ -60,7 +60,7 @@
 /** Whether other hosts have newer rules in force: keys may have been revoked
     since. */
 int
-gt_relays_behind (const gt_relays_t *relays)
+gt_relays_rules_outdated (const gt_relays_t *relays)
 {
   return relays->rules && relays->rules->version < relays->peer_rules_version
          && net_clock_now (relays->options.clock)
@@ -69,7 +69,7 @@
 
 /** The store began an epoch: gossips what it may have lost. */
 void
-gt_relays_epoch (gt_relays_t *relays)
+gt_relays_store_epoch_began (gt_relays_t *relays)
 {
   if (relays->rules)
     rules_announce (relays);
--- a/gate/relay_fact.c
+++ b/gate/relay_fact.c
@@ -28,12 +28,12 @@
   const char *name;
   void (*write) (const relay_fact_t *fact, json_t *json);
   int (*read) (json_t *json, el_time_t at, relay_fact_t *out);
-} kinds[RELAY_FACTS] = {
+} kinds[RELAY_FACT_KINDS] = {
   [RELAY_FACT_ENDED] = { "ended", runs_write, runs_read },
   [RELAY_FACT_SURVIVED] = { "survived", request_write, request_read },
   [RELAY_FACT_BLOCKED] = { "blocked", request_write, request_read },
   [RELAY_FACT_CLEARED] = { "cleared", request_write, request_read },
-  [RELAY_FACT_LEAVES] = { "leaves", leaves_write, leaves_read },
+  [RELAY_FACT_DRAINING] = { "leaves", leaves_write, leaves_read },
   [RELAY_FACT_RULES] = { "rules", rules_write, rules_read },
 };
 
@@ -177,7 +177,7 @@
 
   if (!start_read (json, &end.start)
       || !number_read (json_object_get (json, "host"), &end.host) || !end.host
-      || json_array_size (list) > RELAY_FACT_RUNS)
+      || json_array_size (list) > RELAY_FACT_RUNS_MAX)
     return 0;
   json_array_foreach (list, i, row)
   {
@@ -212,10 +212,10 @@
   int ok;
 
   memset (out, 0, sizeof *out);
-  while (kind && out->kind < RELAY_FACTS
+  while (kind && out->kind < RELAY_FACT_KINDS
          && strcmp (kind, kinds[out->kind].name) != 0)
     out->kind++;
-  ok = kind && out->kind < RELAY_FACTS
+  ok = kind && out->kind < RELAY_FACT_KINDS
        && kinds[out->kind].read (json, at, out);
   json_decref (json);
   return ok;
--- a/gate/relay_head.c
+++ b/gate/relay_head.c
@@ -22,9 +22,9 @@
 static int
 header_forwarded (const gt_relay_t *relay, el_str_t name)
 {
-  const gt_relay_names_t *names = &relay->relays->options.dialect->names;
+  const gt_relay_headers_t *names = &relay->relays->options.dialect->names;
   const char *own[] = { names->time_left, names->expect, names->customer,
-                        names->urgency, names->line };
+                        names->priority, names->line };
   size_t i;
 
   for (i = 0; i < sizeof own / sizeof *own; i++)
@@ -85,9 +85,10 @@
     }
   if (relay->line.n)
     {
-      head_add (head, dialect->names.urgency,
-                el_str (dialect->urgencies[relay->nevents ? GT_URGENT_GOING
-                                                          : GT_URGENT_NEW]));
+      head_add (
+          head, dialect->names.priority,
+          el_str (dialect->priorities[relay->nevents ? GT_PRIORITY_ACTIVE
+                                                     : GT_PRIORITY_NEW]));
       dialect->write_line (&relay->line, &head->line);
       head_add (head, dialect->names.line, el_buf_str (&head->line));
     }
--- a/gate/relay_poll.c
+++ b/gate/relay_poll.c
@@ -65,14 +65,14 @@
   relays->poll_slice = (relays->poll_slice + 1) % POLL_SLICES;
   if (relays->poll_slice == 0)
     poll_released_layers (relays);
-  if (!o->polls (o->arg))
+  if (!o->is_poller (o->arg))
     return;
   for (engine = rt_fleet_first (o->fleet); engine; engine = engine->hh.next)
     if (poll_covers (relays, engine) && i++ % POLL_SLICES == relays->poll_slice
         && !rt_access_rest_left (&engine->access, now))
-      relay_check_poll (relays, engine, now - poll_interval (engine));
+      relay_check_unless_recent (relays, engine, now - poll_interval (engine));
   if (relays->poll_slice == 0)
-    o->polled (o->arg);
+    o->poll_done (o->arg);
 }
 
 /** Starts polling; only the host that is the hall's poller sends requests. */
@@ -95,7 +95,7 @@
 /** Returns the reports of the hall's engines in OUT, which the caller frees.
  */
 size_t
-gt_relays_tell (gt_relays_t *relays, pr_engine_t **out)
+gt_relays_engine_reports (gt_relays_t *relays, pr_engine_t **out)
 {
   const gt_relay_options_t *o = &relays->options;
   el_time_t now = net_clock_now (o->clock);
@@ -119,7 +119,8 @@
 /** Processes reports from another host. An engine that is silent there is
     checked by this host, too: it may only be out of the other host's reach. */
 void
-gt_relays_hear (gt_relays_t *relays, const pr_engine_t *news, size_t n)
+gt_relays_receive_reports (gt_relays_t *relays, const pr_engine_t *news,
+                           size_t n)
 {
   const gt_relay_options_t *o = &relays->options;
   el_time_t now = net_clock_now (o->clock);
--- a/gate/relay_answer.c
+++ b/gate/relay_response.c
@@ -16,7 +16,7 @@
 /** Responds without an endpoint's response. RETRY_AFTER tells the caller
     when to send a request that was not executed again. */
 void
-relay_answer_refuse (gt_relay_t *relay, int status, const char *reason,
+relay_respond_error (gt_relay_t *relay, int status, const char *reason,
                      el_time_t retry_after)
 {
   char text[32];
--- a/gate/relay_rumor.c
+++ b/gate/relay_rumor.c
@@ -8,16 +8,16 @@
 #include "librelay.h"
 
 /* Who takes in a fact that another host tells. */
-static void (*const hears[RELAY_FACTS]) (gt_relays_t *relays,
-                                         const co_rumor_t *rumor,
-                                         const relay_fact_t *fact)
+static void (*const hears[RELAY_FACT_KINDS]) (gt_relays_t *relays,
+                                              const co_rumor_t *rumor,
+                                              const relay_fact_t *fact)
     = {
         [RELAY_FACT_ENDED] = relay_blame_hear_ended,
         [RELAY_FACT_SURVIVED] = relay_blame_hear_survived,
         [RELAY_FACT_BLOCKED] = relay_block_hear,
         [RELAY_FACT_CLEARED] = relay_block_hear_cleared,
-        [RELAY_FACT_LEAVES] = relay_rest_hear_leaves,
-        [RELAY_FACT_RULES] = relay_epoch_hear_rules,
+        [RELAY_FACT_DRAINING] = relay_drain_received,
+        [RELAY_FACT_RULES] = relay_epoch_rules_received,
       };
 
 /** Have all hosts know FACT, which ID names, for HOLD. */
--- a/gate/relay_suspect.c
+++ b/gate/relay_suspect.c
@@ -39,7 +39,7 @@
           EL_FN ("holds", judgement.holds),
           EL_FN ("left_us", judgement.until - now));
   relays->counts.barred++;
-  relay_answer_refuse (relay, 503, "ends endpoints", judgement.until - now);
+  relay_respond_error (relay, 503, "ends endpoints", judgement.until - now);
   return 0;
 }
 
@@ -47,7 +47,7 @@
 turn_over (void *arg, el_time_t now)
 {
   (void)now;
-  relay_try (arg);
+  relay_attempt (arg);
 }
 
 /* Where a suspect would be sent. */
@@ -78,12 +78,12 @@
   if (relay->course.sent == 0)
     {
       relays->counts.refused++;
-      relay_answer_refuse (relay, 503, "waits for its turn", PROOF);
+      relay_respond_error (relay, 503, "waits for its turn", PROOF);
       return 1;
     }
-  relay->turn.cb = turn_over;
-  relay->turn.arg = relay;
-  net_clock_set (relays->options.clock, &relay->turn, TURN_WAIT);
+  relay->retry_timer.cb = turn_over;
+  relay->retry_timer.arg = relay;
+  net_clock_set (relays->options.clock, &relay->retry_timer, TURN_WAIT);
   return 1;
 }
 
@@ -115,5 +115,5 @@
 
   DL_FOREACH_SAFE (relays->running, relay, next)
   if (!relay->ended && relay->service && relay_digest (relay) == digest)
-    relay_give_up (relay, "ends endpoints");
+    relay_abort (relay, "ends endpoints");
 }
--- a/gate/relay_wait.c
+++ b/gate/relay_wait.c
@@ -22,7 +22,7 @@
 
   (void)now;
   relay->tried.n = 0; /* endpoints that refused before may have capacity now */
-  relay_try (relay);
+  relay_attempt (relay);
 }
 
 /** Schedules another attempt, with a longer delay each time. Returns 0 if
@@ -45,8 +45,8 @@
     }
   if (WAIT_MIN << relay->waits < WAIT_MAX)
     wait = WAIT_MIN << relay->waits++;
-  relay->turn.cb = wait_expired;
-  relay->turn.arg = relay;
-  net_clock_set (relays->options.clock, &relay->turn, wait);
+  relay->retry_timer.cb = wait_expired;
+  relay->retry_timer.arg = relay;
+  net_clock_set (relays->options.clock, &relay->retry_timer, wait);
   return 1;
 }
--- a/gate/relay_watch.c
+++ b/gate/relay_watch.c
@@ -71,9 +71,9 @@
 static void
 watch_cancel_query (gt_relay_t *relay)
 {
-  if (relay->ask)
-    net_client_cancel (relay->ask);
-  relay->ask = NULL;
+  if (relay->query)
+    net_client_cancel (relay->query);
+  relay->query = NULL;
   rt_line_release (&relay->reroute_line);
 }
 
@@ -81,12 +81,12 @@
 void
 relay_watch_start (gt_relay_t *relay)
 {
-  relay->watch.cb = watch_tick;
-  relay->watch.arg = relay;
+  relay->watch_timer.cb = watch_tick;
+  relay->watch_timer.arg = relay;
   relay->last_progress = relay->sent;
   watch_reset (relay);
   if (relay->relays->options.dialect->check)
-    net_clock_set (relay->relays->options.clock, &relay->watch,
+    net_clock_set (relay->relays->options.clock, &relay->watch_timer,
                    FIRST_EVENT_TIMEOUT);
 }
 
@@ -105,14 +105,14 @@
 void
 relay_watch_stop (gt_relay_t *relay)
 {
-  net_clock_cancel (relay->relays->options.clock, &relay->watch);
+  net_clock_cancel (relay->relays->options.clock, &relay->watch_timer);
   watch_cancel_query (relay);
 }
 
 static void
 watch_schedule (gt_relay_t *relay, el_time_t wait)
 {
-  net_clock_set (relay->relays->options.clock, &relay->watch, wait);
+  net_clock_set (relay->relays->options.clock, &relay->watch_timer, wait);
 }
 
 /* Tells the first engine to continue the stream over the new pipeline. */
@@ -122,8 +122,8 @@
   const gt_relay_options_t *o = &relay->relays->options;
 
   rt_line_hold (&relay->reroute_line, &relay->line, relay->tokens);
-  relay->ask = o->dialect->reroute (o->client, relay->id, &relay->reroute_line,
-                                    watch_reroute_done, relay);
+  relay->query = o->dialect->reroute (
+      o->client, relay->id, &relay->reroute_line, watch_reroute_done, relay);
 }
 
 /* Restarts the stream. One that may not be retried stays where it is: its
@@ -183,7 +183,7 @@
 {
   gt_relay_t *relay = arg;
 
-  relay->ask = NULL;
+  relay->query = NULL;
   gt_relays_asked (relay->relays, relay->target, asks, relay->id);
   EL_LOG (EL_LOG_INFO, done ? "stream_moved" : "stream_not_moved",
           EL_FS ("request", relay->id), EL_FN ("events", relay->nevents),
@@ -250,7 +250,7 @@
   rt_tried_t tried = { .n = 0 };
 
   rt_tried_add (&tried, engine);
-  if (relay->ask)
+  if (relay->query)
     return;
   if (rt_line_around (o->fleet, net_clock_now (o->clock), relay->service,
                       &relay->line, &tried, &relay->reroute_line)
@@ -289,7 +289,7 @@
   const gt_relay_options_t *o = &relay->relays->options;
   rt_tried_t tried = { .n = 0 };
 
-  if (relay->ask || !watch_uses_released_layers (relay, engine))
+  if (relay->query || !watch_uses_released_layers (relay, engine))
     return;
   rt_tried_add (&tried, engine);
   if (rt_line_around (o->fleet, net_clock_now (o->clock), relay->service,
@@ -306,7 +306,7 @@
   gt_relay_t *relay = arg;
   rt_target_t *engine = rt_line_engine (&relay->line, address);
 
-  relay->ask = NULL;
+  relay->query = NULL;
   gt_relays_asked (relay->relays, relay->target, asks, relay->id);
   EL_LOG (EL_LOG_INFO, "stream_stands_still", EL_FS ("request", relay->id),
           EL_FN ("answered", answered), EL_FS ("engine", address),
@@ -353,17 +353,17 @@
       watch_schedule (relay, limit - stalled_for);
       return;
     }
-  if (now > relay->watch.due + LATE_TIMER)
+  if (now > relay->watch_timer.due + LATE_TIMER)
     {
       /* The process was delayed: events may be waiting to be read. */
       watch_schedule (relay, LATE_TIMER);
       return;
     }
-  if (relay->ask || relay->stall_checks++ >= STALL_CHECKS_MAX)
+  if (relay->query || relay->stall_checks++ >= STALL_CHECKS_MAX)
     return;
   if (relay->stall_checks % QUERY_PERIOD == QUERY_PHASE)
-    relay->ask = o->dialect->ask_stalled (o->client, relay->target, relay->id,
-                                          watch_query_done, relay);
+    relay->query = o->dialect->query_stalled (
+        o->client, relay->target, relay->id, watch_query_done, relay);
   else
     watch_check (relay);
 }
--- a/tests/t_check.c
+++ b/tests/t_check.c
@@ -88,7 +88,7 @@
   relays.options.fleet = rt_fleet_new (7);
   relays.options.dialect = &pf_relay;
   relays.options.hall = EL_STR ("h");
-  relays.options.polls = polls_never;
+  relays.options.is_poller = polls_never;
   relay_blame_open (&relays);
   engine_open (&engines[0], "a");
   engine_open (&engines[1], "b");
@@ -218,16 +218,16 @@
   rt_line_hold (&relay.line, NULL, 0);
   DL_APPEND (relays.running, &relay);
   gt_relays_engine_changed (&relays, engines[1].engine);
-  ck_assert_ptr_null (relay.ask);
+  ck_assert_ptr_null (relay.query);
   engines[1].engine->facts.first = 0;
   engines[1].engine->facts.end = 0;
   gt_relays_engine_changed (&relays, engines[1].engine);
-  while (relay.ask)
+  while (relay.query)
     turns (EL_MSEC);
   ck_assert_uint_eq (relay.line.n, 2);
   ck_assert_ptr_eq (relay.line.part[1].target, copy.engine);
   ck_assert_uint_eq (engines[1].engine->lines, 0);
-  net_clock_cancel (&test_clock, &relay.watch);
+  net_clock_cancel (&test_clock, &relay.watch_timer);
   rt_line_release (&relay.line);
   DL_DELETE (relays.running, &relay);
 }
@@ -241,7 +241,8 @@
   turns (60 * EL_MSEC);
   engines[0].mute = 1;
   engines[0].requests = 0;
-  relay_check_poll (&relays, engines[0].engine, net_clock_now (&test_clock));
+  relay_check_unless_recent (&relays, engines[0].engine,
+                             net_clock_now (&test_clock));
   turns (70 * EL_MSEC);
   ck_assert_uint_eq (engines[0].requests, 1);
   rt_fleet_remove (relays.options.fleet, EL_STR ("a"));
--- a/tests/t_held.c
+++ b/tests/t_held.c
@@ -111,7 +111,7 @@
                                  .repeat_window = 10 * EL_SEC,
                                  .hosts = one_host,
                                  .hall_hosts = one_host,
-                                 .polls = polls_never };
+                                 .is_poller = polls_never };
   el_err_t err;
 
   uv_loop_init (&loop);
@@ -121,9 +121,9 @@
   options.fleet = rt_fleet_new (7);
   relays = gt_relays_new (&options, &err);
   ck_assert_ptr_nonnull (relays);
-  gt_relays_known (relays, net_clock_now (&held_clock));
-  gt_relays_heard (relays);
-  gt_relays_rules (relays, pf_rules_read (el_str (rules_text), &err));
+  gt_relays_set_rules_as_of (relays, net_clock_now (&held_clock));
+  gt_relays_peers_heard (relays);
+  gt_relays_set_rules (relays, pf_rules_read (el_str (rules_text), &err));
 }
 
 static void
