--- a/gate/relay_blame.c
+++ b/gate/relay_blame.c
@@ -3,59 +3,62 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * What this host sees of requests and of endpoints that end, and what other
- * hosts tell of it.
+ * Detects endpoint crashes, reports the requests that were running there, and
+ * takes in the reports of other hosts.
  *
- * - It answers what it was asked after a break: it lives; said at once.
- * - Its connections are refused after a break and another endpoint gave a sign
- *   since: it ended, by one witness; said at once.
- * - The same, and no other gave a sign: nothing, this host may be cut off.
- * - It is silent: nothing, until it is gone.
- * - Its entry is gone or has another start, and it was not leaving: it ended,
- *   surely; said after three heartbeats or so.
- * - It refused, was slow, or was leaving: nothing.
+ * After a run broke off, the evidence about its endpoint is:
+ *
+ * - It answers a check sent after the break: it is alive; decided at once.
+ * - It refuses connections after the break, and another endpoint has since
+ *   given a sign of life: it crashed, by one witness; decided at once.
+ * - It refuses connections, and no other endpoint gave a sign of life:
+ *   nothing, as this host may be cut off.
+ * - It does not respond: nothing, until its entry is gone.
+ * - Its entry is gone or shows another instance, and it was not leaving: it
+ *   crashed, with certainty; decided after about three heartbeats.
+ * - It refused a request, was slow, or was leaving: nothing.
  */
 #include <stdlib.h>
 #include <string.h>
 
 #include "librelay.h"
 
-/* A break is remembered until the entry of an endpoint that ended has gone:
-   three heartbeats, and the news of it. */
-#define NOTE_HOLD (8 * EL_SEC)
-#define NOTES_MOST 1024
-/* An answer that comes so long after a break may be that of the next start at
+/* A broken run is kept until the entry of a crashed endpoint has disappeared:
+   three heartbeats, and the time until this host is told. */
+#define PENDING_LIFETIME (8 * EL_SEC)
+#define PENDING_MAX 1024
+/* An answer later than this after a break may be that of the next instance at
    the same address. */
-#define ALIVE_WITHIN (1 * EL_SEC)
-/* An endpoint is not asked again that was asked within this. */
-#define ASK_GAP (10 * EL_MSEC)
-/* So many of the other hosts look for themselves when one saw an endpoint end.
- */
-#define WITNESSES 3
-/* Facts are judged together that come within this. */
-#define JUDGE_GAP (20 * EL_MSEC)
-/* Requests that are remembered, and of these those of one customer: 240 bytes
-   each. */
-#define REQUESTS_MOST 4096
-#define REQUESTS_CUSTOMER 1024
-/* A run that broke off at an endpoint which may have ended. */
-typedef struct blame_note
+#define ALIVE_WINDOW (1 * EL_SEC)
+/* An endpoint that was checked within this is not checked again. */
+#define CHECK_INTERVAL_MIN (10 * EL_MSEC)
+/* Average number of other hosts that check an endpoint after one host saw it
+   crash. */
+#define EXTRA_CHECKERS 3
+/* Reports that arrive within this are evaluated together. */
+#define UPDATE_INTERVAL_MIN (20 * EL_MSEC)
+/* Requests tracked, in all and per customer; 240 bytes each. */
+#define REQUESTS_MAX 4096
+#define CUSTOMER_REQUESTS_MAX 1024
+
+/* A run that broke off at an endpoint which may have crashed. */
+typedef struct pending_run
 {
   rt_target_t *target;
-  rt_ended_t ended;
-  int refused; /* nobody listens there any more */
-  struct blame_note *prev;
-  struct blame_note *next;
-} blame_note_t;
+  rt_ended_t report;
+  int refused; /* the endpoint refuses connections */
+  struct pending_run *prev;
+  struct pending_run *next;
+} pending_run_t;
 
 typedef struct relay_blame
 {
-  rt_blame_t *rt;
-  blame_note_t *notes;
-  size_t nnotes;
-  size_t nrefused; /* notes whose endpoint refuses connections */
-  el_timer_t judge;
-  el_time_t judged;
+  rt_blame_t *table;
+  pending_run_t *pending;
+  size_t npending;
+  size_t npending_refused; /* runs whose endpoint refuses connections */
+  el_timer_t update_timer;
+  el_time_t last_update;
 } relay_blame_t;
 
 static uint64_t
@@ -65,44 +68,45 @@
 }
 
 static void
-note_drop (relay_blame_t *blame, blame_note_t *note)
+pending_free (relay_blame_t *blame, pending_run_t *run)
 {
-  DL_DELETE (blame->notes, note);
-  blame->nnotes--;
-  blame->nrefused -= note->refused != 0;
-  rt_target_unref (note->target);
-  free (note);
+  DL_DELETE (blame->pending, run);
+  blame->npending--;
+  blame->npending_refused -= run->refused != 0;
+  rt_target_unref (run->target);
+  free (run);
 }
 
 static void
-notes_fade (relay_blame_t *blame, el_time_t now)
+pending_expire (relay_blame_t *blame, el_time_t now)
 {
-  while (blame->notes
-         && (blame->notes->ended.at + NOTE_HOLD < now
-             || blame->nnotes > NOTES_MOST))
-    note_drop (blame, blame->notes);
+  while (blame->pending
+         && (blame->pending->report.at + PENDING_LIFETIME < now
+             || blame->npending > PENDING_MAX))
+    pending_free (blame, blame->pending);
 }
 
 static void
-note_add (relay_blame_t *blame, rt_target_t *target, const rt_ended_t *ended)
+pending_add (relay_blame_t *blame, rt_target_t *target,
+             const rt_ended_t *report)
 {
-  blame_note_t *note = el_alloc (sizeof *note);
+  pending_run_t *run = el_alloc (sizeof *run);
 
-  note->target = rt_target_ref (target);
-  note->ended = *ended;
-  DL_APPEND (blame->notes, note);
-  blame->nnotes++;
-  notes_fade (blame, ended->at);
+  run->target = rt_target_ref (target);
+  run->report = *report;
+  DL_APPEND (blame->pending, run);
+  blame->npending++;
+  pending_expire (blame, report->at);
 }
 
-/** RELAY's run at TARGET broke off, or stands still as TARGET is silent: if
-    TARGET has ended, RELAY is one of those that ran there. */
+/** RELAY's run at TARGET broke off, or stalls as TARGET does not respond. It
+    is reported if TARGET turns out to have crashed. */
 void
 relay_blame_broken (gt_relay_t *relay, rt_target_t *target)
 {
   gt_relays_t *relays = relay->relays;
   el_time_t now = net_clock_now (relays->options.clock);
-  const rt_ended_t ended
+  const rt_ended_t report
       = { .start = rt_target_start (target),
           .digest = relay_digest (relay),
           .customer = customer_key (relay),
@@ -112,72 +116,74 @@
           .first = target == relay->target };
 
   if (!rt_target_leaves (target))
-    note_add (relays->blame, target, &ended);
+    pending_add (relays->blame, target, &report);
 }
 
-/** Whether it is not known yet what became of an endpoint where DIGEST's run
-    broke off, or not judged yet: an engine may cut its streams a moment before
+/** Whether the outcome at an endpoint where DIGEST's run broke off is still
+    unknown or not yet evaluated: an engine may cut its streams a moment before
     its port closes. */
 int
 relay_blame_awaits (const gt_relays_t *relays, rt_digest_t digest)
 {
-  const blame_note_t *note;
+  const pending_run_t *run;
 
-  if (relays->blame->judge.slot)
+  if (relays->blame->update_timer.slot)
     return 1;
-  DL_FOREACH (relays->blame->notes, note)
-  if (note->ended.digest == digest)
+  DL_FOREACH (relays->blame->pending, run)
+  if (run->report.digest == digest)
     return 1;
   return 0;
 }
 
-/** What is known of requests and of ends. */
+/** Return the reports known to this host. */
 rt_blame_t *
 relay_blame_book (const gt_relays_t *relays)
 {
-  return relays->blame->rt;
+  return relays->blame->table;
 }
 
 static void
-judge_soon (gt_relays_t *relays)
+schedule_update (gt_relays_t *relays)
 {
   relay_blame_t *blame = relays->blame;
   el_time_t now = net_clock_now (relays->options.clock);
-  el_time_t due = blame->judged + JUDGE_GAP;
+  el_time_t due = blame->last_update + UPDATE_INTERVAL_MIN;
 
-  if (!blame->judge.slot)
-    net_clock_set (relays->options.clock, &blame->judge,
+  if (!blame->update_timer.slot)
+    net_clock_set (relays->options.clock, &blame->update_timer,
                    due > now ? due - now : 0);
 }
 
 static void
-ended_log (const rt_target_t *target, const char *sign, size_t runs)
+log_crash (const rt_target_t *target, const char *evidence, size_t runs)
 {
   EL_LOG (EL_LOG_WARN, "endpoint_ended", EL_FS ("endpoint", target->facts.id),
-          EL_FS ("address", target->facts.address), EL_FC ("sign", sign),
+          EL_FS ("address", target->facts.address), EL_FC ("sign", evidence),
           EL_FN ("runs", runs));
 }
 
-/* TARGET has ended: tell which requests of this host ran there. */
+/* TARGET has crashed: report which requests of this host were running there.
+ */
 static void
-notes_settle (gt_relays_t *relays, const rt_target_t *target, const char *sign)
+pending_confirm (gt_relays_t *relays, const rt_target_t *target,
+                 const char *evidence)
 {
   relay_blame_t *blame = relays->blame;
   relay_fact_t fact = { .kind = RELAY_FACT_ENDED };
   el_time_t now = net_clock_now (relays->options.clock);
-  blame_note_t *note;
-  blame_note_t *next;
+  pending_run_t *run;
+  pending_run_t *next;
   size_t runs = 0;
 
-  DL_FOREACH_SAFE (blame->notes, note, next)
-  if (note->target == target)
+  DL_FOREACH_SAFE (blame->pending, run, next)
+  if (run->target == target)
     {
-      runs += note->ended.digest != 0;
-      note->ended.found = now;
-      if (rt_blame_told (blame->rt, &note->ended))
-        fact.runs[fact.nruns++] = note->ended;
-      rt_blame_ended (blame->rt, now, &note->ended);
-      note_drop (blame, note);
+      runs += run->report.digest != 0;
+      run->report.detected_at = now;
+      if (rt_blame_told (blame->table, &run->report))
+        fact.runs[fact.nruns++] = run->report;
+      rt_blame_ended (blame->table, now, &run->report);
+      pending_free (blame, run);
       if (fact.nruns < RELAY_FACT_RUNS)
         continue;
       relay_rumor_tell (relays, &fact, el_random (&relays->random),
@@ -187,17 +193,18 @@
   if (fact.nruns)
     relay_rumor_tell (relays, &fact, el_random (&relays->random),
                       RELAY_FACT_HOLD);
-  judge_soon (relays);
+  schedule_update (relays);
   if (runs == 0)
     return;
   relays->counts.ends++;
   relays->counts.suspects += runs;
-  ended_log (target, sign, runs);
+  log_crash (target, evidence, runs);
 }
 
-/* Whether other endpoints will give signs of life by themselves. */
+/* Whether streams at other endpoints will give signs of life without a check.
+ */
 static int
-runs_elsewhere (const gt_relays_t *relays, const rt_target_t *target)
+has_streams_elsewhere (const gt_relays_t *relays, const rt_target_t *target)
 {
   const gt_relay_t *relay;
 
@@ -207,9 +214,9 @@
   return 0;
 }
 
-/* Another endpoint to ask, which tells whether this host is cut off. */
+/* Pick another engine whose answer shows that this host is not cut off. */
 static rt_target_t *
-other_engine (const gt_relays_t *relays, const rt_target_t *target)
+pick_other_engine (const gt_relays_t *relays, const rt_target_t *target)
 {
   el_time_t now = net_clock_now (relays->options.clock);
   rt_target_t *other;
@@ -222,158 +229,163 @@
   return NULL;
 }
 
-/* Another host saw TARGET end, and this one is asked to look, too. */
+/* Another host saw TARGET crash, and this host was asked to check it: add a
+   report without a request. */
 static void
-note_witness (gt_relays_t *relays, rt_target_t *target)
+pending_add_check (gt_relays_t *relays, rt_target_t *target)
 {
-  const rt_ended_t ended = { .start = rt_target_start (target),
-                             .host = relays->options.witness,
-                             .at = net_clock_now (relays->options.clock) };
+  const rt_ended_t report = { .start = rt_target_start (target),
+                              .host = relays->options.witness,
+                              .at = net_clock_now (relays->options.clock) };
 
-  if (rt_blame_unsure (relays->blame->rt, &ended.start, ended.host))
-    note_add (relays->blame, target, &ended);
+  if (rt_blame_unsure (relays->blame->table, &report.start, report.host))
+    pending_add (relays->blame, target, &report);
 }
 
-/** TARGET refuses connections: it has ended, unless this host is cut off,
-   which another endpoint tells. */
+/** TARGET refuses connections: it has crashed, unless this host is cut off,
+    which a check of another endpoint decides. */
 void
 relay_blame_refused (gt_relays_t *relays, rt_target_t *target)
 {
   relay_blame_t *blame = relays->blame;
   rt_target_t *other;
-  blame_note_t *note;
+  pending_run_t *run;
 
-  note_witness (relays, target);
-  DL_FOREACH (blame->notes, note)
-  if (note->target == target && !note->refused)
+  pending_add_check (relays, target);
+  DL_FOREACH (blame->pending, run)
+  if (run->target == target && !run->refused)
     {
-      note->refused = 1;
-      blame->nrefused++;
+      run->refused = 1;
+      blame->npending_refused++;
     }
-  other = blame->nrefused && !runs_elsewhere (relays, target)
-              ? other_engine (relays, target)
+  other = blame->npending_refused && !has_streams_elsewhere (relays, target)
+              ? pick_other_engine (relays, target)
               : NULL;
   if (other && relays->options.dialect->check)
     relay_check_poll (relays, other,
-                      net_clock_now (relays->options.clock) - ASK_GAP);
+                      net_clock_now (relays->options.clock)
+                          - CHECK_INTERVAL_MIN);
 }
 
-/** TARGET gave a sign of life: this host is not cut off, and endpoints that
-    refuse connections have ended. */
+/** TARGET gave a sign of life, so this host is not cut off: the other
+    endpoints that refuse connections have crashed. */
 void
 relay_blame_sign (gt_relays_t *relays, const rt_target_t *target)
 {
-  const blame_note_t *note;
+  const pending_run_t *run;
   rt_target_t *other;
 
-  while (relays->blame->nrefused)
+  while (relays->blame->npending_refused)
     {
-      DL_FOREACH (relays->blame->notes, note)
-      if (note->refused && note->target != target)
+      DL_FOREACH (relays->blame->pending, run)
+      if (run->refused && run->target != target)
         break;
-      if (!note)
+      if (!run)
         return;
-      other = rt_target_ref (note->target);
-      notes_settle (relays, other, "connections refused");
+      other = rt_target_ref (run->target);
+      pending_confirm (relays, other, "connections refused");
       rt_target_unref (other);
     }
 }
 
-/** TARGET answered what it was ASKED: what broke off before was not its end.
- */
+/** TARGET answered a check that was sent at ASKED: the runs that broke off
+    before were not ended by a crash. */
 void
 relay_blame_alive (gt_relays_t *relays, const rt_target_t *target,
                    el_time_t asked)
 {
   relay_blame_t *blame = relays->blame;
   el_time_t now = net_clock_now (relays->options.clock);
-  blame_note_t *note;
-  blame_note_t *next;
+  pending_run_t *run;
+  pending_run_t *next;
 
   relay_blame_sign (relays, target);
-  DL_FOREACH_SAFE (blame->notes, note, next)
-  if (note->target == target && note->ended.at <= asked
-      && now < note->ended.at + ALIVE_WITHIN)
-    note_drop (blame, note);
+  DL_FOREACH_SAFE (blame->pending, run, next)
+  if (run->target == target && run->report.at <= asked
+      && now < run->report.at + ALIVE_WINDOW)
+    pending_free (blame, run);
 }
 
-/** TARGET is listed no more, or as another start, and was not leaving: it has
-    ended, which all hosts learn in the same way. */
+/** TARGET is no longer listed, or is listed as another instance, and was not
+    leaving: it has crashed. All hosts learn this in the same way. */
 void
 gt_relays_engine_gone (gt_relays_t *relays, rt_target_t *target)
 {
   el_time_t now = net_clock_now (relays->options.clock);
-  const rt_ended_t end
-      = { .start = rt_target_start (target), .at = now, .found = now };
+  const rt_ended_t report
+      = { .start = rt_target_start (target), .at = now, .detected_at = now };
 
   if (rt_target_leaves (target))
     return;
   rt_target_ref (target);
-  notes_settle (relays, target, "gone");
+  pending_confirm (relays, target, "gone");
   rt_target_unref (target);
-  if (!rt_blame_ended (relays->blame->rt, now, &end))
+  if (!rt_blame_ended (relays->blame->table, now, &report))
     return;
-  if (!rt_blame_empty (relays->blame->rt))
-    judge_soon (relays);
+  if (!rt_blame_empty (relays->blame->table))
+    schedule_update (relays);
 }
 
 static void
-blame_judge (void *arg, el_time_t now)
+update_timeout (void *arg, el_time_t now)
 {
   gt_relays_t *relays = arg;
 
-  relays->blame->judged = now;
-  rt_blame_judge (relays->blame->rt, now,
+  relays->blame->last_update = now;
+  rt_blame_judge (relays->blame->table, now,
                   rt_fleet_count (relays->options.fleet), relay_block_found,
                   relays);
 }
 
-/** RELAY ran to its end. All hosts should know at its first end already: those
-    that see a second one may not know that it ran well elsewhere between them.
-    It is one rumor, however many hosts tell it. */
+/** RELAY completed. All hosts are told already after its first crash: a host
+    that sees the second one may not know that the request completed elsewhere
+    in between. The rumor has the same id at all hosts, so that it spreads once
+    however many hosts send it. */
 void
 relay_blame_survived (gt_relay_t *relay)
 {
   gt_relays_t *relays = relay->relays;
   relay_fact_t fact = { .kind = RELAY_FACT_SURVIVED };
-  uint64_t news;
+  uint64_t id;
 
-  if (rt_blame_empty (relays->blame->rt))
+  if (rt_blame_empty (relays->blame->table))
     return;
   fact.digest = relay_digest (relay);
-  news = rt_blame_survived (relays->blame->rt, fact.digest,
-                            net_clock_now (relays->options.clock));
-  if (news)
-    relay_rumor_tell (relays, &fact, fact.digest ^ news, RELAY_FACT_HOLD);
+  id = rt_blame_survived (relays->blame->table, fact.digest,
+                          net_clock_now (relays->options.clock));
+  if (id)
+    relay_rumor_tell (relays, &fact, fact.digest ^ id, RELAY_FACT_HOLD);
 }
 
-/** What is thought of RELAY now. */
+/** Return the status of RELAY's request. */
 rt_judgement_t
 relay_blame_of (gt_relay_t *relay)
 {
   const gt_relays_t *relays = relay->relays;
 
-  if (rt_blame_empty (relays->blame->rt))
+  if (rt_blame_empty (relays->blame->table))
     return (rt_judgement_t){ 0 };
-  return rt_blame_of (relays->blame->rt, net_clock_now (relays->options.clock),
+  return rt_blame_of (relays->blame->table,
+                      net_clock_now (relays->options.clock),
                       relay_digest (relay));
 }
 
-/* One host alone saw an endpoint end: a few others look, too. */
+/* Only one host saw an endpoint crash: a few others check it. */
 static void
-ended_doubt (gt_relays_t *relays, const rt_start_t *start)
+check_unconfirmed_crash (gt_relays_t *relays, const rt_start_t *start)
 {
   const gt_relay_options_t *o = &relays->options;
   rt_target_t *target = rt_fleet_find (o->fleet, el_str (start->id));
 
   if (target && target->facts.born == start->born && o->dialect->check
       && target->facts.end > target->facts.first
-      && rt_blame_unsure (relays->blame->rt, start, o->witness)
-      && el_random (&relays->random) % o->hosts (o->arg) < WITNESSES)
-    relay_check_poll (relays, target, net_clock_now (o->clock) - ASK_GAP);
+      && rt_blame_unsure (relays->blame->table, start, o->witness)
+      && el_random (&relays->random) % o->hosts (o->arg) < EXTRA_CHECKERS)
+    relay_check_poll (relays, target,
+                      net_clock_now (o->clock) - CHECK_INTERVAL_MIN);
 }
 
-/** Another host saw an endpoint end where requests ran. */
+/** Another host reports an endpoint crash and the requests that ran there. */
 void
 relay_blame_hear_ended (gt_relays_t *relays, const co_rumor_t *rumor,
                         const relay_fact_t *fact)
@@ -383,44 +395,44 @@
 
   (void)rumor;
   for (i = 0; i < fact->nruns; i++)
-    if (rt_blame_ended (relays->blame->rt, now, &fact->runs[i]))
-      judge_soon (relays);
-  ended_doubt (relays, &fact->runs[0].start);
+    if (rt_blame_ended (relays->blame->table, now, &fact->runs[i]))
+      schedule_update (relays);
+  check_unconfirmed_crash (relays, &fact->runs[0].start);
 }
 
-/** A request ran to its end at another host. */
+/** A request completed at another host. */
 void
 relay_blame_hear_survived (gt_relays_t *relays, const co_rumor_t *rumor,
                            const relay_fact_t *fact)
 {
-  rt_blame_survived (relays->blame->rt, fact->digest, rumor->at);
+  rt_blame_survived (relays->blame->table, fact->digest, rumor->at);
 }
 
-/** Nothing is known yet. */
+/** Set up crash attribution. */
 void
 relay_blame_open (gt_relays_t *relays)
 {
-  const rt_blame_options_t options = { .most = REQUESTS_MOST,
-                                       .customer_most = REQUESTS_CUSTOMER,
+  const rt_blame_options_t options = { .most = REQUESTS_MAX,
+                                       .customer_most = CUSTOMER_REQUESTS_MAX,
                                        .rule = &rt_blame_odds };
   relay_blame_t *blame = el_alloc (sizeof *blame);
 
-  blame->rt = rt_blame_new (&options);
-  blame->judge.cb = blame_judge;
-  blame->judge.arg = relays;
+  blame->table = rt_blame_new (&options);
+  blame->update_timer.cb = update_timeout;
+  blame->update_timer.arg = relays;
   relays->blame = blame;
 }
 
-/** Forget all. */
+/** Free all that is known of requests and crashes. */
 void
 relay_blame_close (gt_relays_t *relays)
 {
   relay_blame_t *blame = relays->blame;
 
-  net_clock_cancel (relays->options.clock, &blame->judge);
-  while (blame->notes)
-    note_drop (blame, blame->notes);
-  rt_blame_free (blame->rt);
+  net_clock_cancel (relays->options.clock, &blame->update_timer);
+  while (blame->pending)
+    pending_free (blame, blame->pending);
+  rt_blame_free (blame->table);
   free (blame);
   relays->blame = NULL;
 }
--- a/gate/relay_block.c
+++ b/gate/relay_block.c
@@ -3,26 +3,27 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Requests, and orders, that are blocked as they end endpoints: found here,
- * told by other hosts or the store, kept in the store, let in by operators.
+ * Requests and layer placement orders that are blocked because they crash
+ * endpoints. A block is found here or learned from other hosts or the store;
+ * it is persisted in the store and may be cleared by an operator.
  */
 #include "librelay.h"
 
 static void
-end_log (void *arg, const rt_ended_t *ended)
+log_crash_of_blocked (void *arg, const rt_ended_t *report)
 {
   const gt_relays_t *relays = arg;
   el_time_t now = net_clock_now (relays->options.clock);
 
-  EL_LOG (EL_LOG_WARN, "blocked_for_end", EL_FC ("endpoint", ended->start.id),
-          EL_FN ("age_us", now > ended->at ? now - ended->at : 0),
-          EL_FN ("ran_us", ended->ran), EL_FN ("first", ended->first),
-          EL_FN ("listed", ended->host == 0));
+  EL_LOG (EL_LOG_WARN, "blocked_for_end", EL_FC ("endpoint", report->start.id),
+          EL_FN ("age_us", now > report->at ? now - report->at : 0),
+          EL_FN ("ran_us", report->ran), EL_FN ("first", report->first),
+          EL_FN ("listed", report->host == 0));
 }
 
 static void
-block_log (gt_relays_t *relays, rt_digest_t digest,
-           const rt_judgement_t *judgement, const char *by)
+log_blocked (gt_relays_t *relays, rt_digest_t digest,
+             const rt_judgement_t *judgement, const char *by)
 {
   el_time_t now = net_clock_now (relays->options.clock);
   char hex[RT_DIGEST_HEX + 1];
@@ -33,38 +34,41 @@
           EL_FN ("odds", (uint64_t)judgement->odds),
           EL_FN ("holds", judgement->holds),
           EL_FN ("left_us", judgement->until - now));
-  rt_blame_ends (relay_blame_book (relays), digest, end_log, relays);
+  rt_blame_ends (relay_blame_book (relays), digest, log_crash_of_blocked,
+                 relays);
 }
 
-/* That DIGEST is blocked should outlast all hosts. */
+/* Persist the block so that it outlasts all hosts. */
 static void
-block_keep (const gt_relays_t *relays, rt_digest_t digest, unsigned holds,
-            el_time_t left)
+persist_block (const gt_relays_t *relays, rt_digest_t digest, unsigned holds,
+               el_time_t remaining)
 {
   if (relays->options.blocked)
-    relays->options.blocked (relays->options.arg, digest, holds, left);
+    relays->options.blocked (relays->options.arg, digest, holds, remaining);
 }
 
 static void
-blocked_keep (void *arg, rt_digest_t digest, const rt_judgement_t *judgement)
+persist_if_blocked (void *arg, rt_digest_t digest,
+                    const rt_judgement_t *judgement)
 {
   const gt_relays_t *relays = arg;
 
   if (judgement->state == RT_BLAME_BLOCKED)
-    block_keep (relays, digest, judgement->holds,
-                judgement->until - net_clock_now (relays->options.clock));
+    persist_block (relays, digest, judgement->holds,
+                   judgement->until - net_clock_now (relays->options.clock));
 }
 
-/** The store has lost what was kept there of requests that are blocked. */
+/** The store has lost its entries of blocked requests: write them again. */
 void
 gt_relays_blocked_keep (gt_relays_t *relays)
 {
   rt_blame_visit (relay_blame_book (relays),
-                  net_clock_now (relays->options.clock), blocked_keep, relays);
+                  net_clock_now (relays->options.clock), persist_if_blocked,
+                  relays);
 }
 
-/** DIGEST is to blame: all hosts should know, also those that did not hear of
-   every end, and those that start later. */
+/** DIGEST is the culprit. Tell all hosts, as some have not heard of every
+    crash, and persist it for hosts that start later. */
 void
 relay_block_found (void *arg, rt_digest_t digest,
                    const rt_judgement_t *judgement)
@@ -75,19 +79,19 @@
                               .holds = judgement->holds };
 
   relays->counts.blocked++;
-  block_log (relays, digest, judgement, "ends");
+  log_blocked (relays, digest, judgement, "ends");
   relay_rumor_tell (relays, &fact, digest + judgement->holds,
                     rt_blame_hold (judgement->holds));
-  block_keep (relays, digest, judgement->holds,
-              rt_blame_hold (judgement->holds));
+  persist_block (relays, digest, judgement->holds,
+                 rt_blame_hold (judgement->holds));
   relay_suspect_stop (relays, digest);
 }
 
-/* Another host, or the store, tells that a request is blocked since AT; gives
-   0 when that is known or over. */
+/* Another host or the store reports that a request has been blocked since AT.
+   Return 0 if that is known or the block is over. */
 static int
-block_hear (gt_relays_t *relays, rt_digest_t digest, uint64_t customer,
-            el_time_t at, unsigned holds, const char *by)
+apply_block (gt_relays_t *relays, rt_digest_t digest, uint64_t customer,
+             el_time_t at, unsigned holds, const char *by)
 {
   el_time_t now = net_clock_now (relays->options.clock);
   rt_judgement_t judgement;
@@ -97,22 +101,22 @@
   judgement = rt_blame_of (relay_blame_book (relays), now, digest);
   if (judgement.state != RT_BLAME_BLOCKED)
     return 0;
-  block_log (relays, digest, &judgement, by);
+  log_blocked (relays, digest, &judgement, by);
   relay_suspect_stop (relays, digest);
   return 1;
 }
 
-/** The store says that DIGEST is blocked the HOLDS-th time: for how long, its
-    entry does not tell, so that it counts from now on. */
+/** The store reports the HOLDS-th block of DIGEST. Its entry does not say how
+    much of the block remains, so that the block starts anew. */
 void
 gt_relays_block (gt_relays_t *relays, rt_digest_t digest, unsigned holds)
 {
-  block_hear (relays, digest, 0, net_clock_now (relays->options.clock), holds,
-              "store");
+  apply_block (relays, digest, 0, net_clock_now (relays->options.clock), holds,
+               "store");
 }
 
-/** Whether engines ended under such orders: no other one is given it until an
-    operator lets it in again, or some time has passed. */
+/** Whether ORDER is blocked because engines crashed on such orders: no other
+    engine is given one until an operator clears it or the block ends. */
 int
 gt_relays_order_blocked (gt_relays_t *relays, const rt_order_t *order)
 {
@@ -125,8 +129,8 @@
          == RT_BLAME_BLOCKED;
 }
 
-/** ORDER's engine ended under it. The host that plans next knows
-    what came of it, too. */
+/** ORDER's engine crashed while carrying it out. A resulting block is sent to
+    all hosts, so that the next planner knows of it. */
 void
 gt_relays_order_ended (gt_relays_t *relays, rt_falls_t *falls,
                        const rt_order_t *order)
@@ -144,15 +148,16 @@
           EL_FS ("card", order->target->facts.card),
           EL_FN ("layers", order->end - order->first));
   if (!rt_falls_ended (falls, digest)
-      || !block_hear (relays, digest, 0, net_clock_now (relays->options.clock),
-                      fact.holds, "orders"))
+      || !apply_block (relays, digest, 0,
+                       net_clock_now (relays->options.clock), fact.holds,
+                       "orders"))
     return;
   relay_rumor_tell (relays, &fact, digest + fact.holds,
                     rt_blame_hold (fact.holds));
-  block_keep (relays, digest, fact.holds, rt_blame_hold (fact.holds));
+  persist_block (relays, digest, fact.holds, rt_blame_hold (fact.holds));
 }
 
-/** ORDER's engine shows it. */
+/** ORDER's engine holds the layers it was ordered to hold. */
 void
 gt_relays_order_done (const gt_relays_t *relays, rt_falls_t *falls,
                       const rt_order_t *order)
@@ -161,7 +166,7 @@
 }
 
 static void
-clear_log (rt_digest_t digest, const char *by)
+log_cleared (rt_digest_t digest, const char *by)
 {
   char hex[RT_DIGEST_HEX + 1];
 
@@ -170,8 +175,8 @@
           EL_FC ("by", by));
 }
 
-/** An operator lets DIGEST in again, at all hosts; gives 0 when nothing is
-    known of it. */
+/** An operator clears DIGEST at all hosts. Return 0 if nothing is known of it.
+ */
 int
 gt_relays_unblock (gt_relays_t *relays, rt_digest_t digest)
 {
@@ -180,34 +185,34 @@
 
   if (!rt_blame_clear (relay_blame_book (relays), digest, now))
     return 0;
-  clear_log (digest, "operator");
+  log_cleared (digest, "operator");
   relay_rumor_tell (relays, &fact, el_random (&relays->random),
                     RELAY_FACT_HOLD);
   return 1;
 }
 
-/** Another host found a request to be to blame. */
+/** Another host blocked a request. */
 void
 relay_block_hear (gt_relays_t *relays, const co_rumor_t *rumor,
                   const relay_fact_t *fact)
 {
-  if (block_hear (relays, fact->digest, fact->customer, rumor->at, fact->holds,
-                  "another host"))
-    block_keep (relays, fact->digest, fact->holds,
-                rt_blame_hold (fact->holds));
+  if (apply_block (relays, fact->digest, fact->customer, rumor->at,
+                   fact->holds, "another host"))
+    persist_block (relays, fact->digest, fact->holds,
+                   rt_blame_hold (fact->holds));
 }
 
-/** An operator lets a request in again, at another host. */
+/** An operator cleared a request at another host. */
 void
 relay_block_hear_cleared (gt_relays_t *relays, const co_rumor_t *rumor,
                           const relay_fact_t *fact)
 {
   if (rt_blame_clear (relay_blame_book (relays), fact->digest, rumor->at))
-    clear_log (fact->digest, "another host");
+    log_cleared (fact->digest, "another host");
 }
 
 static void
-suspect_dump (void *arg, rt_digest_t digest, const rt_judgement_t *judgement)
+dump_suspect (void *arg, rt_digest_t digest, const rt_judgement_t *judgement)
 {
   static const char *const states[] = { [RT_BLAME_NONE] = "none",
                                         [RT_BLAME_SUSPECT] = "suspect",
@@ -222,13 +227,13 @@
                       "untilUs", (json_int_t)judgement->until));
 }
 
-/** The requests that are suspect or blocked. */
+/** Return the requests that are suspect or blocked, as a JSON array. */
 json_t *
 gt_relays_suspects (gt_relays_t *relays)
 {
   json_t *list = json_array ();
 
   rt_blame_visit (relay_blame_book (relays),
-                  net_clock_now (relays->options.clock), suspect_dump, list);
+                  net_clock_now (relays->options.clock), dump_suspect, list);
   return list;
 }
--- a/gate/relay_fact.c
+++ b/gate/relay_fact.c
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Facts about requests, as hosts tell them to each other: JSON, whose numbers
- * of 64 bits are text in hexadecimal.
+ * Encoding of the facts that rumors carry: JSON, with 64-bit numbers as
+ * hexadecimal strings.
  */
 #include <inttypes.h>
 #include <stdio.h>
@@ -12,7 +12,7 @@
 
 #include "librelay.h"
 
-#define HEX_MAX 17
+#define HEX_BUF_SIZE 17
 
 static void runs_write (const relay_fact_t *fact, json_t *json);
 static int runs_read (json_t *json, el_time_t at, relay_fact_t *out);
@@ -28,7 +28,7 @@
   const char *name;
   void (*write) (const relay_fact_t *fact, json_t *json);
   int (*read) (json_t *json, el_time_t at, relay_fact_t *out);
-} kinds[RELAY_FACTS] = {
+} codecs[RELAY_FACTS] = {
   [RELAY_FACT_ENDED] = { "ended", runs_write, runs_read },
   [RELAY_FACT_SURVIVED] = { "survived", request_write, request_read },
   [RELAY_FACT_BLOCKED] = { "blocked", request_write, request_read },
@@ -40,20 +40,20 @@
 static json_t *
 number_write (uint64_t number)
 {
-  char text[HEX_MAX];
+  char text[HEX_BUF_SIZE];
 
   snprintf (text, sizeof text, "%" PRIx64, number);
   return json_string (text);
 }
 
-/* Gives 0 when it is none. */
+/* Return 0 if JSON is no such number. */
 static int
 number_read (json_t *json, uint64_t *out)
 {
   const char *text = json_string_value (json);
   char *end;
 
-  if (!text || !*text || strlen (text) >= HEX_MAX)
+  if (!text || !*text || strlen (text) >= HEX_BUF_SIZE)
     return 0;
   *out = strtoull (text, &end, 16);
   return *end == '\0';
@@ -66,7 +66,7 @@
   json_object_set_new (json, "born", number_write (start->born));
 }
 
-/* Gives 0 when it names none. */
+/* Return 0 if JSON names no endpoint instance. */
 static int
 start_read (json_t *json, rt_start_t *out)
 {
@@ -118,15 +118,16 @@
     {
       run = &fact->runs[i];
       json_array_append_new (
-          list, json_pack ("[o,o,I,b,I]", number_write (run->digest),
-                           number_write (run->customer),
-                           (json_int_t)(run->ran / EL_MSEC), run->first,
-                           (json_int_t)((run->found - run->at) / EL_MSEC)));
+          list,
+          json_pack ("[o,o,I,b,I]", number_write (run->digest),
+                     number_write (run->customer),
+                     (json_int_t)(run->ran / EL_MSEC), run->first,
+                     (json_int_t)((run->detected_at - run->at) / EL_MSEC)));
     }
   json_object_set_new (json, "runs", list);
 }
 
-/* What is told of a request by its digest. */
+/* The fields common to facts about a request. */
 static void
 request_write (const relay_fact_t *fact, json_t *json)
 {
@@ -148,20 +149,22 @@
 }
 
 static int
-run_read (json_t *row, rt_ended_t *out)
-{
-  json_t *digest = json_array_get (row, 0);
-  json_t *customer = json_array_get (row, 1);
-  json_t *ran = json_array_get (row, 2);
-  json_t *ago = json_array_get (row, 4);
-  el_time_t before = (el_time_t)json_integer_value (ago) * EL_MSEC;
-
-  if (!json_is_integer (ago) || json_integer_value (ago) < 0
-      || before > out->found)
+run_read (json_t *item, rt_ended_t *out)
+{
+  json_t *digest = json_array_get (item, 0);
+  json_t *customer = json_array_get (item, 1);
+  json_t *ran = json_array_get (item, 2);
+  json_t *detected_after = json_array_get (item, 4);
+  el_time_t detection_delay
+      = (el_time_t)json_integer_value (detected_after) * EL_MSEC;
+
+  if (!json_is_integer (detected_after)
+      || json_integer_value (detected_after) < 0
+      || detection_delay > out->detected_at)
     return 0;
-  out->at = out->found - before;
+  out->at = out->detected_at - detection_delay;
   out->ran = (el_time_t)json_integer_value (ran) * EL_MSEC;
-  out->first = json_is_true (json_array_get (row, 3));
+  out->first = json_is_true (json_array_get (item, 3));
   return number_read (digest, &out->digest)
          && number_read (customer, &out->customer) && json_is_integer (ran)
          && json_integer_value (ran) >= 0;
@@ -171,39 +174,40 @@
 runs_read (json_t *json, el_time_t at, relay_fact_t *out)
 {
   json_t *list = json_object_get (json, "runs");
-  rt_ended_t end = { .found = at };
-  json_t *row;
+  rt_ended_t report = { .detected_at = at };
+  json_t *item;
   size_t i;
 
-  if (!start_read (json, &end.start)
-      || !number_read (json_object_get (json, "host"), &end.host) || !end.host
-      || json_array_size (list) > RELAY_FACT_RUNS)
+  if (!start_read (json, &report.start)
+      || !number_read (json_object_get (json, "host"), &report.host)
+      || !report.host || json_array_size (list) > RELAY_FACT_RUNS)
     return 0;
-  json_array_foreach (list, i, row)
+  json_array_foreach (list, i, item)
   {
-    out->runs[i] = end;
-    if (!run_read (row, &out->runs[i]))
+    out->runs[i] = report;
+    if (!run_read (item, &out->runs[i]))
       return 0;
     out->nruns++;
   }
   return out->nruns > 0;
 }
 
-/** Put FACT into a rumor's body. */
+/** Encode FACT as the body of a rumor. */
 void
 relay_fact_write (const relay_fact_t *fact, el_buf_t *out)
 {
-  json_t *json = json_pack ("{s:s}", "fact", kinds[fact->kind].name);
+  json_t *json = json_pack ("{s:s}", "fact", codecs[fact->kind].name);
   char *text;
 
-  kinds[fact->kind].write (fact, json);
+  codecs[fact->kind].write (fact, json);
   text = json_dumps (json, JSON_COMPACT);
   el_buf_add (out, el_str (text));
   free (text);
   json_decref (json);
 }
 
-/** Read a rumor's body, which was first told AT; gives 0 when it is none. */
+/** Decode the body of a rumor that was first sent at AT. Return 0 if it is
+    malformed. */
 int
 relay_fact_read (el_str_t body, el_time_t at, relay_fact_t *out)
 {
@@ -213,10 +217,10 @@
 
   memset (out, 0, sizeof *out);
   while (kind && out->kind < RELAY_FACTS
-         && strcmp (kind, kinds[out->kind].name) != 0)
+         && strcmp (kind, codecs[out->kind].name) != 0)
     out->kind++;
   ok = kind && out->kind < RELAY_FACTS
-       && kinds[out->kind].read (json, at, out);
+       && codecs[out->kind].read (json, at, out);
   json_decref (json);
   return ok;
 }
--- a/gate/relay_rumor.c
+++ b/gate/relay_rumor.c
@@ -3,14 +3,14 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * What hosts tell each other at once of requests and of endpoints.
+ * Rumors about requests and endpoints, which hosts send to each other at once.
  */
 #include "librelay.h"
 
-/* Who takes in a fact that another host tells. */
-static void (*const hears[RELAY_FACTS]) (gt_relays_t *relays,
-                                         const co_rumor_t *rumor,
-                                         const relay_fact_t *fact)
+/* Handlers of the facts received from other hosts. */
+static void (*const handlers[RELAY_FACTS]) (gt_relays_t *relays,
+                                            const co_rumor_t *rumor,
+                                            const relay_fact_t *fact)
     = {
         [RELAY_FACT_ENDED] = relay_blame_hear_ended,
         [RELAY_FACT_SURVIVED] = relay_blame_hear_survived,
@@ -20,7 +20,7 @@
         [RELAY_FACT_RULES] = relay_epoch_hear_rules,
       };
 
-/** Have all hosts know FACT, which ID names, for HOLD. */
+/** Send FACT to all hosts under the rumor id ID, to be kept for HOLD. */
 void
 relay_rumor_tell (gt_relays_t *relays, const relay_fact_t *fact, uint64_t id,
                   el_time_t hold)
@@ -34,14 +34,14 @@
   el_buf_free (&body);
 }
 
-/** Another host told RUMOR. */
+/** Handle a rumor from another host. */
 void
 gt_relays_rumor (gt_relays_t *relays, const co_rumor_t *rumor)
 {
   relay_fact_t fact;
 
   if (relay_fact_read (rumor->body, rumor->at, &fact))
-    hears[fact.kind](relays, rumor, &fact);
+    handlers[fact.kind](relays, rumor, &fact);
   else
     EL_LOG (EL_LOG_ERROR, "rumor_refused", EL_FS ("body", rumor->body));
 }
--- a/gate/relay_suspect.c
+++ b/gate/relay_suspect.c
@@ -3,26 +3,27 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Requests that ran where endpoints ended, on their way: one that is to blame
- * is refused, one that may be is sent apart from others and waits for its
- * turn.
+ * Admission and routing of requests that were running where endpoints crashed:
+ * a blocked request is refused; a suspect is sent to an endpoint of its own
+ * and, after several crashes, one at a time.
  */
 #include "librelay.h"
 
-/* A suspect that has not ended its endpoint so long after it was sent does not
-   keep others waiting. */
-#define PROOF (500 * EL_MSEC)
-/* Who ran under so many ends waits until no other suspect of this host is
-   under proof where it would be sent. */
-#define TURN_ENDS 2
-/* It waits, too, until it is known whether its last endpoint has ended: a few
-   milliseconds where its port is closed and other hosts look, three heartbeats
-   where not. */
-#define TURN_WAIT (20 * EL_MSEC)
-#define TURNS_MOST 250
+/* A suspect whose endpoint has not crashed this long after the send no longer
+   keeps others waiting. */
+#define PROBATION_TIME (500 * EL_MSEC)
+/* A suspect with this many crashes waits while no endpoint is open to it, as
+   when other suspects of this host are on probation at all of them. */
+#define TURN_MIN_CRASHES 2
+/* Such a suspect also waits until it is known whether its last endpoint
+   crashed: a few milliseconds if the port is closed and other hosts check,
+   three heartbeats if not. */
+#define TURN_RETRY_INTERVAL (20 * EL_MSEC)
+#define TURNS_MAX 250
 
-/** Whether RELAY may be served; if not, it was answered. What it says is true:
-    this arrival has not run. When to come back is when it is let in again. */
+/** Whether RELAY may be served; if not, it has been answered. The refusal
+    states that this arrival did not run, which is true, and asks to retry when
+    the block ends. */
 int
 relay_suspect_admit (gt_relay_t *relay)
 {
@@ -44,51 +45,51 @@
 }
 
 static void
-turn_over (void *arg, el_time_t now)
+turn_timeout (void *arg, el_time_t now)
 {
   (void)now;
   relay_try (arg);
 }
 
-/* Where a suspect would be sent. */
+/* Pick the endpoint for a suspect. */
 static rt_target_t *
-suspect_choose (gt_relay_t *relay, const rt_judgement_t *judgement,
-                el_time_t now)
+pick_isolated_target (gt_relay_t *relay, const rt_judgement_t *judgement,
+                      el_time_t now)
 {
   return rt_fleet_apart (
       relay->relays->options.fleet, now, relay->service->name,
       relay_digest (relay) + judgement->ends, &relay->tried);
 }
 
-/** Whether RELAY has to wait for its turn; it is sent then, or told when to
-    come back if it has not been sent yet. */
+/** Whether RELAY has to wait for its turn. It is retried later, or refused
+    with a time to retry if it has not been sent yet. */
 int
 relay_suspect_waits (gt_relay_t *relay, el_time_t now)
 {
   gt_relays_t *relays = relay->relays;
   rt_judgement_t judgement = relay_blame_of (relay);
 
-  if (judgement.state != RT_BLAME_SUSPECT || judgement.ends < TURN_ENDS
-      || (!judgement.unsure
+  if (judgement.state != RT_BLAME_SUSPECT || judgement.ends < TURN_MIN_CRASHES
+      || (!judgement.unconfirmed
           && !relay_blame_awaits (relays, relay_digest (relay))
-          && suspect_choose (relay, &judgement, now))
-      || relay->turns++ >= TURNS_MOST)
+          && pick_isolated_target (relay, &judgement, now))
+      || relay->turns++ >= TURNS_MAX)
     return 0;
   relays->counts.turns++;
   if (relay->course.sent == 0)
     {
       relays->counts.refused++;
-      relay_answer_refuse (relay, 503, "waits for its turn", PROOF);
+      relay_answer_refuse (relay, 503, "waits for its turn", PROBATION_TIME);
       return 1;
     }
-  relay->turn.cb = turn_over;
+  relay->turn.cb = turn_timeout;
   relay->turn.arg = relay;
-  net_clock_set (relays->options.clock, &relay->turn, TURN_WAIT);
+  net_clock_set (relays->options.clock, &relay->turn, TURN_RETRY_INTERVAL);
   return 1;
 }
 
-/** The endpoint where RELAY is to be sent first, if it is a suspect: others
-    avoid it until RELAY has proved itself. NULL: any. */
+/** Return the endpoint where a suspect is to be sent first; others avoid it
+    until RELAY's probation is over. NULL: no restriction. */
 rt_target_t *
 relay_suspect_target (gt_relay_t *relay, el_time_t now)
 {
@@ -96,17 +97,17 @@
   rt_target_t *target;
 
   if (judgement.state != RT_BLAME_SUSPECT
-      || (judgement.ends < TURN_ENDS && !judgement.foremost))
+      || (judgement.ends < TURN_MIN_CRASHES && !judgement.foremost))
     return NULL;
-  target = suspect_choose (relay, &judgement, now);
+  target = pick_isolated_target (relay, &judgement, now);
   if (!target)
     return NULL;
   relay->relays->counts.apart++;
-  rt_access_proof (&target->access, now, PROOF);
+  rt_access_proof (&target->access, now, PROBATION_TIME);
   return target;
 }
 
-/** DIGEST is to blame: what runs of it is ended, before it ends more. */
+/** DIGEST is the culprit: stop its runs before they crash more endpoints. */
 void
 relay_suspect_stop (gt_relays_t *relays, rt_digest_t digest)
 {
--- a/route/blame.c
+++ b/route/blame.c
@@ -3,41 +3,42 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * What is known of requests that ran where endpoints ended: bounded, fading,
- * the same whatever order it was learned in. The ways to judge are in
- * blame_rule.c.
+ * The reports about requests that were running where endpoints crashed:
+ * bounded in number, expiring, and independent of the order of arrival. The
+ * scoring rules are in blame_rule.c.
  */
 #include <stdlib.h>
 #include <string.h>
 
 #include "libblame.h"
 
-/* Facts fade after this: an endpoint that ends by itself once in an hour, with
-   one request of a hundred running there at each time, says nothing of it ten
-   minutes later. A request that is to blame and waits for that long ends two
-   endpoints in ten minutes and is not blocked; it ended ten in a minute. */
-#define FADE (600 * EL_SEC)
-/* It is blocked for so long, and twice as long each time that it ends another
-   endpoint when it is let in again: one endpoint a hold is what waiting out
-   costs it. */
-#define HOLD_FIRST (600 * EL_SEC)
-#define HOLD_DOUBLINGS 3
-/* Ends remembered; a hall of a hundred engines may end at once. */
-#define ENDS_MOST 512
-/* Requests remembered under one end: an engine's slots, and its queue. */
-#define RUNS_MOST 320
-/* Hosts place what others tell in time by the age of a message: it may seem
-   later than it was by this. */
-#define PLACE_SLACK (50 * EL_MSEC)
-
-/** Names a start of an endpoint. */
+/* Reports expire after this. Where an endpoint crashes once an hour by itself,
+   with one request of a hundred running there each time, the crash says
+   nothing about that request ten minutes later. A culprit that pauses for this
+   long crashes two endpoints in ten minutes and is not blocked; without pauses
+   it crashed ten in a minute. */
+#define FACT_LIFETIME (600 * EL_SEC)
+/* Duration of a request's first block. It doubles each time the request
+   crashes another endpoint after a block has ended, so that waiting out the
+   blocks costs one endpoint per block. */
+#define BLOCK_TIME_MIN (600 * EL_SEC)
+#define BLOCK_TIME_DOUBLINGS_MAX 3
+/* Crashes stored; a hall of a hundred engines may fail at once. */
+#define CRASHES_MAX 512
+/* Requests stored per crash: the slots of an engine and its queue. */
+#define RUNS_PER_CRASH_MAX 320
+/* Hosts derive the time of a report from the age of its message, so that it
+   may seem later than it was by up to this. */
+#define TIME_TOLERANCE (50 * EL_MSEC)
+
+/** Return a hash that identifies an endpoint instance. */
 uint64_t
 rt_start_key (const rt_start_t *start)
 {
   return XXH3_64bits_withSeed (start->id, strlen (start->id), start->born);
 }
 
-/** The start that TARGET is. */
+/** Return the current instance of TARGET; a long id is truncated. */
 rt_start_t
 rt_target_start (const rt_target_t *target)
 {
@@ -50,18 +51,18 @@
   return start;
 }
 
-/** How long a request is blocked for the HOLDS-th time. */
+/** Return the duration of the HOLDS-th block of a request. */
 el_time_t
 rt_blame_hold (unsigned holds)
 {
   unsigned doublings = holds > 1 ? holds - 1 : 0;
 
-  if (doublings > HOLD_DOUBLINGS)
-    doublings = HOLD_DOUBLINGS;
-  return HOLD_FIRST << doublings;
+  if (doublings > BLOCK_TIME_DOUBLINGS_MAX)
+    doublings = BLOCK_TIME_DOUBLINGS_MAX;
+  return BLOCK_TIME_MIN << doublings;
 }
 
-/** Nothing known. */
+/** Create an empty set of reports. */
 rt_blame_t *
 rt_blame_new (const rt_blame_options_t *options)
 {
@@ -71,7 +72,7 @@
   return blame;
 }
 
-/* NULL when nothing is known of it. */
+/* Return NULL if the request is not tracked. */
 blame_request_t *
 blame_request_find (const rt_blame_t *blame, rt_digest_t digest)
 {
@@ -82,59 +83,60 @@
 }
 
 static void
-run_drop (blame_run_t *run)
+run_free (blame_run_t *run)
 {
-  DL_DELETE2 (run->end->runs, run, end_prev, end_next);
+  DL_DELETE2 (run->crash->runs, run, crash_prev, crash_next);
   DL_DELETE2 (run->request->runs, run, prev, next);
-  run->end->nruns--;
+  run->crash->nruns--;
   free (run);
 }
 
 static void
-request_drop (rt_blame_t *blame, blame_request_t *request)
+request_free (rt_blame_t *blame, blame_request_t *request)
 {
   blame_customer_t *customer = request->customer;
 
   while (request->runs)
-    run_drop (request->runs);
+    run_free (request->runs);
   HASH_DEL (blame->requests, request);
   free (request);
-  if (--customer->n)
+  if (--customer->nrequests)
     return;
   HASH_DEL (blame->customers, customer);
   free (customer);
 }
 
 static void
-end_drop (rt_blame_t *blame, blame_end_t *end)
+crash_free (rt_blame_t *blame, blame_crash_t *crash)
 {
-  while (end->runs)
-    run_drop (end->runs);
-  DL_DELETE (blame->order, end);
-  HASH_DEL (blame->ends, end);
-  free (end);
+  while (crash->runs)
+    run_free (crash->runs);
+  DL_DELETE (blame->by_time, crash);
+  HASH_DEL (blame->crash_by_key, crash);
+  free (crash);
 }
 
-/** Forget all. */
+/** Free all reports and requests. */
 void
 rt_blame_free (rt_blame_t *blame)
 {
   blame_request_t *request;
   blame_request_t *next;
 
-  while (blame->order)
-    end_drop (blame, blame->order);
+  while (blame->by_time)
+    crash_free (blame, blame->by_time);
   HASH_ITER (hh, blame->requests, request, next)
-  request_drop (blame, request);
+  request_free (blame, request);
   free (blame);
 }
 
-/* Room for one more: of the customer's own requests when it has its part of
-   the room, else of those of the customer that has most. So nobody pushes out
-   what is known of others. What speaks least against a request, then what is
-   oldest, goes first. */
+/* Make room for one more request. Evict one of the customer's own if it
+   exceeds its quota, else, when the table is full, one of the customer with
+   the most requests, so that no customer can push out what is known about the
+   requests of others. Evict the request with the fewest blocks, and of these
+   the one with the oldest report. */
 static void
-room_make (rt_blame_t *blame, blame_customer_t *owner)
+evict_request (rt_blame_t *blame, blame_customer_t *owner)
 {
   blame_request_t *victim = NULL;
   blame_request_t *request;
@@ -142,22 +144,22 @@
   blame_customer_t *customer;
   blame_customer_t *other;
 
-  if (owner->n <= blame->options.customer_most)
+  if (owner->nrequests <= blame->options.customer_most)
     {
       if (HASH_COUNT (blame->requests) < blame->options.most)
         return;
       HASH_ITER (hh, blame->customers, customer, other)
-      if (customer->n > owner->n)
+      if (customer->nrequests > owner->nrequests)
         owner = customer;
     }
   HASH_ITER (hh, blame->requests, request, next)
   if (request->customer == owner
       && (!victim || request->holds < victim->holds
           || (request->holds == victim->holds
-              && request->last < victim->last)))
+              && request->last_fact < victim->last_fact)))
     victim = request;
   if (victim)
-    request_drop (blame, victim);
+    request_free (blame, victim);
 }
 
 static blame_customer_t *
@@ -183,8 +185,8 @@
   if (request)
     return request;
   customer = customer_get (blame, key);
-  customer->n++; /* stays while room is made */
-  room_make (blame, customer);
+  customer->nrequests++; /* keeps the customer allocated during eviction */
+  evict_request (blame, customer);
   request = el_alloc (sizeof *request);
   request->digest = digest;
   request->customer = customer;
@@ -192,292 +194,301 @@
   return request;
 }
 
-/* Ends stand in the order of their times. */
+/* Insert the crash into the list of crashes, which is sorted by time. */
 static void
-end_order (rt_blame_t *blame, blame_end_t *end)
+crash_insert_by_time (rt_blame_t *blame, blame_crash_t *crash)
 {
-  blame_end_t *after = blame->order ? blame->order->prev : NULL;
+  blame_crash_t *after = blame->by_time ? blame->by_time->prev : NULL;
 
-  while (after && after->at > end->at)
-    after = after == blame->order ? NULL : after->prev;
+  while (after && after->at > crash->at)
+    after = after == blame->by_time ? NULL : after->prev;
   if (after)
-    DL_APPEND_ELEM (blame->order, after, end);
+    DL_APPEND_ELEM (blame->by_time, after, crash);
   else
-    DL_PREPEND (blame->order, end);
+    DL_PREPEND (blame->by_time, crash);
 }
 
-static blame_end_t *
-end_get (rt_blame_t *blame, const rt_ended_t *ended)
+static blame_crash_t *
+crash_get (rt_blame_t *blame, const rt_ended_t *report)
 {
-  uint64_t key = rt_start_key (&ended->start);
-  blame_end_t *end;
+  uint64_t key = rt_start_key (&report->start);
+  blame_crash_t *crash;
 
-  HASH_FIND (hh, blame->ends, &key, sizeof key, end);
-  if (end)
-    return end;
-  if (HASH_COUNT (blame->ends) >= ENDS_MOST)
-    end_drop (blame, blame->order);
-  end = el_alloc (sizeof *end);
-  end->key = key;
-  end->start = ended->start;
-  end->at = ended->at;
-  end->found = EL_TIME_NEVER;
-  HASH_ADD (hh, blame->ends, key, sizeof end->key, end);
-  end_order (blame, end);
-  return end;
+  HASH_FIND (hh, blame->crash_by_key, &key, sizeof key, crash);
+  if (crash)
+    return crash;
+  if (HASH_COUNT (blame->crash_by_key) >= CRASHES_MAX)
+    crash_free (blame, blame->by_time);
+  crash = el_alloc (sizeof *crash);
+  crash->key = key;
+  crash->start = report->start;
+  crash->at = report->at;
+  crash->detected_at = EL_TIME_NEVER;
+  HASH_ADD (hh, blame->crash_by_key, key, sizeof crash->key, crash);
+  crash_insert_by_time (blame, crash);
+  return crash;
 }
 
-/* Note who saw the end; gives 0 when that is known. Two hosts, or the store,
-   make it sure: one host alone may have lost its way there. */
+/* Record a witness of the crash; return 0 if it was known. Two hosts or the
+   store confirm a crash: a single host may just have lost its connection to
+   the endpoint. */
 static int
-end_seen (blame_end_t *end, uint64_t host)
+crash_add_witness (blame_crash_t *crash, uint64_t host)
 {
   size_t i;
 
   if (host == 0)
     {
-      int news = !end->listed;
+      int changed = !crash->store_confirmed;
 
-      end->listed = 1;
-      return news;
+      crash->store_confirmed = 1;
+      return changed;
     }
-  for (i = 0; i < end->nhosts; i++)
-    if (end->hosts[i] == host)
+  for (i = 0; i < crash->nwitnesses; i++)
+    if (crash->witnesses[i] == host)
       return 0;
-  if (end->nhosts == BLAME_HOSTS)
+  if (crash->nwitnesses == BLAME_WITNESSES)
     return 0;
-  end->hosts[end->nhosts++] = host;
+  crash->witnesses[crash->nwitnesses++] = host;
   return 1;
 }
 
 static blame_run_t *
-run_find (const blame_end_t *end, rt_digest_t digest)
+run_find (const blame_crash_t *crash, rt_digest_t digest)
 {
   blame_run_t *run;
 
-  DL_FOREACH2 (end->runs, run, end_next)
+  DL_FOREACH2 (crash->runs, run, crash_next)
   if (run->request->digest == digest)
     return run;
   return NULL;
 }
 
-/* Whether what began at that time came to an endpoint that was known to have
-   ended: it did not run there. */
+/* Whether a run that began then reached an endpoint already known to have
+   crashed, and thus did not run there. */
 static int
-end_before (const blame_end_t *end, el_time_t began)
+crash_detected_before (const blame_crash_t *crash, el_time_t began_at)
 {
-  return end->found < EL_TIME_NEVER && began > end->found + PLACE_SLACK;
+  return crash->detected_at < EL_TIME_NEVER
+         && began_at > crash->detected_at + TIME_TOLERANCE;
 }
 
-/* Some host knew at FOUND that the endpoint had ended. */
+/* A host had detected the crash at DETECTED_AT: drop the runs that began
+   later. */
 static void
-end_found (blame_end_t *end, el_time_t found)
+crash_set_detected (blame_crash_t *crash, el_time_t detected_at)
 {
   blame_run_t *run;
   blame_run_t *next;
 
-  if (found >= end->found)
+  if (detected_at >= crash->detected_at)
     return;
-  end->found = found;
-  DL_FOREACH_SAFE2 (end->runs, run, next, end_next)
-  if (end_before (end, run->began))
-    run_drop (run);
+  crash->detected_at = detected_at;
+  DL_FOREACH_SAFE2 (crash->runs, run, next, crash_next)
+  if (crash_detected_before (crash, run->began_at))
+    run_free (run);
 }
 
-/* Gives 0 where the request came after the end, or has run to its end since.
- */
+/* Return 0 if the request began after the crash or has completed since. */
 static int
-run_add (rt_blame_t *blame, blame_end_t *end, const rt_ended_t *ended)
+run_add (rt_blame_t *blame, blame_crash_t *crash, const rt_ended_t *report)
 {
   blame_request_t *request;
   blame_run_t *run;
 
-  if (end_before (end, ended->at - ended->ran))
+  if (crash_detected_before (crash, report->at - report->ran))
     return 0;
-  request = request_get (blame, ended->digest, ended->customer);
-  if (end->at <= request->cleared)
+  request = request_get (blame, report->digest, report->customer);
+  if (crash->at <= request->cleared_at)
     return 0;
   run = el_alloc (sizeof *run);
-  run->end = end;
+  run->crash = crash;
   run->request = request;
-  run->began = ended->at - ended->ran;
-  run->ran = ended->ran;
-  run->first = ended->first;
-  if (request->last < end->at)
-    request->last = end->at;
-  DL_APPEND2 (end->runs, run, end_prev, end_next);
+  run->began_at = report->at - report->ran;
+  run->ran = report->ran;
+  run->first = report->first;
+  if (request->last_fact < crash->at)
+    request->last_fact = crash->at;
+  DL_APPEND2 (crash->runs, run, crash_prev, crash_next);
   DL_APPEND (request->runs, run);
-  end->nruns++;
+  crash->nruns++;
   return 1;
 }
 
-/* It ran there more than once at the same time: what began last counts. Gives
-   0 where that is known. */
+/* The request ran there more than once concurrently: keep the run that began
+   last. Return 0 if nothing changes. */
 static int
-run_again (blame_run_t *run, const rt_ended_t *ended)
+run_update (blame_run_t *run, const rt_ended_t *report)
 {
-  if (ended->ran >= run->ran || end_before (run->end, ended->at - ended->ran))
+  if (report->ran >= run->ran
+      || crash_detected_before (run->crash, report->at - report->ran))
     return 0;
-  run->began = ended->at - ended->ran;
-  run->ran = ended->ran;
-  run->first |= ended->first;
+  run->began_at = report->at - report->ran;
+  run->ran = report->ran;
+  run->first |= report->first;
   return 1;
 }
 
-/** Take in what was seen, here or by another host; gives 0 when it was known
-    or is too old. */
+/** Add a report of this or another host. Return 0 if it was known or has
+    expired. */
 int
-rt_blame_ended (rt_blame_t *blame, el_time_t now, const rt_ended_t *ended)
+rt_blame_ended (rt_blame_t *blame, el_time_t now, const rt_ended_t *report)
 {
-  blame_end_t *end;
+  blame_crash_t *crash;
   blame_run_t *run;
-  int news;
+  int changed;
 
-  if (ended->at + FADE < now)
+  if (report->at + FACT_LIFETIME < now)
     return 0;
-  end = end_get (blame, ended);
-  news = end_seen (end, ended->host);
-  end_found (end, ended->found ? ended->found : ended->at);
-  if (!ended->digest)
-    return news;
-  run = run_find (end, ended->digest);
+  crash = crash_get (blame, report);
+  changed = crash_add_witness (crash, report->host);
+  crash_set_detected (crash,
+                      report->detected_at ? report->detected_at : report->at);
+  if (!report->digest)
+    return changed;
+  run = run_find (crash, report->digest);
   if (run)
-    return run_again (run, ended) || news;
-  return (end->nruns < RUNS_MOST && run_add (blame, end, ended)) || news;
+    return run_update (run, report) || changed;
+  return (crash->nruns < RUNS_PER_CRASH_MAX && run_add (blame, crash, report))
+         || changed;
 }
 
-/** Whether only one host, which is not HOST, saw that START has ended. */
+/** Whether the crash of START was seen by a single host, other than HOST. */
 int
 rt_blame_unsure (const rt_blame_t *blame, const rt_start_t *start,
                  uint64_t host)
 {
   uint64_t key = rt_start_key (start);
-  const blame_end_t *end;
+  const blame_crash_t *crash;
 
-  HASH_FIND (hh, blame->ends, &key, sizeof key, end);
-  return end && !blame_end_sure (end)
-         && (!end->nhosts || end->hosts[0] != host);
+  HASH_FIND (hh, blame->crash_by_key, &key, sizeof key, crash);
+  return crash && !blame_crash_confirmed (crash)
+         && (!crash->nwitnesses || crash->witnesses[0] != host);
 }
 
-/* What was seen up to AT says nothing of the request. */
+/* Stop counting crashes up to AT against the request. */
 static void
-request_acquit (blame_request_t *request, el_time_t at)
+request_exonerate (blame_request_t *request, el_time_t at)
 {
   blame_run_t *run;
   blame_run_t *next;
 
-  request->cleared = at;
+  request->cleared_at = at;
   request->odds = 0;
   DL_FOREACH_SAFE (request->runs, run, next)
-  if (run->end->at <= at)
-    run_drop (run);
+  if (run->crash->at <= at)
+    run_free (run);
 }
 
-/** Whether other hosts are to know of a run: it was young, or a suspect
-    before. */
+/** Whether to tell other hosts about a run: it was short, or its request was
+    already a suspect or blocked. */
 int
-rt_blame_told (const rt_blame_t *blame, const rt_ended_t *ended)
+rt_blame_told (const rt_blame_t *blame, const rt_ended_t *report)
 {
-  return ended->ran < RT_BLAME_YOUNG
-         || rt_blame_of (blame, ended->at, ended->digest).state;
+  return report->ran < RT_BLAME_YOUNG
+         || rt_blame_of (blame, report->at, report->digest).state;
 }
 
-/* The newest end under which it ran as far as other hosts know, or that it was
-   blocked, by name. */
+/* Identify the newest crash that other hosts know for this request, else its
+   block. */
 static uint64_t
-request_news (const blame_request_t *request)
+request_rumor_id (const blame_request_t *request)
 {
   const blame_run_t *run;
-  const blame_end_t *newest = NULL;
+  const blame_crash_t *newest = NULL;
 
   DL_FOREACH (request->runs, run)
   if ((run->ran < RT_BLAME_YOUNG || request->runs->next)
-      && (!newest || run->end->at > newest->at))
-    newest = run->end;
+      && (!newest || run->crash->at > newest->at))
+    newest = run->crash;
   return newest ? newest->key : request->until;
 }
 
-/** The request ran to its end at AT and its endpoint lives: what was seen
-    before says nothing. Gives a name for what other hosts are to know that it
-    is cleared of, the same at all hosts; 0 when they know nothing of it. */
+/** The request completed at AT without a crash: earlier crashes no longer
+    count against it, and a block that began before AT is lifted. Return an
+    identifier of what other hosts must clear it of, which is the same at all
+    hosts, or 0 if they know nothing of it. */
 uint64_t
 rt_blame_survived (rt_blame_t *blame, rt_digest_t digest, el_time_t at)
 {
   blame_request_t *request = blame_request_find (blame, digest);
-  uint64_t news;
+  uint64_t rumor_id;
 
-  if (!request || at <= request->cleared)
+  if (!request || at <= request->cleared_at)
     return 0;
-  news = request_news (request);
-  request_acquit (request, at);
+  rumor_id = request_rumor_id (request);
+  request_exonerate (request, at);
   if (request->until && at + rt_blame_hold (request->holds) > request->until)
     request->until = 0;
-  return news;
+  return rumor_id;
 }
 
-/** The request was blocked at AT for the HOLDS-th time, as another host or the
-    store tells; gives 0 when that is known. */
+/** Record that the request was blocked for the HOLDS-th time at AT, as
+    reported by another host or the store. Return 0 if that was known or the
+    request has been cleared since. */
 int
 rt_blame_block (rt_blame_t *blame, rt_digest_t digest, uint64_t customer,
                 el_time_t at, unsigned holds)
 {
   blame_request_t *request = request_get (blame, digest, customer);
 
-  if (holds <= request->holds || at <= request->cleared)
+  if (holds <= request->holds || at <= request->cleared_at)
     return 0;
   request->holds = holds;
   request->until = at + rt_blame_hold (holds);
-  if (request->last < at)
-    request->last = at;
+  if (request->last_fact < at)
+    request->last_fact = at;
   return 1;
 }
 
-/** An operator lets the request in again; gives 0 when it is not known. */
+/** Clear the request, as an operator asked. Return 0 if it is not known or has
+    already been cleared since. */
 int
 rt_blame_clear (rt_blame_t *blame, rt_digest_t digest, el_time_t at)
 {
   blame_request_t *request = blame_request_find (blame, digest);
 
-  if (!request || at <= request->cleared)
+  if (!request || at <= request->cleared_at)
     return 0;
-  request_acquit (request, at);
+  request_exonerate (request, at);
   request->until = 0;
   request->holds = 0;
   return 1;
 }
 
-/* A request that was blocked is remembered as long again, one that ran to its
-   end until older facts of it have faded. */
+/* A request that was blocked is tracked for the duration of its last block
+   after the block ends; one that completed, until earlier reports about it
+   have expired. */
 static int
-request_forgotten (const blame_request_t *request, el_time_t now)
+request_expired (const blame_request_t *request, el_time_t now)
 {
   return (!request->until
           || request->until + rt_blame_hold (request->holds) < now)
-         && request->cleared + FADE < now;
+         && request->cleared_at + FACT_LIFETIME < now;
 }
 
-/* Facts fade. */
+/* Drop expired crashes and requests. */
 void
-blame_fade (rt_blame_t *blame, el_time_t now)
+blame_expire (rt_blame_t *blame, el_time_t now)
 {
   blame_request_t *request;
   blame_request_t *next;
 
-  while (blame->order && blame->order->at + FADE < now)
-    end_drop (blame, blame->order);
+  while (blame->by_time && blame->by_time->at + FACT_LIFETIME < now)
+    crash_free (blame, blame->by_time);
   HASH_ITER (hh, blame->requests, request, next)
-  if (!request->runs && request_forgotten (request, now))
-    request_drop (blame, request);
+  if (!request->runs && request_expired (request, now))
+    request_free (blame, request);
 }
 
-/** Whether no request is known to have run where an endpoint ended. */
+/** Whether no request is tracked. */
 int
 rt_blame_empty (const rt_blame_t *blame)
 {
   return !blame->requests;
 }
 
-/** Visit all requests that are remembered. */
+/** Visit all requests that are suspect or blocked. */
 void
 rt_blame_visit (const rt_blame_t *blame, el_time_t now,
                 rt_blame_visit_cb visit, void *arg)
@@ -488,13 +499,13 @@
 
   HASH_ITER (hh, blame->requests, request, next)
   {
-    judgement = blame_judgement (request, now);
+    judgement = blame_status (request, now);
     if (judgement.state)
       visit (arg, request->digest, &judgement);
   }
 }
 
-/** Visit the ends that a request ran under. */
+/** Visit the crashes of a request. */
 void
 rt_blame_ends (const rt_blame_t *blame, rt_digest_t digest,
                rt_blame_end_cb visit, void *arg)
@@ -504,15 +515,15 @@
 
   DL_FOREACH (request ? request->runs : NULL, run)
   {
-    const rt_ended_t ended
-        = { .start = run->end->start,
+    const rt_ended_t report
+        = { .start = run->crash->start,
             .digest = digest,
             .customer = request->customer->key,
-            .host = run->end->listed ? 0 : run->end->hosts[0],
-            .at = run->end->at,
+            .host = run->crash->store_confirmed ? 0 : run->crash->witnesses[0],
+            .at = run->crash->at,
             .ran = run->ran,
             .first = run->first };
 
-    visit (arg, &ended);
+    visit (arg, &report);
   }
 }
--- a/route/blame.h
+++ b/route/blame.h
@@ -3,16 +3,17 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Which request is to blame for the ends of endpoints.
+ * Attributes endpoint crashes to the requests that cause them.
  *
- * Load pattern: one request ends each endpoint that begins to run it, and
- * comes again, at any host, as often as its caller likes. An engine holds some
- * fifty other requests when it ends; they did nothing. Engines also end for
- * reasons that no request has: a fault, a rack, a hall.
+ * Load pattern: a request crashes each endpoint that starts to run it (a query
+ * of death) and is repeated, at any host, as often as its caller likes. An
+ * engine runs some fifty other, innocent requests when it crashes. Engines
+ * also crash for reasons unrelated to requests: a fault, a rack or hall
+ * outage.
  *
- * Each host notes which requests ran where an endpoint ended, and all hosts
- * tell each other; what is known here is a set of such facts, and a judgement
- * follows from the set alone, in whatever order it was learned. Nothing here
+ * Each host records which requests were running where an endpoint crashed, and
+ * the hosts exchange these reports. The verdict on a request depends only on
+ * the set of reports, not on the order in which they arrived. Nothing here
  * does I/O or reads a clock.
  */
 #ifndef ELMARCH_BLAME_H
@@ -20,76 +21,79 @@
 
 #include "relay.h"
 
-/** Longest id of an endpoint that is kept, with the final NUL. */
+/** Size of an endpoint's id as kept here, including the final NUL; longer ids
+    are truncated. */
 #define RT_START_MAX 48
 
-/** What has run at an endpoint for less than this when it ended is more likely
-    to be to blame than what ran for longer: the one that was seen ended its
-    engines within 0.2 s, and of fifty streams some eight are as young. */
+/** A request that had run for less than this when its endpoint crashed is more
+    likely to be the culprit than one that had run for longer. The culprit that
+    was observed crashed its engines within 0.2 s, and about eight of fifty
+    streams are as young. */
 #define RT_BLAME_YOUNG (400 * EL_MSEC)
 
-/** One start of an endpoint. */
+/** One instance of an endpoint, from its start to its end. */
 typedef struct rt_start
 {
   char id[RT_START_MAX];
-  uint64_t born; /**< tells starts under one id apart */
+  uint64_t born; /**< tells instances with the same id apart */
 } rt_start_t;
 
-/** What one host saw: a start of an endpoint ended, and a request that ran
-    there then. */
+/** A report by one host: an endpoint instance crashed while a request was
+    running there. */
 typedef struct rt_ended
 {
   rt_start_t start;
-  rt_digest_t digest; /**< 0: none that this host knows of */
-  uint64_t customer;  /**< a hash: whose request it is */
-  uint64_t host;      /**< who saw it; 0: the store, which is sure alone */
-  el_time_t at;       /**< when it ended, or the request's run broke off */
-  el_time_t found;    /**< when the host knew that it had; 0: at once */
-  el_time_t ran;      /**< how long the request had run there */
-  int first;          /**< it ran there as at the only or first endpoint */
+  rt_digest_t digest; /**< 0: no request of the reporting host ran there */
+  uint64_t customer;  /**< hash of the name of the request's customer */
+  uint64_t host;      /**< the reporter; 0: the store, whose report needs no
+                         confirmation */
+  el_time_t at; /**< when it crashed, or when the request's run broke off */
+  el_time_t detected_at; /**< when the host detected the crash; 0: at AT */
+  el_time_t ran;         /**< how long the request had been running there */
+  int first; /**< the endpoint was the only one, or the first engine of the
+                line */
 } rt_ended_t;
 
 typedef enum rt_blame_state
 {
-  RT_BLAME_NONE,    /**< nothing speaks against it */
-  RT_BLAME_SUSPECT, /**< it ran where an endpoint ended, as others did */
-  RT_BLAME_BLOCKED  /**< it is to blame: it is not sent any more for a while */
+  RT_BLAME_NONE,    /**< no report incriminates it */
+  RT_BLAME_SUSPECT, /**< it ran where an endpoint crashed, as others did */
+  RT_BLAME_BLOCKED  /**< it is the culprit: not sent until the block ends */
 } rt_blame_state_t;
 
-/** What is thought of a request. */
+/** What the reports say about a request. */
 typedef struct rt_judgement
 {
   rt_blame_state_t state;
-  unsigned ends;   /**< of endpoints where it ran */
-  double odds;     /**< that it is to blame for them */
-  el_time_t until; /**< it is blocked until then */
-  unsigned holds;  /**< times that it was blocked */
-  int unsure;      /**< only one host saw the newest of these ends */
-  int foremost;    /**< it was young there, and few are as likely to be to
-                        blame */
+  unsigned ends;   /**< endpoint crashes during its runs */
+  double odds;     /**< odds that it caused them */
+  el_time_t until; /**< end of the current or last block */
+  unsigned holds;  /**< how often it has been blocked */
+  int unconfirmed; /**< only one host saw the newest of these crashes */
+  int foremost;    /**< no request at the newest crash has far higher odds */
 } rt_judgement_t;
 
 typedef struct rt_blame_options
 {
-  size_t most;          /**< requests remembered */
-  size_t customer_most; /**< of these, those of one customer */
-  /** How a request is judged: a table entry, so that ways can be compared. */
+  size_t most;          /**< requests tracked */
+  size_t customer_most; /**< requests tracked per customer */
+  /** Scoring rule; replaceable so that benchmarks can compare rules. */
   const struct rt_blame_rule *rule;
 } rt_blame_options_t;
 
 typedef struct rt_blame rt_blame_t;
 
-/** A way to judge. */
+/** A rule that scores requests. */
 typedef struct rt_blame_rule
 {
   const char *name;
-  /** Work the odds of all requests out anew from the facts; ENDPOINTS are
-      listed now. */
-  void (*judge) (rt_blame_t *blame, size_t endpoints);
+  /** Recompute the odds of all requests from the reports; ENDPOINTS is the
+      number of endpoints listed. */
+  void (*score) (rt_blame_t *blame, size_t endpoints);
 } rt_blame_rule_t;
 
-extern const rt_blame_rule_t rt_blame_odds;  /**< weighs each end */
-extern const rt_blame_rule_t rt_blame_count; /**< counts ends alone */
+extern const rt_blame_rule_t rt_blame_odds;  /**< weighs other causes */
+extern const rt_blame_rule_t rt_blame_count; /**< counts crashes only */
 
 rt_blame_t *rt_blame_new (const rt_blame_options_t *options);
 void rt_blame_free (rt_blame_t *blame);
@@ -112,7 +116,7 @@
                      rt_blame_visit_cb blocked, void *arg);
 void rt_blame_visit (const rt_blame_t *blame, el_time_t now,
                      rt_blame_visit_cb visit, void *arg);
-/** Visit the ends that a request ran under; a host each that saw one. */
+/** Called for each crash of a request, with one host that reported it. */
 typedef void (*rt_blame_end_cb) (void *arg, const rt_ended_t *ended);
 void rt_blame_ends (const rt_blame_t *blame, rt_digest_t digest,
                     rt_blame_end_cb visit, void *arg);
--- a/route/blame_judge.c
+++ b/route/blame_judge.c
@@ -3,80 +3,81 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Which requests are suspect or blocked, as what is known of them stands.
+ * Decides from the reports which requests are suspect or blocked.
  */
 #include "libblame.h"
 
-/* Blocked without further doubt: so many endpoints in a row ended within
-   YOUNG of its beginning there. Where many endpoints end for other reasons,
-   the odds alone would let it end six. */
-#define ROW_MOST 4
-#define YOUNG (1 * EL_SEC)
-/* Part of the odds of the likeliest under an end from which on a request is
-   among the foremost there. */
-#define FOREMOST_PART 0.3
-/* Odds from which it is blocked, 10 to 1. */
+/* A request is also blocked, at lower odds, when this many endpoints in a row
+   crashed within EARLY_CRASH_TIME of its start there, and no other request at
+   the newest crash has higher odds. Where many endpoints crash for other
+   reasons, the odds alone would let it crash six. */
+#define EARLY_CRASHES_MAX 4
+#define EARLY_CRASH_TIME (1 * EL_SEC)
+/* A request is a prime suspect if its odds are at least this fraction of the
+   highest odds at its newest crash. */
+#define PRIME_SUSPECT_ODDS_RATIO 0.3
+/* Odds from which a request is blocked, 10 to 1. */
 #define BLOCK_ODDS 10.0
 
-/* Endpoints in a row that ended soon after it began there. */
+/* Count the endpoints that crashed soon after the request began there, since
+   it last completed. */
 static unsigned
-request_row (const blame_request_t *request)
+request_early_crashes (const blame_request_t *request)
 {
   const blame_run_t *run;
   unsigned n = 0;
 
   DL_FOREACH (request->runs, run)
-  n += run->ran < YOUNG;
+  n += run->ran < EARLY_CRASH_TIME;
   return n;
 }
 
-/* The newest end that it ran under. */
+/* Return the time of the newest crash that the request ran under, or 0. */
 static el_time_t
-request_last_end (const blame_request_t *request)
+request_last_crash (const blame_request_t *request)
 {
   const blame_run_t *run;
   el_time_t last = 0;
 
   DL_FOREACH (request->runs, run)
-  if (run->end->at > last)
-    last = run->end->at;
+  if (run->crash->at > last)
+    last = run->crash->at;
   return last;
 }
 
-/* Whether none of those that ran under its newest end is more likely to be to
-   blame. */
+/* Whether no request at its newest crash has higher odds. */
 static int
-request_foremost (const blame_request_t *request, el_time_t last)
+request_is_likeliest (const blame_request_t *request, el_time_t last)
 {
   const blame_run_t *run;
   const blame_run_t *other;
 
   DL_FOREACH (request->runs, run)
-  if (run->end->at == last)
-    DL_FOREACH2 (run->end->runs, other, end_next)
+  if (run->crash->at == last)
+    DL_FOREACH2 (run->crash->runs, other, crash_next)
   if (other->request->odds > request->odds)
     return 0;
   return 1;
 }
 
-/* Whether it is to be blocked from now on: it is to blame, or was before and
-   ended another endpoint when it was let in again. */
+/* Whether to block the request now: it is the culprit, or it was blocked
+   before and crashed another endpoint after the block ended. */
 static int
-request_blocks (const blame_request_t *request, el_time_t now)
+request_must_block (const blame_request_t *request, el_time_t now)
 {
-  el_time_t last = request_last_end (request);
+  el_time_t last = request_last_crash (request);
 
   if (!last || now < request->until)
     return 0;
   if (request->until)
     return last > request->until;
   return request->odds >= BLOCK_ODDS
-         || (request_row (request) >= ROW_MOST
-             && request_foremost (request, last));
+         || (request_early_crashes (request) >= EARLY_CRASHES_MAX
+             && request_is_likeliest (request, last));
 }
 
-/** Judge all requests anew, where ENDPOINTS are listed; BLOCKED is told of
-    each that is blocked from now on. */
+/** Score all requests anew and call BLOCKED for each that is blocked from now
+    on; ENDPOINTS is the number of endpoints listed. */
 void
 rt_blame_judge (rt_blame_t *blame, el_time_t now, size_t endpoints,
                 rt_blame_visit_cb blocked, void *arg)
@@ -85,21 +86,21 @@
   blame_request_t *next;
   rt_judgement_t judgement;
 
-  blame_fade (blame, now);
-  blame->options.rule->judge (blame, endpoints);
+  blame_expire (blame, now);
+  blame->options.rule->score (blame, endpoints);
   HASH_ITER (hh, blame->requests, request, next)
-  if (request_blocks (request, now))
+  if (request_must_block (request, now))
     {
       request->holds++;
       request->until
-          = request_last_end (request) + rt_blame_hold (request->holds);
+          = request_last_crash (request) + rt_blame_hold (request->holds);
       judgement = rt_blame_of (blame, now, request->digest);
       blocked (arg, request->digest, &judgement);
     }
 }
 
 static unsigned
-request_ends (const blame_request_t *request)
+request_count_crashes (const blame_request_t *request)
 {
   const blame_run_t *run;
   unsigned n = 0;
@@ -108,46 +109,45 @@
   return n;
 }
 
-/* Whether only one host saw the newest end that it ran under. */
+/* Whether the newest crash that the request ran under is unconfirmed. */
 static int
-request_unsure (const blame_request_t *request)
+request_is_unconfirmed (const blame_request_t *request)
 {
-  el_time_t last = request_last_end (request);
+  el_time_t last = request_last_crash (request);
   const blame_run_t *run;
 
   DL_FOREACH (request->runs, run)
-  if (run->end->at == last)
-    return !blame_end_sure (run->end);
+  if (run->crash->at == last)
+    return !blame_crash_confirmed (run->crash);
   return 0;
 }
 
-/* Whether few of those that ran under its newest end are more likely to be to
-   blame, by far. */
+/* Whether no request at its newest crash has far higher odds. */
 static int
-request_near_foremost (const blame_request_t *request)
+request_is_prime_suspect (const blame_request_t *request)
 {
-  el_time_t last = request_last_end (request);
+  el_time_t last = request_last_crash (request);
   const blame_run_t *run;
   const blame_run_t *other;
 
   DL_FOREACH (request->runs, run)
-  if (run->end->at == last)
-    DL_FOREACH2 (run->end->runs, other, end_next)
-  if (other->request->odds * FOREMOST_PART > request->odds)
+  if (run->crash->at == last)
+    DL_FOREACH2 (run->crash->runs, other, crash_next)
+  if (other->request->odds * PRIME_SUSPECT_ODDS_RATIO > request->odds)
     return 0;
   return 1;
 }
 
-/* What is thought of a request at NOW. */
+/* Return the status of a request at NOW. */
 rt_judgement_t
-blame_judgement (const blame_request_t *request, el_time_t now)
+blame_status (const blame_request_t *request, el_time_t now)
 {
-  rt_judgement_t out = { .ends = request_ends (request),
+  rt_judgement_t out = { .ends = request_count_crashes (request),
                          .odds = request->odds,
                          .until = request->until,
                          .holds = request->holds,
-                         .unsure = request_unsure (request),
-                         .foremost = request_near_foremost (request) };
+                         .unconfirmed = request_is_unconfirmed (request),
+                         .foremost = request_is_prime_suspect (request) };
 
   if (now < request->until)
     out.state = RT_BLAME_BLOCKED;
@@ -156,11 +156,11 @@
   return out;
 }
 
-/** What is thought of a request now. */
+/** Return the status of a request at NOW; all zero if it is not tracked. */
 rt_judgement_t
 rt_blame_of (const rt_blame_t *blame, el_time_t now, rt_digest_t digest)
 {
   const blame_request_t *request = blame_request_find (blame, digest);
 
-  return request ? blame_judgement (request, now) : (rt_judgement_t){ 0 };
+  return request ? blame_status (request, now) : (rt_judgement_t){ 0 };
 }
--- a/route/blame_rule.c
+++ b/route/blame_rule.c
@@ -3,169 +3,178 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Ways to judge which request is to blame.
+ * Rules that score how likely a request is to be the culprit.
  *
- * By odds: each end where a request ran makes it more likely to be to blame,
- * by how much less likely the end is otherwise. It is otherwise the work of
- * another request that ran there, as far as that one is to blame by its other
- * ends, or has no request for a reason, as often as endpoints end elsewhere at
- * that time. Requests and ends are a graph; what each end says of each request
- * is worked out a few times over, from what the other ends say of the others
- * (belief propagation). So fifty that shared one end with the one to blame are
- * cleared by its next end without them, and a rack that goes dark accuses
- * nobody.
+ * The odds rule: each crash under which a request ran raises its odds by the
+ * likelihood ratio of the crash, that is, how likely the request is to cause
+ * it against how likely the crash is otherwise. The alternatives are another
+ * request that ran there, weighted by the odds from its other crashes, and a
+ * crash unrelated to any request, at the rate at which other endpoints crash
+ * at that time. Requests and crashes form a bipartite graph, on which belief
+ * propagation runs for a fixed number of passes: the message from a crash to a
+ * request uses the messages of all other crashes to the other requests. So the
+ * fifty requests that shared one crash with the culprit are cleared by its
+ * next crash without them, and a rack failure incriminates no request.
  *
- * By count: three ends.
+ * The count rule: three crashes.
  */
 #include <math.h>
 #include <stdlib.h>
 
 #include "libblame.h"
 
-/* Odds of a request that nothing is known of. */
+/* Prior odds that a request is a culprit. */
 #define PRIOR_ODDS 1e-6
-/* Ends of one endpoint in a second that no request is to blame for, at least:
-   one in an hour. */
-#define RATE_LEAST (1.0 / 3600)
-/* The same within half a second of another end: what ends one, as a rack that
-   goes dark, ends others, and what is sent on from one to the next of them was
-   there each time. */
-#define RATE_NEAR 0.01
-/* Ends elsewhere are counted in windows around an end, and the one with most
-   counts: a rack ends within a second, a rolling fault over a minute. */
-/* A request to blame may end an endpoint 10 ms or 10 s after it began, each
-   tenfold as likely as the next: the chance for a second after RAN is 1 / (ln
-   1000 * RAN). */
-#define LOG_RANGE 6.9
-/* Times are not told better than this. */
-#define RAN_LEAST (50 * EL_MSEC)
-/* It ends the first engine of a line, or the only endpoint, in half of the
-   cases, one of the other ten or so in the other half. */
-#define PART_FIRST 0.5
-#define PART_OTHER 0.05
-/* What only one host saw counts half. */
-#define UNSURE 0.5
-/* Times that it is worked out; the odds of drawn fleets change by less than
-   one in a hundred after five. */
-#define PASSES 6
-/* Ends by which count alone judges. */
-#define COUNT_MOST 3
-/* Odds that stand for "to blame". */
-#define ODDS_CERTAIN 1e9
-
-static const el_time_t windows[BLAME_WINDOWS]
+/* Minimum rate (1/s) of crashes of one endpoint that no request causes: one
+   per hour. */
+#define CRASH_RATE_MIN (1.0 / 3600)
+/* The same within half a second of another crash. A common cause, such as a
+   rack failure, crashes several endpoints, and a request that is resent from
+   one to the next was running at each. */
+#define CRASH_RATE_NEAR_CRASH 0.01
+/* The time from a culprit's start at an endpoint to the crash is taken as
+   log-uniform between 10 ms and 10 s: the crash rate (1/s) after RAN is 1 /
+   (ln 1000 * RAN). */
+#define HAZARD_LOG_RANGE 6.9
+/* Precision of the reported times. */
+#define TIME_RESOLUTION (50 * EL_MSEC)
+/* Half of the crashes hit the first engine of a line, or the only endpoint;
+   the other half are spread over the other ten or so engines. */
+#define FIRST_ENGINE_SHARE 0.5
+#define OTHER_ENGINE_SHARE 0.05
+/* Weight of a crash that only one host saw. */
+#define UNCONFIRMED_WEIGHT 0.5
+/* In randomly generated fleets the odds change by less than 1 % after five
+   passes. */
+#define BP_PASSES 6
+/* Crashes after which the count rule blames a request. */
+#define COUNT_RULE_CRASHES 3
+/* Upper limit of the odds, taken as certainty. */
+#define ODDS_MAX 1e9
+
+/* Unexplained crashes are counted in each of these windows around a crash, and
+   the one with the highest rate counts: a rack fails within a second, a
+   rolling fault takes a minute. */
+static const el_time_t windows[BLAME_RATE_WINDOWS]
     = { 1 * EL_SEC, 10 * EL_SEC, 60 * EL_SEC };
 
-/* Chance for a second that a request which is to blame ends the endpoint
-   where it has run for so long. */
+/* Rate (1/s) at which a culprit crashes an endpoint where it has run for this
+   long. */
 static double
 run_hazard (const blame_run_t *run)
 {
-  double ran = (double)(run->ran + RAN_LEAST) / (double)EL_SEC;
+  double ran = (double)(run->ran + TIME_RESOLUTION) / (double)EL_SEC;
 
-  return (run->first ? PART_FIRST : PART_OTHER) / (LOG_RANGE * ran);
+  return (run->first ? FIRST_ENGINE_SHARE : OTHER_ENGINE_SHARE)
+         / (HAZARD_LOG_RANGE * ran);
 }
 
 static double
-odds_chance (double odds)
+odds_to_probability (double odds)
 {
   return odds / (1 + odds);
 }
 
-/* Whether END lies in the window of length WINDOW around AT. */
+/* Whether CRASH lies in the window of length WINDOW centred at AT. */
 static int
-end_within (const blame_end_t *end, el_time_t at, el_time_t window)
+crash_within (const blame_crash_t *crash, el_time_t at, el_time_t window)
 {
-  el_time_t apart = end->at > at ? end->at - at : at - end->at;
+  el_time_t apart = crash->at > at ? crash->at - at : at - crash->at;
 
   return apart <= window / 2;
 }
 
-/* Count the ends without a reason around each end. They stand in the order of
-   their times, so that each window only moves on. */
+/* Sum the unexplained crashes in the window around each crash. The crashes are
+   sorted by time, so that one pass of a sliding window suffices. */
 static void
-window_count (rt_blame_t *blame, size_t w)
+window_sum_unexplained (rt_blame_t *blame, size_t w)
 {
-  blame_end_t *from = blame->order;
-  blame_end_t *to = blame->order;
-  blame_end_t *end;
+  blame_crash_t *from = blame->by_time;
+  blame_crash_t *to = blame->by_time;
+  blame_crash_t *crash;
   double sum = 0;
 
-  DL_FOREACH (blame->order, end)
+  DL_FOREACH (blame->by_time, crash)
   {
-    for (; to && (to->at <= end->at || end_within (to, end->at, windows[w]));
+    for (;
+         to
+         && (to->at <= crash->at || crash_within (to, crash->at, windows[w]));
          to = to->next)
       sum += to->unexplained;
-    for (; !end_within (from, end->at, windows[w]); from = from->next)
+    for (; !crash_within (from, crash->at, windows[w]); from = from->next)
       sum -= from->unexplained;
-    end->around[w] = sum - end->unexplained;
+    crash->nearby_unexplained[w] = sum - crash->unexplained;
   }
 }
 
-/* Ends of one endpoint in a second around a run's end that have no request for
-   a reason, as far as those without its own request tell. */
+/* Rate (1/s) of crashes of one endpoint that no request causes, at the time of
+   the run's crash. Other crashes of the run's own request are left out, as
+   they may be its own doing. */
 static double
-run_rate (const blame_run_t *run, size_t endpoints)
+run_background_rate (const blame_run_t *run, size_t endpoints)
 {
   const blame_run_t *other;
-  double most = RATE_LEAST;
+  double max_rate = CRASH_RATE_MIN;
   double rate;
   double n;
   size_t w;
 
-  if (RATE_NEAR * run->end->around[0] > most)
-    most = RATE_NEAR * run->end->around[0];
-  for (w = 0; w < BLAME_WINDOWS; w++)
+  if (CRASH_RATE_NEAR_CRASH * run->crash->nearby_unexplained[0] > max_rate)
+    max_rate = CRASH_RATE_NEAR_CRASH * run->crash->nearby_unexplained[0];
+  for (w = 0; w < BLAME_RATE_WINDOWS; w++)
     {
-      n = run->end->around[w];
+      n = run->crash->nearby_unexplained[w];
       DL_FOREACH (run->request->runs, other)
-      if (other != run && end_within (other->end, run->end->at, windows[w]))
-        n -= other->end->unexplained;
+      if (other != run
+          && crash_within (other->crash, run->crash->at, windows[w]))
+        n -= other->crash->unexplained;
       rate = n
              / ((double)(endpoints ? endpoints : 1) * (double)windows[w]
                 / (double)EL_SEC);
-      if (rate > most)
-        most = rate;
+      if (rate > max_rate)
+        max_rate = rate;
     }
-  return most;
+  return max_rate;
 }
 
-/* Chance for a second that a run's request brings its end about, as far as
-   the request's other ends tell. */
+/* Rate (1/s) at which the run's request crashes the endpoint, weighted by the
+   probability that it is a culprit by its other crashes. */
 static double
-run_share (const blame_run_t *run)
+run_expected_hazard (const blame_run_t *run)
 {
-  return odds_chance (run->request->odds / exp (run->log_ratio))
+  return odds_to_probability (run->request->odds / exp (run->llr))
          * run_hazard (run);
 }
 
-/* The same of all requests that ran under END; and how likely it is that none
-   of them is to blame. */
+/* Update the rates of all requests that ran under CRASH, and the probability
+   that none of them caused it. */
 static void
-end_explain (blame_end_t *end)
+crash_update (blame_crash_t *crash)
 {
   blame_run_t *run;
 
-  end->unexplained = 1;
-  end->shares = 0;
-  DL_FOREACH2 (end->runs, run, end_next)
+  crash->unexplained = 1;
+  crash->total_hazard = 0;
+  DL_FOREACH2 (crash->runs, run, crash_next)
   {
-    run->share = run_share (run);
-    end->shares += run->share;
-    if (1 - odds_chance (run->request->odds) < end->unexplained)
-      end->unexplained = 1 - odds_chance (run->request->odds);
+    run->expected_hazard = run_expected_hazard (run);
+    crash->total_hazard += run->expected_hazard;
+    if (1 - odds_to_probability (run->request->odds) < crash->unexplained)
+      crash->unexplained = 1 - odds_to_probability (run->request->odds);
   }
 }
 
 static double
-run_log_ratio (const blame_run_t *run, size_t endpoints)
+run_llr (const blame_run_t *run, size_t endpoints)
 {
-  const blame_end_t *end = run->end;
-  double others = end->shares > run->share ? end->shares - run->share : 0;
-  double otherwise = run_rate (run, endpoints) + others;
-
-  return (blame_end_sure (end) ? 1 : UNSURE)
-         * log (run_hazard (run) / otherwise);
+  const blame_crash_t *crash = run->crash;
+  double others = crash->total_hazard > run->expected_hazard
+                      ? crash->total_hazard - run->expected_hazard
+                      : 0;
+  double alternative_rate = run_background_rate (run, endpoints) + others;
+
+  return (blame_crash_confirmed (crash) ? 1 : UNCONFIRMED_WEIGHT)
+         * log (run_hazard (run) / alternative_rate);
 }
 
 static double
@@ -175,8 +184,8 @@
   double sum = log (PRIOR_ODDS);
 
   DL_FOREACH (request->runs, run)
-  sum += run->log_ratio;
-  sum = sum < log (ODDS_CERTAIN) ? sum : log (ODDS_CERTAIN);
+  sum += run->llr;
+  sum = sum < log (ODDS_MAX) ? sum : log (ODDS_MAX);
   return exp (sum);
 }
 
@@ -186,22 +195,22 @@
   blame_request_t *request;
   blame_request_t *next;
   blame_run_t *run;
-  blame_end_t *end;
+  blame_crash_t *crash;
   size_t w;
 
-  DL_FOREACH (blame->order, end)
-  end_explain (end);
-  for (w = 0; w < BLAME_WINDOWS; w++)
-    window_count (blame, w);
-  DL_FOREACH (blame->order, end)
-  DL_FOREACH2 (end->runs, run, end_next)
-  run->log_ratio = run_log_ratio (run, endpoints);
+  DL_FOREACH (blame->by_time, crash)
+  crash_update (crash);
+  for (w = 0; w < BLAME_RATE_WINDOWS; w++)
+    window_sum_unexplained (blame, w);
+  DL_FOREACH (blame->by_time, crash)
+  DL_FOREACH2 (crash->runs, run, crash_next)
+  run->llr = run_llr (run, endpoints);
   HASH_ITER (hh, blame->requests, request, next)
   request->odds = request_odds (request);
 }
 
 static void
-odds_judge (rt_blame_t *blame, size_t endpoints)
+odds_score (rt_blame_t *blame, size_t endpoints)
 {
   blame_request_t *request;
   blame_request_t *next;
@@ -212,14 +221,14 @@
   {
     request->odds = PRIOR_ODDS;
     DL_FOREACH (request->runs, run)
-    run->log_ratio = 0;
+    run->llr = 0;
   }
-  for (pass = 0; pass < PASSES; pass++)
+  for (pass = 0; pass < BP_PASSES; pass++)
     odds_pass (blame, endpoints);
 }
 
 static void
-count_judge (rt_blame_t *blame, size_t endpoints)
+count_score (rt_blame_t *blame, size_t endpoints)
 {
   blame_request_t *request;
   blame_request_t *next;
@@ -230,9 +239,9 @@
   HASH_ITER (hh, blame->requests, request, next)
   {
     DL_COUNT (request->runs, run, n);
-    request->odds = n >= COUNT_MOST ? ODDS_CERTAIN : PRIOR_ODDS;
+    request->odds = n >= COUNT_RULE_CRASHES ? ODDS_MAX : PRIOR_ODDS;
   }
 }
 
-const rt_blame_rule_t rt_blame_odds = { "odds", odds_judge };
-const rt_blame_rule_t rt_blame_count = { "count", count_judge };
+const rt_blame_rule_t rt_blame_odds = { "odds", odds_score };
+const rt_blame_rule_t rt_blame_count = { "count", count_score };
--- a/route/libblame.h
+++ b/route/libblame.h
@@ -3,63 +3,66 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Internals of the blame for ends of endpoints: requests and ends, and the
- * runs that join them.
+ * Internals of crash attribution: requests, crashes, and the runs that connect
+ * them.
  */
 #ifndef ELMARCH_LIBBLAME_H
 #define ELMARCH_LIBBLAME_H
 
 #include "blame.h"
 
-/* Hosts that are remembered to have seen an end: two make it sure. */
-#define BLAME_HOSTS 2
-/* Windows in which ends are counted. */
-#define BLAME_WINDOWS 3
+/* Witnesses stored per crash; this many hosts confirm it. */
+#define BLAME_WITNESSES 2
+/* Windows over which unexplained crashes are counted. */
+#define BLAME_RATE_WINDOWS 3
 
-typedef struct blame_end blame_end_t;
+typedef struct blame_crash blame_crash_t;
 typedef struct blame_request blame_request_t;
 
-/* How many requests of a customer are remembered. */
+/* The number of tracked requests of a customer. */
 typedef struct blame_customer
 {
   uint64_t key;
-  size_t n;
+  size_t nrequests;
   UT_hash_handle hh;
 } blame_customer_t;
 
-/* A request that ran where an endpoint ended. */
+/* A request that was running where an endpoint crashed. */
 typedef struct blame_run
 {
-  blame_end_t *end;
+  blame_crash_t *crash;
   blame_request_t *request;
-  el_time_t began;
+  el_time_t began_at;
   el_time_t ran;
   int first;
-  double log_ratio; /* by how much this end raises the request's odds */
-  double share;     /* chance for a second that it brought the end about */
-  struct blame_run *prev; /* of the request */
+  double llr; /* log-likelihood ratio that this crash adds to the odds */
+  /* Rate (1/s) at which the request crashes the endpoint, weighted by the
+     probability that it is the culprit. */
+  double expected_hazard;
+  struct blame_run *prev; /* list of the request's runs */
   struct blame_run *next;
-  struct blame_run *end_prev;
-  struct blame_run *end_next;
+  struct blame_run *crash_prev;
+  struct blame_run *crash_next;
 } blame_run_t;
 
-/* A start of an endpoint that ended. */
-struct blame_end
+/* A crash of an endpoint instance. */
+struct blame_crash
 {
   uint64_t key;
   rt_start_t start;
   el_time_t at;
-  el_time_t found; /* the earliest that some host knew it to have ended */
-  uint64_t hosts[BLAME_HOSTS]; /* that saw it */
-  size_t nhosts;
-  int listed; /* the store says so */
+  el_time_t detected_at; /* earliest time at which some host had detected it */
+  uint64_t witnesses[BLAME_WITNESSES]; /* hosts that reported it */
+  size_t nwitnesses;
+  int store_confirmed; /* the store reported it */
   blame_run_t *runs;
   size_t nruns;
-  double unexplained;           /* chance that no request is to blame for it */
-  double shares;                /* of its runs together */
-  double around[BLAME_WINDOWS]; /* ends without a reason near it */
-  blame_end_t *prev;            /* in the order of their times */
-  blame_end_t *next;
+  double unexplained;  /* probability that no request caused it */
+  double total_hazard; /* sum of expected_hazard over its runs */
+  /* Unexplained crashes near it in time, itself not counted. */
+  double nearby_unexplained[BLAME_RATE_WINDOWS];
+  blame_crash_t *prev; /* list of all crashes, by time */
+  blame_crash_t *next;
   UT_hash_handle hh;
 };
 
@@ -68,10 +71,10 @@
   rt_digest_t digest;
   blame_customer_t *customer;
   blame_run_t *runs;
-  el_time_t last;    /* fact */
-  el_time_t cleared; /* ends up to then don't count */
-  el_time_t until;   /* blocked; 0: never was, or is no more */
-  unsigned holds;    /* times blocked */
+  el_time_t last_fact;  /* time of the newest report about it */
+  el_time_t cleared_at; /* crashes up to this time do not count */
+  el_time_t until;      /* end of its block; 0: none, or it was lifted */
+  unsigned holds;       /* how often it has been blocked */
   double odds;
   UT_hash_handle hh;
 };
@@ -81,21 +84,21 @@
   rt_blame_options_t options;
   blame_request_t *requests;
   blame_customer_t *customers;
-  blame_end_t *ends;
-  blame_end_t *order;
+  blame_crash_t *crash_by_key;
+  blame_crash_t *by_time;
 };
 
 blame_request_t *blame_request_find (const rt_blame_t *blame,
                                      rt_digest_t digest);
-rt_judgement_t blame_judgement (const blame_request_t *request, el_time_t now);
-void blame_fade (rt_blame_t *blame, el_time_t now);
+rt_judgement_t blame_status (const blame_request_t *request, el_time_t now);
+void blame_expire (rt_blame_t *blame, el_time_t now);
 
-/* Whether it is known that the endpoint ended: one host alone may have lost
-   its way there. */
+/* Whether the crash is confirmed by the store or by two hosts: a single host
+   may just have lost its connection to the endpoint. */
 static inline int
-blame_end_sure (const blame_end_t *end)
+blame_crash_confirmed (const blame_crash_t *crash)
 {
-  return end->listed || end->nhosts == BLAME_HOSTS;
+  return crash->store_confirmed || crash->nwitnesses == BLAME_WITNESSES;
 }
 
 #endif
