--- a/route/blame.h
+++ b/route/blame.h
@@ -97,8 +97,9 @@
 
 rt_blame_t *rt_blame_new (const rt_blame_options_t *options);
 void rt_blame_free (rt_blame_t *blame);
-int rt_blame_ended (rt_blame_t *blame, el_time_t now, const rt_ended_t *ended);
-int rt_blame_told (const rt_blame_t *blame, const rt_ended_t *ended);
+int rt_blame_ended (rt_blame_t *blame, el_time_t now,
+                    const rt_ended_t *report);
+int rt_blame_told (const rt_blame_t *blame, const rt_ended_t *report);
 int rt_blame_unsure (const rt_blame_t *blame, const rt_start_t *start,
                      uint64_t host);
 uint64_t rt_blame_survived (rt_blame_t *blame, rt_digest_t digest,
@@ -117,7 +118,7 @@
 void rt_blame_visit (const rt_blame_t *blame, el_time_t now,
                      rt_blame_visit_cb visit, void *arg);
 /** Called for each crash of a request, with one host that reported it. */
-typedef void (*rt_blame_end_cb) (void *arg, const rt_ended_t *ended);
+typedef void (*rt_blame_end_cb) (void *arg, const rt_ended_t *report);
 void rt_blame_ends (const rt_blame_t *blame, rt_digest_t digest,
                     rt_blame_end_cb visit, void *arg);
 uint64_t rt_start_key (const rt_start_t *start);
