--- a/route/blame_rule.c
+++ b/route/blame_rule.c
@@ -108,8 +108,8 @@
 }
 
 /* Rate (1/s) of crashes of one endpoint that no request causes, at the time of
-   the run's crash. Other crashes of the run's own request are left out, as
-   they may be its own doing. */
+   the run's crash. The rates over the windows leave out other crashes of the
+   run's own request; the minimum near another crash does not. */
 static double
 run_background_rate (const blame_run_t *run, size_t endpoints)
 {
@@ -147,7 +147,7 @@
 }
 
 /* Update the rates of all requests that ran under CRASH, and the probability
-   that none of them caused it. */
+   that none of them caused it, taken as 1 less that of the likeliest. */
 static void
 crash_update (blame_crash_t *crash)
 {
