--- a/bench/bench_blame.c
+++ b/bench/bench_blame.c
@@ -69,15 +69,15 @@
   int tell_late;
 } ways[] = {
   { "none", NULL, 0, 0, 0 },
-  { "count", &rt_blame_count, 0, 0, 0 },
-  { "count+apart", &rt_blame_count, 1, 0, 0 },
-  { "odds", &rt_blame_odds, 0, 0, 0 },
-  { "odds+apart", &rt_blame_odds, 1, 0, 0 },
-  { "odds+turn", &rt_blame_odds, 2, 0, 0 },
-  { "odds+turn+foremost", &rt_blame_odds, 3, 0, 0 },
-  { "odds+turn+foremost+late", &rt_blame_odds, 3, 0, 1 },
-  { "odds+apart+patient", &rt_blame_odds, 1, 1, 0 },
-  { "odds+turn+patient", &rt_blame_odds, 2, 1, 0 },
+  { "count", &rt_blame_rule_count, 0, 0, 0 },
+  { "count+apart", &rt_blame_rule_count, 1, 0, 0 },
+  { "odds", &rt_blame_rule_odds, 0, 0, 0 },
+  { "odds+apart", &rt_blame_rule_odds, 1, 0, 0 },
+  { "odds+turn", &rt_blame_rule_odds, 2, 0, 0 },
+  { "odds+turn+foremost", &rt_blame_rule_odds, 3, 0, 0 },
+  { "odds+turn+foremost+late", &rt_blame_rule_odds, 3, 0, 1 },
+  { "odds+apart+patient", &rt_blame_rule_odds, 1, 1, 0 },
+  { "odds+turn+patient", &rt_blame_rule_odds, 2, 1, 0 },
 };
 
 static void
--- a/bench/bench_core.c
+++ b/bench/bench_core.c
@@ -273,7 +273,8 @@
 }
 
 static void
-blocked_none (void *arg, rt_digest_t digest, const rt_judgement_t *judgement)
+blocked_none (void *arg, rt_digest_t digest,
+              const rt_blame_status_t *judgement)
 {
   (void)arg;
   (void)digest;
@@ -285,10 +286,12 @@
 static void
 blame (unsigned ends, unsigned runs)
 {
-  const rt_blame_options_t options
-      = { .most = 4096, .customer_most = 4096, .rule = &rt_blame_odds };
+  const rt_blame_options_t options = { .max_requests = 4096,
+                                       .max_customer_requests = 4096,
+                                       .rule = &rt_blame_rule_odds };
   rt_blame_t *book = rt_blame_new (&options);
-  rt_ended_t ended = { .host = 1, .at = EL_SEC, .ran = EL_SEC, .first = 1 };
+  rt_crash_report_t ended
+      = { .host = 1, .at = EL_SEC, .ran = EL_SEC, .first = 1 };
   size_t heap = bench_heap ();
   uint64_t began = bench_ns ();
   uint64_t judge_ns;
@@ -298,13 +301,13 @@
   for (end = 0; end < ends; end++)
     for (run = 0; run < runs; run++)
       {
-        ended.start.born = end;
+        ended.instance.born = end;
         ended.at = EL_SEC + end * EL_MSEC;
         ended.digest = 1 + end * runs + run;
-        rt_blame_ended (book, EL_SEC, &ended);
+        rt_blame_add_report (book, EL_SEC, &ended);
       }
   judge_ns = bench_ns ();
-  rt_blame_judge (book, 2 * EL_SEC, 1900, blocked_none, NULL);
+  rt_blame_update (book, 2 * EL_SEC, 1900, blocked_none, NULL);
   printf ("bench=blame ends=%u runs=%u bytes=%zu bytes_per_run=%zu "
           "add_ns=%.0f judge_us=%.0f\n",
           ends, runs, bench_heap () - heap,
--- a/elmarchd/site.c
+++ b/elmarchd/site.c
@@ -360,7 +360,7 @@
   site_t *site = arg;
 
   gt_relays_store_epoch_began (site->relays);
-  gt_relays_blocked_keep (site->relays);
+  gt_relays_persist_blocked (site->relays);
 }
 
 /* One watch for all keys: each call to the store has its price. */
--- a/gate/gate_relay.h
+++ b/gate/gate_relay.h
@@ -171,8 +171,8 @@
 void gt_relays_check_engine (gt_relays_t *relays, rt_target_t *engine,
                              el_time_t since);
 int gt_relays_order_blocked (gt_relays_t *relays, const rt_order_t *order);
-void gt_relays_order_ended (gt_relays_t *relays, rt_falls_t *falls,
-                            const rt_order_t *order);
+void gt_relays_order_crashed (gt_relays_t *relays, rt_falls_t *falls,
+                              const rt_order_t *order);
 void gt_relays_order_done (const gt_relays_t *relays, rt_falls_t *falls,
                            const rt_order_t *order);
 int gt_relays_unblock (gt_relays_t *relays, rt_digest_t digest);
@@ -182,7 +182,7 @@
                       const rt_asks_t *asks, el_str_t by);
 void gt_relays_peers_heard (gt_relays_t *relays);
 void gt_relays_store_epoch_began (gt_relays_t *relays);
-void gt_relays_blocked_keep (gt_relays_t *relays);
+void gt_relays_persist_blocked (gt_relays_t *relays);
 int gt_relays_rules_outdated (const gt_relays_t *relays);
 void gt_relays_drain_connections (gt_relays_t *relays);
 void gt_relays_stop (gt_relays_t *relays);
--- a/gate/librelay.h
+++ b/gate/librelay.h
@@ -173,39 +173,39 @@
 /* relay_blame.c */
 void relay_blame_open (gt_relays_t *relays);
 void relay_blame_close (gt_relays_t *relays);
-void relay_blame_broken (gt_relay_t *relay, rt_target_t *target);
-int relay_blame_awaits (const gt_relays_t *relays, rt_digest_t digest);
-void relay_blame_refused (gt_relays_t *relays, rt_target_t *target);
-void relay_blame_alive (gt_relays_t *relays, const rt_target_t *target,
-                        el_time_t asked);
-void relay_blame_sign (gt_relays_t *relays, const rt_target_t *target);
-void relay_blame_survived (gt_relay_t *relay);
-rt_judgement_t relay_blame_of (gt_relay_t *relay);
-rt_blame_t *relay_blame_book (const gt_relays_t *relays);
+void relay_blame_run_broken (gt_relay_t *relay, rt_target_t *target);
+int relay_blame_is_pending (const gt_relays_t *relays, rt_digest_t digest);
+void relay_blame_connect_refused (gt_relays_t *relays, rt_target_t *target);
+void relay_blame_check_answered (gt_relays_t *relays,
+                                 const rt_target_t *target, el_time_t asked);
+void relay_blame_life_sign (gt_relays_t *relays, const rt_target_t *target);
+void relay_blame_completed (gt_relay_t *relay);
+rt_blame_status_t relay_blame_get_status (gt_relay_t *relay);
+rt_blame_t *relay_blame_table (const gt_relays_t *relays);
 
 typedef struct relay_fact relay_fact_t;
-void relay_blame_hear_ended (gt_relays_t *relays, const co_rumor_t *rumor,
-                             const relay_fact_t *fact);
-void relay_blame_hear_survived (gt_relays_t *relays, const co_rumor_t *rumor,
-                                const relay_fact_t *fact);
+void relay_blame_on_crash (gt_relays_t *relays, const co_rumor_t *rumor,
+                           const relay_fact_t *fact);
+void relay_blame_on_completed (gt_relays_t *relays, const co_rumor_t *rumor,
+                               const relay_fact_t *fact);
 
 /* relay_block.c */
-void relay_block_found (void *arg, rt_digest_t digest,
-                        const rt_judgement_t *judgement);
-void relay_block_hear (gt_relays_t *relays, const co_rumor_t *rumor,
-                       const relay_fact_t *fact);
-void relay_block_hear_cleared (gt_relays_t *relays, const co_rumor_t *rumor,
-                               const relay_fact_t *fact);
+void relay_block_add (void *arg, rt_digest_t digest,
+                      const rt_blame_status_t *judgement);
+void relay_block_on_blocked (gt_relays_t *relays, const co_rumor_t *rumor,
+                             const relay_fact_t *fact);
+void relay_block_on_cleared (gt_relays_t *relays, const co_rumor_t *rumor,
+                             const relay_fact_t *fact);
 
 /* relay_rumor.c */
-void relay_rumor_tell (gt_relays_t *relays, const relay_fact_t *fact,
+void relay_rumor_send (gt_relays_t *relays, const relay_fact_t *fact,
                        uint64_t id, el_time_t hold);
 
 /* relay_suspect.c */
 int relay_suspect_admit (gt_relay_t *relay);
-int relay_suspect_waits (gt_relay_t *relay, el_time_t now);
-rt_target_t *relay_suspect_target (gt_relay_t *relay, el_time_t now);
-void relay_suspect_stop (gt_relays_t *relays, rt_digest_t digest);
+int relay_suspect_must_wait (gt_relay_t *relay, el_time_t now);
+rt_target_t *relay_suspect_pick_target (gt_relay_t *relay, el_time_t now);
+void relay_suspect_cancel (gt_relays_t *relays, rt_digest_t digest);
 
 /* relay_fact.c */
 
@@ -230,17 +230,17 @@
 struct relay_fact
 {
   relay_fact_kind_t kind;
-  rt_ended_t runs[RELAY_FACT_RUNS_MAX]; /* all of the same crash */
+  rt_crash_report_t runs[RELAY_FACT_RUNS_MAX]; /* all of the same crash */
   size_t nruns;
-  rt_start_t start;   /* the endpoint start that is draining */
-  rt_digest_t digest; /* the request, for the kinds that concern one */
+  rt_instance_t instance; /* the endpoint start that is draining */
+  rt_digest_t digest;     /* the request, for the kinds that concern one */
   uint64_t customer;
   unsigned holds;
   uint64_t version; /* version of the rules */
 };
 
-void relay_fact_write (const relay_fact_t *fact, el_buf_t *out);
-int relay_fact_read (el_str_t body, el_time_t at, relay_fact_t *out);
+void relay_fact_encode (const relay_fact_t *fact, el_buf_t *out);
+int relay_fact_decode (el_str_t body, el_time_t at, relay_fact_t *out);
 
 /* relay_poll.c */
 void relay_poll_start (gt_relays_t *relays);
@@ -251,7 +251,7 @@
                                  const relay_fact_t *fact);
 
 /* relay_backoff.c */
-void relay_drain_announce (gt_relays_t *relays, const rt_start_t *start);
+void relay_drain_announce (gt_relays_t *relays, const rt_instance_t *instance);
 void relay_drain_received (gt_relays_t *relays, const co_rumor_t *rumor,
                            const relay_fact_t *fact);
 void relay_backoff_read_head (gt_relay_t *relay, const net_result_t *head);
--- a/gate/planner.c
+++ b/gate/planner.c
@@ -135,7 +135,7 @@
         && target->refused_at < order->given + FALL_WITHIN)
       {
         order->fell = 1;
-        gt_relays_order_ended (relays, &planner->falls, &order->order);
+        gt_relays_order_crashed (relays, &planner->falls, &order->order);
       }
     else if (now > order->given && now < order->given + FALL_WITHIN
              && !target->access.gone)
--- a/gate/relay_attempt.c
+++ b/gate/relay_attempt.c
@@ -108,7 +108,7 @@
 {
   gt_relays_t *relays = relay->relays;
   const gt_relay_options_t *o = &relays->options;
-  rt_target_t *isolated = relay_suspect_target (relay, now);
+  rt_target_t *isolated = relay_suspect_pick_target (relay, now);
 
   rt_fleet_share (o->fleet, o->hall_hosts (o->arg), o->hosts (o->arg));
   if (!is_pipelined (relay))
@@ -160,7 +160,7 @@
   if (has_id && relay->has_id && id <= relay->last_event_id)
     return; /* forwarded by an earlier attempt */
   now = net_clock_now (relays->options.clock);
-  relay_blame_sign (relays, relay->target);
+  relay_blame_life_sign (relays, relay->target);
   rt_line_event (&relay->line, now);
   relay_watch_event (relay, now - relay->last_progress);
   record_event_time (relay, now);
@@ -290,14 +290,14 @@
   gt_relays_t *relays = relay->relays;
 
   if (result->net == NET_REFUSED)
-    relay_blame_refused (relays, relay->target);
+    relay_blame_connect_refused (relays, relay->target);
   else if (result->net == NET_OK)
-    relay_blame_sign (relays, relay->target);
+    relay_blame_life_sign (relays, relay->target);
   if (attempt->answered)
-    relay_blame_survived (relay);
+    relay_blame_completed (relay);
   if (result->net != NET_BROKEN || attempt->verdict == EL_NOT_RUN)
     return;
-  relay_blame_broken (relay, relay->target);
+  relay_blame_run_broken (relay, relay->target);
   if (relay->line.n)
     relay_check_unless_recent (relays, relay->target,
                                net_clock_now (relays->options.clock)
@@ -514,12 +514,12 @@
 {
   el_time_t now = net_clock_now (relay->relays->options.clock);
 
-  if (relay_blame_of (relay).state == RT_BLAME_BLOCKED)
+  if (relay_blame_get_status (relay).state == RT_BLAME_BLOCKED)
     {
       relay_abort (relay, "ends endpoints");
       return;
     }
-  if (relay_suspect_waits (relay, now))
+  if (relay_suspect_must_wait (relay, now))
     return;
   if (attempt_pick_target (relay, now))
     {
--- a/gate/relay_backoff.c
+++ b/gate/relay_backoff.c
@@ -90,11 +90,13 @@
 /** Gossips that START is draining. The message id is derived from the fact,
     so that all hosts send the same message. */
 void
-relay_drain_announce (gt_relays_t *relays, const rt_start_t *start)
+relay_drain_announce (gt_relays_t *relays, const rt_instance_t *instance)
 {
-  const relay_fact_t fact = { .kind = RELAY_FACT_DRAINING, .start = *start };
+  const relay_fact_t fact
+      = { .kind = RELAY_FACT_DRAINING, .instance = *instance };
 
-  relay_rumor_tell (relays, &fact, rt_start_key (start) ^ RELAY_FACT_DRAINING,
+  relay_rumor_send (relays, &fact,
+                    rt_instance_key (instance) ^ RELAY_FACT_DRAINING,
                     DRAINING_GOSSIP_HOLD);
 }
 
@@ -103,13 +105,13 @@
 static void
 draining_learned (gt_relays_t *relays, rt_target_t *target, el_str_t by)
 {
-  const rt_start_t start = rt_target_start (target);
+  const rt_instance_t instance = rt_target_instance (target);
 
   if (rt_target_leaves (target))
     return;
   rt_target_leave (target);
   draining_log (relays, target, by);
-  relay_drain_announce (relays, &start);
+  relay_drain_announce (relays, &instance);
 }
 
 /** Another host learned that an endpoint is draining. */
@@ -118,7 +120,7 @@
                       const relay_fact_t *fact)
 {
   const rt_target_t *target = rt_fleet_leaves (
-      relays->options.fleet, el_str (fact->start.id), fact->start.born);
+      relays->options.fleet, el_str (fact->instance.id), fact->instance.born);
 
   (void)rumor;
   if (target)
--- a/gate/relay_blame.c
+++ b/gate/relay_blame.c
@@ -45,7 +45,7 @@
 typedef struct pending_run
 {
   rt_target_t *target;
-  rt_ended_t report;
+  rt_crash_report_t report;
   int refused; /* the endpoint refuses connections */
   struct pending_run *prev;
   struct pending_run *next;
@@ -88,7 +88,7 @@
 
 static void
 pending_add (relay_blame_t *blame, rt_target_t *target,
-             const rt_ended_t *report)
+             const rt_crash_report_t *report)
 {
   pending_run_t *run = el_alloc (sizeof *run);
 
@@ -102,12 +102,12 @@
 /** RELAY's run at TARGET broke off, or stalls as TARGET does not respond. It
     is reported if TARGET turns out to have crashed. */
 void
-relay_blame_broken (gt_relay_t *relay, rt_target_t *target)
+relay_blame_run_broken (gt_relay_t *relay, rt_target_t *target)
 {
   gt_relays_t *relays = relay->relays;
   el_time_t now = net_clock_now (relays->options.clock);
-  const rt_ended_t report
-      = { .start = rt_target_start (target),
+  const rt_crash_report_t report
+      = { .instance = rt_target_instance (target),
           .digest = relay_digest (relay),
           .customer = customer_key (relay),
           .host = relays->options.witness,
@@ -123,7 +123,7 @@
     unknown or not yet evaluated: an engine may cut its streams a moment before
     its port closes. */
 int
-relay_blame_awaits (const gt_relays_t *relays, rt_digest_t digest)
+relay_blame_is_pending (const gt_relays_t *relays, rt_digest_t digest)
 {
   const pending_run_t *run;
 
@@ -137,7 +137,7 @@
 
 /** Return the reports known to this host. */
 rt_blame_t *
-relay_blame_book (const gt_relays_t *relays)
+relay_blame_table (const gt_relays_t *relays)
 {
   return relays->blame->table;
 }
@@ -180,18 +180,18 @@
     {
       runs += run->report.digest != 0;
       run->report.detected_at = now;
-      if (rt_blame_told (blame->table, &run->report))
+      if (rt_blame_should_tell (blame->table, &run->report))
         fact.runs[fact.nruns++] = run->report;
-      rt_blame_ended (blame->table, now, &run->report);
+      rt_blame_add_report (blame->table, now, &run->report);
       pending_free (blame, run);
       if (fact.nruns < RELAY_FACT_RUNS_MAX)
         continue;
-      relay_rumor_tell (relays, &fact, el_random (&relays->random),
+      relay_rumor_send (relays, &fact, el_random (&relays->random),
                         RELAY_FACT_GOSSIP_HOLD);
       fact.nruns = 0;
     }
   if (fact.nruns)
-    relay_rumor_tell (relays, &fact, el_random (&relays->random),
+    relay_rumor_send (relays, &fact, el_random (&relays->random),
                       RELAY_FACT_GOSSIP_HOLD);
   schedule_update (relays);
   if (runs == 0)
@@ -234,18 +234,20 @@
 static void
 pending_add_check (gt_relays_t *relays, rt_target_t *target)
 {
-  const rt_ended_t report = { .start = rt_target_start (target),
-                              .host = relays->options.witness,
-                              .at = net_clock_now (relays->options.clock) };
+  const rt_crash_report_t report
+      = { .instance = rt_target_instance (target),
+          .host = relays->options.witness,
+          .at = net_clock_now (relays->options.clock) };
 
-  if (rt_blame_unsure (relays->blame->table, &report.start, report.host))
+  if (rt_blame_needs_witness (relays->blame->table, &report.instance,
+                              report.host))
     pending_add (relays->blame, target, &report);
 }
 
 /** TARGET refuses connections: it has crashed, unless this host is cut off,
     which a check of another endpoint decides. */
 void
-relay_blame_refused (gt_relays_t *relays, rt_target_t *target)
+relay_blame_connect_refused (gt_relays_t *relays, rt_target_t *target)
 {
   relay_blame_t *blame = relays->blame;
   rt_target_t *other;
@@ -270,7 +272,7 @@
 /** TARGET gave a sign of life, so this host is not cut off: the other
     endpoints that refuse connections have crashed. */
 void
-relay_blame_sign (gt_relays_t *relays, const rt_target_t *target)
+relay_blame_life_sign (gt_relays_t *relays, const rt_target_t *target)
 {
   const pending_run_t *run;
   rt_target_t *other;
@@ -291,15 +293,15 @@
 /** TARGET answered a check that was sent at ASKED: the runs that broke off
     before were not ended by a crash. */
 void
-relay_blame_alive (gt_relays_t *relays, const rt_target_t *target,
-                   el_time_t asked)
+relay_blame_check_answered (gt_relays_t *relays, const rt_target_t *target,
+                            el_time_t asked)
 {
   relay_blame_t *blame = relays->blame;
   el_time_t now = net_clock_now (relays->options.clock);
   pending_run_t *run;
   pending_run_t *next;
 
-  relay_blame_sign (relays, target);
+  relay_blame_life_sign (relays, target);
   DL_FOREACH_SAFE (blame->pending, run, next)
   if (run->target == target && run->report.at <= asked
       && now < run->report.at + ALIVE_WINDOW)
@@ -312,17 +314,18 @@
 gt_relays_engine_gone (gt_relays_t *relays, rt_target_t *target)
 {
   el_time_t now = net_clock_now (relays->options.clock);
-  const rt_ended_t report
-      = { .start = rt_target_start (target), .at = now, .detected_at = now };
+  const rt_crash_report_t report = { .instance = rt_target_instance (target),
+                                     .at = now,
+                                     .detected_at = now };
 
   if (rt_target_leaves (target))
     return;
   rt_target_ref (target);
   pending_confirm (relays, target, "gone");
   rt_target_unref (target);
-  if (!rt_blame_ended (relays->blame->table, now, &report))
+  if (!rt_blame_add_report (relays->blame->table, now, &report))
     return;
-  if (!rt_blame_empty (relays->blame->table))
+  if (!rt_blame_is_empty (relays->blame->table))
     schedule_update (relays);
 }
 
@@ -332,9 +335,9 @@
   gt_relays_t *relays = arg;
 
   relays->blame->last_update = now;
-  rt_blame_judge (relays->blame->table, now,
-                  rt_fleet_count (relays->options.fleet), relay_block_found,
-                  relays);
+  rt_blame_update (relays->blame->table, now,
+                   rt_fleet_count (relays->options.fleet), relay_block_add,
+                   relays);
 }
 
 /** RELAY completed. All hosts are told already after its first crash: a host
@@ -342,44 +345,44 @@
     in between. The rumor has the same id at all hosts, so that it spreads once
     however many hosts send it. */
 void
-relay_blame_survived (gt_relay_t *relay)
+relay_blame_completed (gt_relay_t *relay)
 {
   gt_relays_t *relays = relay->relays;
   relay_fact_t fact = { .kind = RELAY_FACT_SURVIVED };
   uint64_t id;
 
-  if (rt_blame_empty (relays->blame->table))
+  if (rt_blame_is_empty (relays->blame->table))
     return;
   fact.digest = relay_digest (relay);
-  id = rt_blame_survived (relays->blame->table, fact.digest,
-                          net_clock_now (relays->options.clock));
+  id = rt_blame_completed (relays->blame->table, fact.digest,
+                           net_clock_now (relays->options.clock));
   if (id)
-    relay_rumor_tell (relays, &fact, fact.digest ^ id, RELAY_FACT_GOSSIP_HOLD);
+    relay_rumor_send (relays, &fact, fact.digest ^ id, RELAY_FACT_GOSSIP_HOLD);
 }
 
 /** Return the status of RELAY's request. */
-rt_judgement_t
-relay_blame_of (gt_relay_t *relay)
+rt_blame_status_t
+relay_blame_get_status (gt_relay_t *relay)
 {
   const gt_relays_t *relays = relay->relays;
 
-  if (rt_blame_empty (relays->blame->table))
-    return (rt_judgement_t){ 0 };
-  return rt_blame_of (relays->blame->table,
-                      net_clock_now (relays->options.clock),
-                      relay_digest (relay));
+  if (rt_blame_is_empty (relays->blame->table))
+    return (rt_blame_status_t){ 0 };
+  return rt_blame_get_status (relays->blame->table,
+                              net_clock_now (relays->options.clock),
+                              relay_digest (relay));
 }
 
 /* Only one host saw an endpoint crash: a few others check it. */
 static void
-check_unconfirmed_crash (gt_relays_t *relays, const rt_start_t *start)
+check_unconfirmed_crash (gt_relays_t *relays, const rt_instance_t *instance)
 {
   const gt_relay_options_t *o = &relays->options;
-  rt_target_t *target = rt_fleet_find (o->fleet, el_str (start->id));
+  rt_target_t *target = rt_fleet_find (o->fleet, el_str (instance->id));
 
-  if (target && target->facts.born == start->born && o->dialect->check
+  if (target && target->facts.born == instance->born && o->dialect->check
       && target->facts.end > target->facts.first
-      && rt_blame_unsure (relays->blame->table, start, o->witness)
+      && rt_blame_needs_witness (relays->blame->table, instance, o->witness)
       && el_random (&relays->random) % o->hosts (o->arg) < EXTRA_CHECKERS)
     relay_check_unless_recent (relays, target,
                                net_clock_now (o->clock) - CHECK_INTERVAL_MIN);
@@ -387,34 +390,35 @@
 
 /** Another host reports an endpoint crash and the requests that ran there. */
 void
-relay_blame_hear_ended (gt_relays_t *relays, const co_rumor_t *rumor,
-                        const relay_fact_t *fact)
+relay_blame_on_crash (gt_relays_t *relays, const co_rumor_t *rumor,
+                      const relay_fact_t *fact)
 {
   el_time_t now = net_clock_now (relays->options.clock);
   size_t i;
 
   (void)rumor;
   for (i = 0; i < fact->nruns; i++)
-    if (rt_blame_ended (relays->blame->table, now, &fact->runs[i]))
+    if (rt_blame_add_report (relays->blame->table, now, &fact->runs[i]))
       schedule_update (relays);
-  check_unconfirmed_crash (relays, &fact->runs[0].start);
+  check_unconfirmed_crash (relays, &fact->runs[0].instance);
 }
 
 /** A request completed at another host. */
 void
-relay_blame_hear_survived (gt_relays_t *relays, const co_rumor_t *rumor,
-                           const relay_fact_t *fact)
+relay_blame_on_completed (gt_relays_t *relays, const co_rumor_t *rumor,
+                          const relay_fact_t *fact)
 {
-  rt_blame_survived (relays->blame->table, fact->digest, rumor->at);
+  rt_blame_completed (relays->blame->table, fact->digest, rumor->at);
 }
 
 /** Set up crash attribution. */
 void
 relay_blame_open (gt_relays_t *relays)
 {
-  const rt_blame_options_t options = { .most = REQUESTS_MAX,
-                                       .customer_most = CUSTOMER_REQUESTS_MAX,
-                                       .rule = &rt_blame_odds };
+  const rt_blame_options_t options
+      = { .max_requests = REQUESTS_MAX,
+          .max_customer_requests = CUSTOMER_REQUESTS_MAX,
+          .rule = &rt_blame_rule_odds };
   relay_blame_t *blame = el_alloc (sizeof *blame);
 
   blame->table = rt_blame_new (&options);
--- a/gate/relay_block.c
+++ b/gate/relay_block.c
@@ -10,12 +10,13 @@
 #include "librelay.h"
 
 static void
-log_crash_of_blocked (void *arg, const rt_ended_t *report)
+log_crash_of_blocked (void *arg, const rt_crash_report_t *report)
 {
   const gt_relays_t *relays = arg;
   el_time_t now = net_clock_now (relays->options.clock);
 
-  EL_LOG (EL_LOG_WARN, "blocked_for_end", EL_FC ("endpoint", report->start.id),
+  EL_LOG (EL_LOG_WARN, "blocked_for_end",
+          EL_FC ("endpoint", report->instance.id),
           EL_FN ("age_us", now > report->at ? now - report->at : 0),
           EL_FN ("ran_us", report->ran), EL_FN ("first", report->first),
           EL_FN ("listed", report->host == 0));
@@ -23,19 +24,19 @@
 
 static void
 log_blocked (gt_relays_t *relays, rt_digest_t digest,
-             const rt_judgement_t *judgement, const char *by)
+             const rt_blame_status_t *status, const char *by)
 {
   el_time_t now = net_clock_now (relays->options.clock);
   char hex[RT_DIGEST_HEX + 1];
 
   rt_digest_hex (digest, hex);
   EL_LOG (EL_LOG_WARN, "request_blocked", EL_FC ("digest", hex),
-          EL_FC ("by", by), EL_FN ("ends", judgement->ends),
-          EL_FN ("odds", (uint64_t)judgement->odds),
-          EL_FN ("holds", judgement->holds),
-          EL_FN ("left_us", judgement->until - now));
-  rt_blame_ends (relay_blame_book (relays), digest, log_crash_of_blocked,
-                 relays);
+          EL_FC ("by", by), EL_FN ("ends", status->crashes),
+          EL_FN ("odds", (uint64_t)status->odds),
+          EL_FN ("holds", status->holds),
+          EL_FN ("left_us", status->blocked_until - now));
+  rt_blame_visit_crashes (relay_blame_table (relays), digest,
+                          log_crash_of_blocked, relays);
 }
 
 /* Persist the block so that it outlasts all hosts. */
@@ -49,42 +50,43 @@
 
 static void
 persist_if_blocked (void *arg, rt_digest_t digest,
-                    const rt_judgement_t *judgement)
+                    const rt_blame_status_t *status)
 {
   const gt_relays_t *relays = arg;
 
-  if (judgement->state == RT_BLAME_BLOCKED)
-    persist_block (relays, digest, judgement->holds,
-                   judgement->until - net_clock_now (relays->options.clock));
+  if (status->state == RT_BLAME_BLOCKED)
+    persist_block (relays, digest, status->holds,
+                   status->blocked_until
+                       - net_clock_now (relays->options.clock));
 }
 
 /** The store has lost its entries of blocked requests: write them again. */
 void
-gt_relays_blocked_keep (gt_relays_t *relays)
+gt_relays_persist_blocked (gt_relays_t *relays)
 {
-  rt_blame_visit (relay_blame_book (relays),
-                  net_clock_now (relays->options.clock), persist_if_blocked,
-                  relays);
+  rt_blame_visit_requests (relay_blame_table (relays),
+                           net_clock_now (relays->options.clock),
+                           persist_if_blocked, relays);
 }
 
 /** DIGEST is the culprit. Tell all hosts, as some have not heard of every
     crash, and persist it for hosts that start later. */
 void
-relay_block_found (void *arg, rt_digest_t digest,
-                   const rt_judgement_t *judgement)
+relay_block_add (void *arg, rt_digest_t digest,
+                 const rt_blame_status_t *status)
 {
   gt_relays_t *relays = arg;
   const relay_fact_t fact = { .kind = RELAY_FACT_BLOCKED,
                               .digest = digest,
-                              .holds = judgement->holds };
+                              .holds = status->holds };
 
   relays->counts.blocked++;
-  log_blocked (relays, digest, judgement, "ends");
-  relay_rumor_tell (relays, &fact, digest + judgement->holds,
-                    rt_blame_hold (judgement->holds));
-  persist_block (relays, digest, judgement->holds,
-                 rt_blame_hold (judgement->holds));
-  relay_suspect_stop (relays, digest);
+  log_blocked (relays, digest, status, "ends");
+  relay_rumor_send (relays, &fact, digest + status->holds,
+                    rt_blame_block_time (status->holds));
+  persist_block (relays, digest, status->holds,
+                 rt_blame_block_time (status->holds));
+  relay_suspect_cancel (relays, digest);
 }
 
 /* Another host or the store reports that a request has been blocked since AT.
@@ -94,15 +96,16 @@
              el_time_t at, unsigned holds, const char *by)
 {
   el_time_t now = net_clock_now (relays->options.clock);
-  rt_judgement_t judgement;
+  rt_blame_status_t status;
 
-  if (!rt_blame_block (relay_blame_book (relays), digest, customer, at, holds))
+  if (!rt_blame_block (relay_blame_table (relays), digest, customer, at,
+                       holds))
     return 0;
-  judgement = rt_blame_of (relay_blame_book (relays), now, digest);
-  if (judgement.state != RT_BLAME_BLOCKED)
+  status = rt_blame_get_status (relay_blame_table (relays), now, digest);
+  if (status.state != RT_BLAME_BLOCKED)
     return 0;
-  log_blocked (relays, digest, &judgement, by);
-  relay_suspect_stop (relays, digest);
+  log_blocked (relays, digest, &status, by);
+  relay_suspect_cancel (relays, digest);
   return 1;
 }
 
@@ -120,11 +123,11 @@
 int
 gt_relays_order_blocked (gt_relays_t *relays, const rt_order_t *order)
 {
-  if (rt_blame_empty (relay_blame_book (relays)))
+  if (rt_blame_is_empty (relay_blame_table (relays)))
     return 0;
-  return rt_blame_of (relay_blame_book (relays),
-                      net_clock_now (relays->options.clock),
-                      rt_order_digest (relays->options.key, order))
+  return rt_blame_get_status (relay_blame_table (relays),
+                              net_clock_now (relays->options.clock),
+                              rt_order_digest (relays->options.key, order))
              .state
          == RT_BLAME_BLOCKED;
 }
@@ -132,13 +135,13 @@
 /** ORDER's engine crashed while carrying it out. A resulting block is sent to
     all hosts, so that the next planner knows of it. */
 void
-gt_relays_order_ended (gt_relays_t *relays, rt_falls_t *falls,
-                       const rt_order_t *order)
+gt_relays_order_crashed (gt_relays_t *relays, rt_falls_t *falls,
+                         const rt_order_t *order)
 {
   const rt_digest_t digest = rt_order_digest (relays->options.key, order);
-  const rt_judgement_t before
-      = rt_blame_of (relay_blame_book (relays),
-                     net_clock_now (relays->options.clock), digest);
+  const rt_blame_status_t before
+      = rt_blame_get_status (relay_blame_table (relays),
+                             net_clock_now (relays->options.clock), digest);
   const relay_fact_t fact = { .kind = RELAY_FACT_BLOCKED,
                               .digest = digest,
                               .holds = before.holds + 1 };
@@ -152,9 +155,9 @@
                        net_clock_now (relays->options.clock), fact.holds,
                        "orders"))
     return;
-  relay_rumor_tell (relays, &fact, digest + fact.holds,
-                    rt_blame_hold (fact.holds));
-  persist_block (relays, digest, fact.holds, rt_blame_hold (fact.holds));
+  relay_rumor_send (relays, &fact, digest + fact.holds,
+                    rt_blame_block_time (fact.holds));
+  persist_block (relays, digest, fact.holds, rt_blame_block_time (fact.holds));
 }
 
 /** ORDER's engine holds the layers it was ordered to hold. */
@@ -183,36 +186,36 @@
   el_time_t now = net_clock_now (relays->options.clock);
   const relay_fact_t fact = { .kind = RELAY_FACT_CLEARED, .digest = digest };
 
-  if (!rt_blame_clear (relay_blame_book (relays), digest, now))
+  if (!rt_blame_clear (relay_blame_table (relays), digest, now))
     return 0;
   log_cleared (digest, "operator");
-  relay_rumor_tell (relays, &fact, el_random (&relays->random),
+  relay_rumor_send (relays, &fact, el_random (&relays->random),
                     RELAY_FACT_GOSSIP_HOLD);
   return 1;
 }
 
 /** Another host blocked a request. */
 void
-relay_block_hear (gt_relays_t *relays, const co_rumor_t *rumor,
-                  const relay_fact_t *fact)
+relay_block_on_blocked (gt_relays_t *relays, const co_rumor_t *rumor,
+                        const relay_fact_t *fact)
 {
   if (apply_block (relays, fact->digest, fact->customer, rumor->at,
                    fact->holds, "another host"))
     persist_block (relays, fact->digest, fact->holds,
-                   rt_blame_hold (fact->holds));
+                   rt_blame_block_time (fact->holds));
 }
 
 /** An operator cleared a request at another host. */
 void
-relay_block_hear_cleared (gt_relays_t *relays, const co_rumor_t *rumor,
-                          const relay_fact_t *fact)
+relay_block_on_cleared (gt_relays_t *relays, const co_rumor_t *rumor,
+                        const relay_fact_t *fact)
 {
-  if (rt_blame_clear (relay_blame_book (relays), fact->digest, rumor->at))
+  if (rt_blame_clear (relay_blame_table (relays), fact->digest, rumor->at))
     log_cleared (fact->digest, "another host");
 }
 
 static void
-dump_suspect (void *arg, rt_digest_t digest, const rt_judgement_t *judgement)
+dump_suspect (void *arg, rt_digest_t digest, const rt_blame_status_t *status)
 {
   static const char *const states[] = { [RT_BLAME_NONE] = "none",
                                         [RT_BLAME_SUSPECT] = "suspect",
@@ -222,9 +225,9 @@
   rt_digest_hex (digest, hex);
   json_array_append_new (
       arg, json_pack ("{s:s,s:s,s:i,s:f,s:i,s:I}", "digest", hex, "state",
-                      states[judgement->state], "ends", (int)judgement->ends,
-                      "odds", judgement->odds, "holds", (int)judgement->holds,
-                      "untilUs", (json_int_t)judgement->until));
+                      states[status->state], "ends", (int)status->crashes,
+                      "odds", status->odds, "holds", (int)status->holds,
+                      "untilUs", (json_int_t)status->blocked_until));
 }
 
 /** Return the requests that are suspect or blocked, as a JSON array. */
@@ -233,7 +236,8 @@
 {
   json_t *list = json_array ();
 
-  rt_blame_visit (relay_blame_book (relays),
-                  net_clock_now (relays->options.clock), dump_suspect, list);
+  rt_blame_visit_requests (relay_blame_table (relays),
+                           net_clock_now (relays->options.clock), dump_suspect,
+                           list);
   return list;
 }
--- a/gate/relay_check.c
+++ b/gate/relay_check.c
@@ -164,7 +164,7 @@
   if (load)
     check_apply_load (check, load);
   if (answered)
-    relay_blame_alive (relays, engine, check->asked);
+    relay_blame_check_answered (relays, engine, check->asked);
   if (answered && !was_silent)
     return;
   if (answered == was_silent)
@@ -178,7 +178,7 @@
   rt_target_ref (engine);
   check_each_stream (relays, engine, relay_watch_engine_silent);
   if (result == GT_CHECK_REFUSED)
-    relay_blame_refused (relays, engine);
+    relay_blame_connect_refused (relays, engine);
   if (engine->access.gone)
     check_free (check);
   else
--- a/gate/relay_epoch.c
+++ b/gate/relay_epoch.c
@@ -23,11 +23,11 @@
 static void
 draining_announce (void *arg, el_str_t id, uint64_t born)
 {
-  rt_start_t start = { .born = born };
-  size_t len = id.len < RT_START_MAX ? id.len : RT_START_MAX - 1;
+  rt_instance_t instance = { .born = born };
+  size_t len = id.len < RT_INSTANCE_ID_SIZE ? id.len : RT_INSTANCE_ID_SIZE - 1;
 
-  memcpy (start.id, id.ptr, len);
-  relay_drain_announce (arg, &start);
+  memcpy (instance.id, id.ptr, len);
+  relay_drain_announce (arg, &instance);
 }
 
 static void
@@ -36,7 +36,7 @@
   const relay_fact_t fact
       = { .kind = RELAY_FACT_RULES, .version = relays->rules->version };
 
-  relay_rumor_tell (relays, &fact,
+  relay_rumor_send (relays, &fact,
                     XXH3_64bits_withSeed (&fact.version, sizeof fact.version,
                                           RELAY_FACT_RULES),
                     RULES_GOSSIP_HOLD);
--- a/gate/relay_fact.c
+++ b/gate/relay_fact.c
@@ -60,15 +60,15 @@
 }
 
 static void
-start_write (const rt_start_t *start, json_t *json)
+start_write (const rt_instance_t *instance, json_t *json)
 {
-  json_object_set_new (json, "endpoint", json_string (start->id));
-  json_object_set_new (json, "born", number_write (start->born));
+  json_object_set_new (json, "endpoint", json_string (instance->id));
+  json_object_set_new (json, "born", number_write (instance->born));
 }
 
 /* Return 0 if JSON names no endpoint instance. */
 static int
-start_read (json_t *json, rt_start_t *out)
+start_read (json_t *json, rt_instance_t *out)
 {
   const char *id = json_string_value (json_object_get (json, "endpoint"));
 
@@ -82,14 +82,14 @@
 static void
 leaves_write (const relay_fact_t *fact, json_t *json)
 {
-  start_write (&fact->start, json);
+  start_write (&fact->instance, json);
 }
 
 static int
 leaves_read (json_t *json, el_time_t at, relay_fact_t *out)
 {
   (void)at;
-  return start_read (json, &out->start);
+  return start_read (json, &out->instance);
 }
 
 static void
@@ -109,10 +109,10 @@
 runs_write (const relay_fact_t *fact, json_t *json)
 {
   json_t *list = json_array ();
-  const rt_ended_t *run;
+  const rt_crash_report_t *run;
   size_t i;
 
-  start_write (&fact->runs[0].start, json);
+  start_write (&fact->runs[0].instance, json);
   json_object_set_new (json, "host", number_write (fact->runs[0].host));
   for (i = 0; i < fact->nruns; i++)
     {
@@ -149,7 +149,7 @@
 }
 
 static int
-run_read (json_t *item, rt_ended_t *out)
+run_read (json_t *item, rt_crash_report_t *out)
 {
   json_t *digest = json_array_get (item, 0);
   json_t *customer = json_array_get (item, 1);
@@ -174,11 +174,11 @@
 runs_read (json_t *json, el_time_t at, relay_fact_t *out)
 {
   json_t *list = json_object_get (json, "runs");
-  rt_ended_t report = { .detected_at = at };
+  rt_crash_report_t report = { .detected_at = at };
   json_t *item;
   size_t i;
 
-  if (!start_read (json, &report.start)
+  if (!start_read (json, &report.instance)
       || !number_read (json_object_get (json, "host"), &report.host)
       || !report.host || json_array_size (list) > RELAY_FACT_RUNS_MAX)
     return 0;
@@ -194,7 +194,7 @@
 
 /** Encode FACT as the body of a rumor. */
 void
-relay_fact_write (const relay_fact_t *fact, el_buf_t *out)
+relay_fact_encode (const relay_fact_t *fact, el_buf_t *out)
 {
   json_t *json = json_pack ("{s:s}", "fact", codecs[fact->kind].name);
   char *text;
@@ -209,7 +209,7 @@
 /** Decode the body of a rumor that was first sent at AT. Return 0 if it is
     malformed. */
 int
-relay_fact_read (el_str_t body, el_time_t at, relay_fact_t *out)
+relay_fact_decode (el_str_t body, el_time_t at, relay_fact_t *out)
 {
   json_t *json = json_loadb (body.ptr, body.len, 0, NULL);
   const char *kind = json_string_value (json_object_get (json, "fact"));
--- a/gate/relay_rumor.c
+++ b/gate/relay_rumor.c
@@ -12,24 +12,24 @@
                                                  const co_rumor_t *rumor,
                                                  const relay_fact_t *fact)
     = {
-        [RELAY_FACT_ENDED] = relay_blame_hear_ended,
-        [RELAY_FACT_SURVIVED] = relay_blame_hear_survived,
-        [RELAY_FACT_BLOCKED] = relay_block_hear,
-        [RELAY_FACT_CLEARED] = relay_block_hear_cleared,
+        [RELAY_FACT_ENDED] = relay_blame_on_crash,
+        [RELAY_FACT_SURVIVED] = relay_blame_on_completed,
+        [RELAY_FACT_BLOCKED] = relay_block_on_blocked,
+        [RELAY_FACT_CLEARED] = relay_block_on_cleared,
         [RELAY_FACT_DRAINING] = relay_drain_received,
         [RELAY_FACT_RULES] = relay_epoch_rules_received,
       };
 
 /** Send FACT to all hosts under the rumor id ID, to be kept for HOLD. */
 void
-relay_rumor_tell (gt_relays_t *relays, const relay_fact_t *fact, uint64_t id,
+relay_rumor_send (gt_relays_t *relays, const relay_fact_t *fact, uint64_t id,
                   el_time_t hold)
 {
   el_buf_t body = { NULL, 0, 0 };
 
   if (!relays->options.tell)
     return;
-  relay_fact_write (fact, &body);
+  relay_fact_encode (fact, &body);
   relays->options.tell (relays->options.arg, id, hold, el_buf_str (&body));
   el_buf_free (&body);
 }
@@ -40,7 +40,7 @@
 {
   relay_fact_t fact;
 
-  if (relay_fact_read (rumor->body, rumor->at, &fact))
+  if (relay_fact_decode (rumor->body, rumor->at, &fact))
     handlers[fact.kind](relays, rumor, &fact);
   else
     EL_LOG (EL_LOG_ERROR, "rumor_refused", EL_FS ("body", rumor->body));
--- a/gate/relay_suspect.c
+++ b/gate/relay_suspect.c
@@ -28,19 +28,20 @@
 relay_suspect_admit (gt_relay_t *relay)
 {
   gt_relays_t *relays = relay->relays;
-  rt_judgement_t judgement = relay_blame_of (relay);
+  rt_blame_status_t status = relay_blame_get_status (relay);
   el_time_t now = net_clock_now (relays->options.clock);
   char digest[RT_DIGEST_HEX + 1];
 
-  if (judgement.state != RT_BLAME_BLOCKED)
+  if (status.state != RT_BLAME_BLOCKED)
     return 1;
   rt_digest_hex (relay_digest (relay), digest);
   EL_LOG (EL_LOG_INFO, "request_barred", EL_FS ("request", relay->id),
-          EL_FC ("digest", digest), EL_FN ("ends", judgement.ends),
-          EL_FN ("holds", judgement.holds),
-          EL_FN ("left_us", judgement.until - now));
+          EL_FC ("digest", digest), EL_FN ("ends", status.crashes),
+          EL_FN ("holds", status.holds),
+          EL_FN ("left_us", status.blocked_until - now));
   relays->counts.barred++;
-  relay_respond_error (relay, 503, "ends endpoints", judgement.until - now);
+  relay_respond_error (relay, 503, "ends endpoints",
+                       status.blocked_until - now);
   return 0;
 }
 
@@ -53,26 +54,26 @@
 
 /* Pick the endpoint for a suspect. */
 static rt_target_t *
-pick_isolated_target (gt_relay_t *relay, const rt_judgement_t *judgement,
+pick_isolated_target (gt_relay_t *relay, const rt_blame_status_t *status,
                       el_time_t now)
 {
   return rt_fleet_apart (
       relay->relays->options.fleet, now, relay->service->name,
-      relay_digest (relay) + judgement->ends, &relay->tried);
+      relay_digest (relay) + status->crashes, &relay->tried);
 }
 
 /** Whether RELAY has to wait for its turn. It is retried later, or refused
     with a time to retry if it has not been sent yet. */
 int
-relay_suspect_waits (gt_relay_t *relay, el_time_t now)
+relay_suspect_must_wait (gt_relay_t *relay, el_time_t now)
 {
   gt_relays_t *relays = relay->relays;
-  rt_judgement_t judgement = relay_blame_of (relay);
+  rt_blame_status_t status = relay_blame_get_status (relay);
 
-  if (judgement.state != RT_BLAME_SUSPECT || judgement.ends < TURN_MIN_CRASHES
-      || (!judgement.unconfirmed
-          && !relay_blame_awaits (relays, relay_digest (relay))
-          && pick_isolated_target (relay, &judgement, now))
+  if (status.state != RT_BLAME_SUSPECT || status.crashes < TURN_MIN_CRASHES
+      || (!status.unconfirmed
+          && !relay_blame_is_pending (relays, relay_digest (relay))
+          && pick_isolated_target (relay, &status, now))
       || relay->turns++ >= TURNS_MAX)
     return 0;
   relays->counts.turns++;
@@ -92,15 +93,15 @@
 /** Return the endpoint where a suspect is to be sent first; others avoid it
     until RELAY's probation is over. NULL: no restriction. */
 rt_target_t *
-relay_suspect_target (gt_relay_t *relay, el_time_t now)
+relay_suspect_pick_target (gt_relay_t *relay, el_time_t now)
 {
-  rt_judgement_t judgement = relay_blame_of (relay);
+  rt_blame_status_t status = relay_blame_get_status (relay);
   rt_target_t *target;
 
-  if (judgement.state != RT_BLAME_SUSPECT
-      || (judgement.ends < TURN_MIN_CRASHES && !judgement.foremost))
+  if (status.state != RT_BLAME_SUSPECT
+      || (status.crashes < TURN_MIN_CRASHES && !status.prime_suspect))
     return NULL;
-  target = pick_isolated_target (relay, &judgement, now);
+  target = pick_isolated_target (relay, &status, now);
   if (!target)
     return NULL;
   relay->relays->counts.apart++;
@@ -110,7 +111,7 @@
 
 /** DIGEST is the culprit: stop its runs before they crash more endpoints. */
 void
-relay_suspect_stop (gt_relays_t *relays, rt_digest_t digest)
+relay_suspect_cancel (gt_relays_t *relays, rt_digest_t digest)
 {
   gt_relay_t *relay;
   gt_relay_t *next;
--- a/gate/relay_watch.c
+++ b/gate/relay_watch.c
@@ -236,7 +236,7 @@
           EL_FN ("still_us", net_clock_now (relay->relays->options.clock)
                                  - relay->last_progress));
   watch_cancel_query (relay);
-  relay_blame_broken (relay, engine);
+  relay_blame_run_broken (relay, engine);
   rt_tried_add (&relay->avoid, engine);
   watch_move_stream (relay);
 }
--- a/route/blame.c
+++ b/route/blame.c
@@ -33,27 +33,28 @@
 
 /** Return a hash that identifies an endpoint instance. */
 uint64_t
-rt_start_key (const rt_start_t *start)
+rt_instance_key (const rt_instance_t *instance)
 {
-  return XXH3_64bits_withSeed (start->id, strlen (start->id), start->born);
+  return XXH3_64bits_withSeed (instance->id, strlen (instance->id),
+                               instance->born);
 }
 
 /** Return the current instance of TARGET; a long id is truncated. */
-rt_start_t
-rt_target_start (const rt_target_t *target)
+rt_instance_t
+rt_target_instance (const rt_target_t *target)
 {
-  rt_start_t start = { .born = target->facts.born };
+  rt_instance_t instance = { .born = target->facts.born };
   size_t len = target->facts.id.len;
 
-  if (len >= RT_START_MAX)
-    len = RT_START_MAX - 1;
-  memcpy (start.id, target->facts.id.ptr, len);
-  return start;
+  if (len >= RT_INSTANCE_ID_SIZE)
+    len = RT_INSTANCE_ID_SIZE - 1;
+  memcpy (instance.id, target->facts.id.ptr, len);
+  return instance;
 }
 
 /** Return the duration of the HOLDS-th block of a request. */
 el_time_t
-rt_blame_hold (unsigned holds)
+rt_blame_block_time (unsigned holds)
 {
   unsigned doublings = holds > 1 ? holds - 1 : 0;
 
@@ -144,9 +145,9 @@
   blame_customer_t *customer;
   blame_customer_t *other;
 
-  if (owner->nrequests <= blame->options.customer_most)
+  if (owner->nrequests <= blame->options.max_customer_requests)
     {
-      if (HASH_COUNT (blame->requests) < blame->options.most)
+      if (HASH_COUNT (blame->requests) < blame->options.max_requests)
         return;
       HASH_ITER (hh, blame->customers, customer, other)
       if (customer->nrequests > owner->nrequests)
@@ -209,9 +210,9 @@
 }
 
 static blame_crash_t *
-crash_get (rt_blame_t *blame, const rt_ended_t *report)
+crash_get (rt_blame_t *blame, const rt_crash_report_t *report)
 {
-  uint64_t key = rt_start_key (&report->start);
+  uint64_t key = rt_instance_key (&report->instance);
   blame_crash_t *crash;
 
   HASH_FIND (hh, blame->crash_by_key, &key, sizeof key, crash);
@@ -221,7 +222,7 @@
     crash_free (blame, blame->by_time);
   crash = el_alloc (sizeof *crash);
   crash->key = key;
-  crash->start = report->start;
+  crash->instance = report->instance;
   crash->at = report->at;
   crash->detected_at = EL_TIME_NEVER;
   HASH_ADD (hh, blame->crash_by_key, key, sizeof crash->key, crash);
@@ -291,7 +292,8 @@
 
 /* Return 0 if the request began after the crash or has completed since. */
 static int
-run_add (rt_blame_t *blame, blame_crash_t *crash, const rt_ended_t *report)
+run_add (rt_blame_t *blame, blame_crash_t *crash,
+         const rt_crash_report_t *report)
 {
   blame_request_t *request;
   blame_run_t *run;
@@ -318,7 +320,7 @@
 /* The request ran there more than once concurrently: keep the run that began
    last. Return 0 if nothing changes. */
 static int
-run_update (blame_run_t *run, const rt_ended_t *report)
+run_update (blame_run_t *run, const rt_crash_report_t *report)
 {
   if (report->ran >= run->ran
       || crash_detected_before (run->crash, report->at - report->ran))
@@ -332,7 +334,8 @@
 /** Add a report of this or another host. Return 0 if it was known or has
     expired. */
 int
-rt_blame_ended (rt_blame_t *blame, el_time_t now, const rt_ended_t *report)
+rt_blame_add_report (rt_blame_t *blame, el_time_t now,
+                     const rt_crash_report_t *report)
 {
   blame_crash_t *crash;
   blame_run_t *run;
@@ -355,10 +358,10 @@
 
 /** Whether the crash of START was seen by a single host, other than HOST. */
 int
-rt_blame_unsure (const rt_blame_t *blame, const rt_start_t *start,
-                 uint64_t host)
+rt_blame_needs_witness (const rt_blame_t *blame, const rt_instance_t *instance,
+                        uint64_t host)
 {
-  uint64_t key = rt_start_key (start);
+  uint64_t key = rt_instance_key (instance);
   const blame_crash_t *crash;
 
   HASH_FIND (hh, blame->crash_by_key, &key, sizeof key, crash);
@@ -383,10 +386,10 @@
 /** Whether to tell other hosts about a run: it was short, or its request was
     already a suspect or blocked. */
 int
-rt_blame_told (const rt_blame_t *blame, const rt_ended_t *report)
+rt_blame_should_tell (const rt_blame_t *blame, const rt_crash_report_t *report)
 {
-  return report->ran < RT_BLAME_YOUNG
-         || rt_blame_of (blame, report->at, report->digest).state;
+  return report->ran < RT_BLAME_SHORT_RUN
+         || rt_blame_get_status (blame, report->at, report->digest).state;
 }
 
 /* Identify the newest crash that other hosts know for this request, else its
@@ -398,10 +401,10 @@
   const blame_crash_t *newest = NULL;
 
   DL_FOREACH (request->runs, run)
-  if ((run->ran < RT_BLAME_YOUNG || request->runs->next)
+  if ((run->ran < RT_BLAME_SHORT_RUN || request->runs->next)
       && (!newest || run->crash->at > newest->at))
     newest = run->crash;
-  return newest ? newest->key : request->until;
+  return newest ? newest->key : request->blocked_until;
 }
 
 /** The request completed at AT without a crash: earlier crashes no longer
@@ -409,7 +412,7 @@
     identifier of what other hosts must clear it of, which is the same at all
     hosts, or 0 if they know nothing of it. */
 uint64_t
-rt_blame_survived (rt_blame_t *blame, rt_digest_t digest, el_time_t at)
+rt_blame_completed (rt_blame_t *blame, rt_digest_t digest, el_time_t at)
 {
   blame_request_t *request = blame_request_find (blame, digest);
   uint64_t rumor_id;
@@ -418,8 +421,9 @@
     return 0;
   rumor_id = request_rumor_id (request);
   request_exonerate (request, at);
-  if (request->until && at + rt_blame_hold (request->holds) > request->until)
-    request->until = 0;
+  if (request->blocked_until
+      && at + rt_blame_block_time (request->holds) > request->blocked_until)
+    request->blocked_until = 0;
   return rumor_id;
 }
 
@@ -435,7 +439,7 @@
   if (holds <= request->holds || at <= request->cleared_at)
     return 0;
   request->holds = holds;
-  request->until = at + rt_blame_hold (holds);
+  request->blocked_until = at + rt_blame_block_time (holds);
   if (request->last_fact < at)
     request->last_fact = at;
   return 1;
@@ -451,7 +455,7 @@
   if (!request || at <= request->cleared_at)
     return 0;
   request_exonerate (request, at);
-  request->until = 0;
+  request->blocked_until = 0;
   request->holds = 0;
   return 1;
 }
@@ -462,8 +466,9 @@
 static int
 request_expired (const blame_request_t *request, el_time_t now)
 {
-  return (!request->until
-          || request->until + rt_blame_hold (request->holds) < now)
+  return (!request->blocked_until
+          || request->blocked_until + rt_blame_block_time (request->holds)
+                 < now)
          && request->cleared_at + FACT_LIFETIME < now;
 }
 
@@ -483,40 +488,40 @@
 
 /** Whether no request is tracked. */
 int
-rt_blame_empty (const rt_blame_t *blame)
+rt_blame_is_empty (const rt_blame_t *blame)
 {
   return !blame->requests;
 }
 
 /** Visit all requests that are suspect or blocked. */
 void
-rt_blame_visit (const rt_blame_t *blame, el_time_t now,
-                rt_blame_visit_cb visit, void *arg)
+rt_blame_visit_requests (const rt_blame_t *blame, el_time_t now,
+                         rt_blame_request_cb visit, void *arg)
 {
   blame_request_t *request;
   blame_request_t *next;
-  rt_judgement_t judgement;
+  rt_blame_status_t status;
 
   HASH_ITER (hh, blame->requests, request, next)
   {
-    judgement = blame_status (request, now);
-    if (judgement.state)
-      visit (arg, request->digest, &judgement);
+    status = blame_status (request, now);
+    if (status.state)
+      visit (arg, request->digest, &status);
   }
 }
 
 /** Visit the crashes of a request. */
 void
-rt_blame_ends (const rt_blame_t *blame, rt_digest_t digest,
-               rt_blame_end_cb visit, void *arg)
+rt_blame_visit_crashes (const rt_blame_t *blame, rt_digest_t digest,
+                        rt_blame_report_cb visit, void *arg)
 {
   const blame_request_t *request = blame_request_find (blame, digest);
   const blame_run_t *run;
 
   DL_FOREACH (request ? request->runs : NULL, run)
   {
-    const rt_ended_t report
-        = { .start = run->crash->start,
+    const rt_crash_report_t report
+        = { .instance = run->crash->instance,
             .digest = digest,
             .customer = request->customer->key,
             .host = run->crash->store_confirmed ? 0 : run->crash->witnesses[0],
--- a/route/blame.h
+++ b/route/blame.h
@@ -23,26 +23,26 @@
 
 /** Size of an endpoint's id as kept here, including the final NUL; longer ids
     are truncated. */
-#define RT_START_MAX 48
+#define RT_INSTANCE_ID_SIZE 48
 
 /** A request that had run for less than this when its endpoint crashed is more
     likely to be the culprit than one that had run for longer. The culprit that
     was observed crashed its engines within 0.2 s, and about eight of fifty
     streams are as young. */
-#define RT_BLAME_YOUNG (400 * EL_MSEC)
+#define RT_BLAME_SHORT_RUN (400 * EL_MSEC)
 
 /** One instance of an endpoint, from its start to its end. */
-typedef struct rt_start
+typedef struct rt_instance
 {
-  char id[RT_START_MAX];
+  char id[RT_INSTANCE_ID_SIZE];
   uint64_t born; /**< tells instances with the same id apart */
-} rt_start_t;
+} rt_instance_t;
 
 /** A report by one host: an endpoint instance crashed while a request was
     running there. */
-typedef struct rt_ended
+typedef struct rt_crash_report
 {
-  rt_start_t start;
+  rt_instance_t instance;
   rt_digest_t digest; /**< 0: no request of the reporting host ran there */
   uint64_t customer;  /**< hash of the name of the request's customer */
   uint64_t host;      /**< the reporter; 0: the store, whose report needs no
@@ -52,7 +52,7 @@
   el_time_t ran;         /**< how long the request had been running there */
   int first; /**< the endpoint was the only one, or the first engine of the
                 line */
-} rt_ended_t;
+} rt_crash_report_t;
 
 typedef enum rt_blame_state
 {
@@ -62,21 +62,21 @@
 } rt_blame_state_t;
 
 /** What the reports say about a request. */
-typedef struct rt_judgement
+typedef struct rt_blame_status
 {
   rt_blame_state_t state;
-  unsigned ends;   /**< endpoint crashes during its runs */
-  double odds;     /**< odds that it caused them */
-  el_time_t until; /**< end of the current or last block */
-  unsigned holds;  /**< how often it has been blocked */
-  int unconfirmed; /**< only one host saw the newest of these crashes */
-  int foremost;    /**< no request at the newest crash has far higher odds */
-} rt_judgement_t;
+  unsigned crashes;        /**< endpoint crashes during its runs */
+  double odds;             /**< odds that it caused them */
+  el_time_t blocked_until; /**< end of the current or last block */
+  unsigned holds;          /**< how often it has been blocked */
+  int unconfirmed;   /**< only one host saw the newest of these crashes */
+  int prime_suspect; /**< no request at the newest crash has far higher odds */
+} rt_blame_status_t;
 
 typedef struct rt_blame_options
 {
-  size_t most;          /**< requests tracked */
-  size_t customer_most; /**< requests tracked per customer */
+  size_t max_requests;          /**< requests tracked */
+  size_t max_customer_requests; /**< requests tracked per customer */
   /** Scoring rule; replaceable so that benchmarks can compare rules. */
   const struct rt_blame_rule *rule;
 } rt_blame_options_t;
@@ -92,36 +92,38 @@
   void (*score) (rt_blame_t *blame, size_t endpoints);
 } rt_blame_rule_t;
 
-extern const rt_blame_rule_t rt_blame_odds;  /**< weighs other causes */
-extern const rt_blame_rule_t rt_blame_count; /**< counts crashes only */
+extern const rt_blame_rule_t rt_blame_rule_odds;  /**< weighs other causes */
+extern const rt_blame_rule_t rt_blame_rule_count; /**< counts crashes only */
 
 rt_blame_t *rt_blame_new (const rt_blame_options_t *options);
 void rt_blame_free (rt_blame_t *blame);
-int rt_blame_ended (rt_blame_t *blame, el_time_t now,
-                    const rt_ended_t *report);
-int rt_blame_told (const rt_blame_t *blame, const rt_ended_t *report);
-int rt_blame_unsure (const rt_blame_t *blame, const rt_start_t *start,
-                     uint64_t host);
-uint64_t rt_blame_survived (rt_blame_t *blame, rt_digest_t digest,
-                            el_time_t at);
+int rt_blame_add_report (rt_blame_t *blame, el_time_t now,
+                         const rt_crash_report_t *report);
+int rt_blame_should_tell (const rt_blame_t *blame,
+                          const rt_crash_report_t *report);
+int rt_blame_needs_witness (const rt_blame_t *blame,
+                            const rt_instance_t *instance, uint64_t host);
+uint64_t rt_blame_completed (rt_blame_t *blame, rt_digest_t digest,
+                             el_time_t at);
 int rt_blame_block (rt_blame_t *blame, rt_digest_t digest, uint64_t customer,
                     el_time_t at, unsigned holds);
 int rt_blame_clear (rt_blame_t *blame, rt_digest_t digest, el_time_t at);
-rt_judgement_t rt_blame_of (const rt_blame_t *blame, el_time_t now,
-                            rt_digest_t digest);
-el_time_t rt_blame_hold (unsigned holds);
-int rt_blame_empty (const rt_blame_t *blame);
-typedef void (*rt_blame_visit_cb) (void *arg, rt_digest_t digest,
-                                   const rt_judgement_t *judgement);
-void rt_blame_judge (rt_blame_t *blame, el_time_t now, size_t endpoints,
-                     rt_blame_visit_cb blocked, void *arg);
-void rt_blame_visit (const rt_blame_t *blame, el_time_t now,
-                     rt_blame_visit_cb visit, void *arg);
+rt_blame_status_t rt_blame_get_status (const rt_blame_t *blame, el_time_t now,
+                                       rt_digest_t digest);
+el_time_t rt_blame_block_time (unsigned holds);
+int rt_blame_is_empty (const rt_blame_t *blame);
+typedef void (*rt_blame_request_cb) (void *arg, rt_digest_t digest,
+                                     const rt_blame_status_t *status);
+void rt_blame_update (rt_blame_t *blame, el_time_t now, size_t endpoints,
+                      rt_blame_request_cb blocked, void *arg);
+void rt_blame_visit_requests (const rt_blame_t *blame, el_time_t now,
+                              rt_blame_request_cb visit, void *arg);
 /** Called for each crash of a request, with one host that reported it. */
-typedef void (*rt_blame_end_cb) (void *arg, const rt_ended_t *report);
-void rt_blame_ends (const rt_blame_t *blame, rt_digest_t digest,
-                    rt_blame_end_cb visit, void *arg);
-uint64_t rt_start_key (const rt_start_t *start);
-rt_start_t rt_target_start (const rt_target_t *target);
+typedef void (*rt_blame_report_cb) (void *arg,
+                                    const rt_crash_report_t *report);
+void rt_blame_visit_crashes (const rt_blame_t *blame, rt_digest_t digest,
+                             rt_blame_report_cb visit, void *arg);
+uint64_t rt_instance_key (const rt_instance_t *instance);
+rt_instance_t rt_target_instance (const rt_target_t *target);
 
 #endif
--- a/route/blame_rule.c
+++ b/route/blame_rule.c
@@ -243,5 +243,5 @@
   }
 }
 
-const rt_blame_rule_t rt_blame_odds = { "odds", odds_score };
-const rt_blame_rule_t rt_blame_count = { "count", count_score };
+const rt_blame_rule_t rt_blame_rule_odds = { "odds", odds_score };
+const rt_blame_rule_t rt_blame_rule_count = { "count", count_score };
--- a/route/blame_judge.c
+++ b/route/blame_status.c
@@ -67,10 +67,10 @@
 {
   el_time_t last = request_last_crash (request);
 
-  if (!last || now < request->until)
+  if (!last || now < request->blocked_until)
     return 0;
-  if (request->until)
-    return last > request->until;
+  if (request->blocked_until)
+    return last > request->blocked_until;
   return request->odds >= BLOCK_ODDS
          || (request_early_crashes (request) >= EARLY_CRASHES_MAX
              && request_is_likeliest (request, last));
@@ -79,12 +79,12 @@
 /** Score all requests anew and call BLOCKED for each that is blocked from now
     on; ENDPOINTS is the number of endpoints listed. */
 void
-rt_blame_judge (rt_blame_t *blame, el_time_t now, size_t endpoints,
-                rt_blame_visit_cb blocked, void *arg)
+rt_blame_update (rt_blame_t *blame, el_time_t now, size_t endpoints,
+                 rt_blame_request_cb blocked, void *arg)
 {
   blame_request_t *request;
   blame_request_t *next;
-  rt_judgement_t judgement;
+  rt_blame_status_t status;
 
   blame_expire (blame, now);
   blame->options.rule->score (blame, endpoints);
@@ -92,10 +92,10 @@
   if (request_must_block (request, now))
     {
       request->holds++;
-      request->until
-          = request_last_crash (request) + rt_blame_hold (request->holds);
-      judgement = rt_blame_of (blame, now, request->digest);
-      blocked (arg, request->digest, &judgement);
+      request->blocked_until = request_last_crash (request)
+                               + rt_blame_block_time (request->holds);
+      status = rt_blame_get_status (blame, now, request->digest);
+      blocked (arg, request->digest, &status);
     }
 }
 
@@ -139,28 +139,30 @@
 }
 
 /* Return the status of a request at NOW. */
-rt_judgement_t
+rt_blame_status_t
 blame_status (const blame_request_t *request, el_time_t now)
 {
-  rt_judgement_t out = { .ends = request_count_crashes (request),
-                         .odds = request->odds,
-                         .until = request->until,
-                         .holds = request->holds,
-                         .unconfirmed = request_is_unconfirmed (request),
-                         .foremost = request_is_prime_suspect (request) };
-
-  if (now < request->until)
+  rt_blame_status_t out
+      = { .crashes = request_count_crashes (request),
+          .odds = request->odds,
+          .blocked_until = request->blocked_until,
+          .holds = request->holds,
+          .unconfirmed = request_is_unconfirmed (request),
+          .prime_suspect = request_is_prime_suspect (request) };
+
+  if (now < request->blocked_until)
     out.state = RT_BLAME_BLOCKED;
-  else if (out.ends || request->until)
+  else if (out.crashes || request->blocked_until)
     out.state = RT_BLAME_SUSPECT;
   return out;
 }
 
 /** Return the status of a request at NOW; all zero if it is not tracked. */
-rt_judgement_t
-rt_blame_of (const rt_blame_t *blame, el_time_t now, rt_digest_t digest)
+rt_blame_status_t
+rt_blame_get_status (const rt_blame_t *blame, el_time_t now,
+                     rt_digest_t digest)
 {
   const blame_request_t *request = blame_request_find (blame, digest);
 
-  return request ? blame_status (request, now) : (rt_judgement_t){ 0 };
+  return request ? blame_status (request, now) : (rt_blame_status_t){ 0 };
 }
--- a/route/libblame.h
+++ b/route/libblame.h
@@ -49,7 +49,7 @@
 struct blame_crash
 {
   uint64_t key;
-  rt_start_t start;
+  rt_instance_t instance;
   el_time_t at;
   el_time_t detected_at; /* earliest time at which some host had detected it */
   uint64_t witnesses[BLAME_WITNESSES]; /* hosts that reported it */
@@ -71,10 +71,10 @@
   rt_digest_t digest;
   blame_customer_t *customer;
   blame_run_t *runs;
-  el_time_t last_fact;  /* time of the newest report about it */
-  el_time_t cleared_at; /* crashes up to this time do not count */
-  el_time_t until;      /* end of its block; 0: none, or it was lifted */
-  unsigned holds;       /* how often it has been blocked */
+  el_time_t last_fact;     /* time of the newest report about it */
+  el_time_t cleared_at;    /* crashes up to this time do not count */
+  el_time_t blocked_until; /* end of its block; 0: none, or it was lifted */
+  unsigned holds;          /* how often it has been blocked */
   double odds;
   UT_hash_handle hh;
 };
@@ -90,7 +90,7 @@
 
 blame_request_t *blame_request_find (const rt_blame_t *blame,
                                      rt_digest_t digest);
-rt_judgement_t blame_status (const blame_request_t *request, el_time_t now);
+rt_blame_status_t blame_status (const blame_request_t *request, el_time_t now);
 void blame_expire (rt_blame_t *blame, el_time_t now);
 
 /* Whether the crash is confirmed by the store or by two hosts: a single host
--- a/tests/blame_sim.c
+++ b/tests/blame_sim.c
@@ -43,7 +43,7 @@
 typedef struct sim_engine
 {
   int up;
-  unsigned start;
+  unsigned instance;
   el_time_t back;
   el_time_t proof[HOSTS_MOST]; /* a suspect of this host is there until then */
 } sim_engine_t;
@@ -67,7 +67,7 @@
 
 typedef struct sim_news
 {
-  rt_ended_t ended;
+  rt_crash_report_t ended;
   rt_digest_t survived;
   size_t to;
   el_time_t at;
@@ -88,7 +88,7 @@
   sim_news_t *news;
   rt_digest_t next;
   el_time_t third[DEADLY_MOST];
-  size_t ends[DEADLY_MOST];
+  size_t crashes[DEADLY_MOST];
   size_t late[DEADLY_MOST];
 } sim_t;
 
@@ -104,27 +104,27 @@
   return least + (el_time_t)(sim_chance (sim) * (double)spread);
 }
 
-static rt_judgement_t
+static rt_blame_status_t
 judgement (const sim_t *sim, size_t host, rt_digest_t digest)
 {
-  return sim->o.rule ? rt_blame_of (sim->blame[host], sim->now, digest)
-                     : (rt_judgement_t){ 0 };
+  return sim->o.rule ? rt_blame_get_status (sim->blame[host], sim->now, digest)
+                     : (rt_blame_status_t){ 0 };
 }
 
 /* Whether a request is sent apart. */
 static int
-sim_prime (const sim_t *sim, const rt_judgement_t *judged)
+sim_prime (const sim_t *sim, const rt_blame_status_t *judged)
 {
   if (judged->state != RT_BLAME_SUSPECT)
     return 0;
-  return sim->o.apart < 3 || judged->ends > 1 || judged->foremost;
+  return sim->o.apart < 3 || judged->crashes > 1 || judged->prime_suspect;
 }
 
 /* Engines where a request may be sent, best first: what a suspect is sent
    apart from, an innocent one avoids. */
 static int
 engine_choose (sim_t *sim, const sim_stream_t *stream,
-               const rt_judgement_t *judged, size_t *out)
+               const rt_blame_status_t *judged, size_t *out)
 {
   double best = -2;
   double rank;
@@ -133,7 +133,7 @@
   for (i = 0; i < sim->o.engines; i++)
     {
       const sim_engine_t *engine = &sim->engine[i];
-      uint64_t mixed[] = { stream->digest, judged->ends, i };
+      uint64_t mixed[] = { stream->digest, judged->crashes, i };
 
       if (!engine->up)
         continue;
@@ -143,7 +143,7 @@
                / (double)(1ULL << 53);
       if (sim->o.apart && sim->now < engine->proof[stream->host])
         {
-          if (sim->o.apart > 1 && judged->ends >= TURN_ENDS)
+          if (sim->o.apart > 1 && judged->crashes >= TURN_ENDS)
             continue;
           rank -= 1;
         }
@@ -189,7 +189,7 @@
 static void
 stream_send (sim_t *sim, sim_stream_t *stream)
 {
-  rt_judgement_t judged = judgement (sim, stream->host, stream->digest);
+  rt_blame_status_t judged = judgement (sim, stream->host, stream->digest);
   size_t d = stream->deadly - 1;
 
   if (judged.state == RT_BLAME_BLOCKED)
@@ -225,7 +225,7 @@
 }
 
 static void
-news_spread (sim_t *sim, size_t from, const rt_ended_t *ended,
+news_spread (sim_t *sim, size_t from, const rt_crash_report_t *ended,
              rt_digest_t survived)
 {
   sim_news_t *news;
@@ -278,14 +278,14 @@
 engine_end (sim_t *sim, size_t i)
 {
   sim_engine_t *engine = &sim->engine[i];
-  rt_ended_t ended = { .first = 1, .at = sim->now };
+  rt_crash_report_t ended = { .first = 1, .at = sim->now };
   sim_stream_t *stream;
   sim_stream_t *next;
 
   engine->up = 0;
   engine->back = sim->now + ENGINE_BACK;
-  snprintf (ended.start.id, sizeof ended.start.id, "engine-%zu", i);
-  ended.start.born = engine->start;
+  snprintf (ended.instance.id, sizeof ended.instance.id, "engine-%zu", i);
+  ended.instance.born = engine->instance;
   DL_FOREACH (sim->streams, stream)
   if (!stream->waits && stream->engine == i && sim->o.rule)
     {
@@ -295,9 +295,9 @@
       ended.ran = sim->now - stream->at;
       if (ended.ran > BEGIN_AFTER)
         ended.ran -= BEGIN_AFTER;
-      if (rt_blame_told (sim->blame[stream->host], &ended))
+      if (rt_blame_should_tell (sim->blame[stream->host], &ended))
         news_spread (sim, stream->host, &ended, 0);
-      rt_blame_ended (sim->blame[stream->host], sim->now, &ended);
+      rt_blame_add_report (sim->blame[stream->host], sim->now, &ended);
       sim->fresh[stream->host] = 1;
     }
   DL_FOREACH_SAFE (sim->streams, stream, next)
@@ -306,7 +306,7 @@
 }
 
 static void
-blocked (void *arg, rt_digest_t digest, const rt_judgement_t *judgement_)
+blocked (void *arg, rt_digest_t digest, const rt_blame_status_t *judgement_)
 {
   (void)arg;
   (void)digest;
@@ -321,7 +321,8 @@
   for (i = 0; sim->o.rule && i < sim->o.hosts; i++)
     if (sim->fresh[i])
       {
-        rt_blame_judge (sim->blame[i], sim->now, sim->o.engines, blocked, sim);
+        rt_blame_update (sim->blame[i], sim->now, sim->o.engines, blocked,
+                         sim);
         sim->fresh[i] = 0;
       }
 }
@@ -337,12 +338,12 @@
     {
       if (news->survived)
         sim->fresh[news->to]
-            |= rt_blame_survived (sim->blame[news->to], news->survived,
-                                  news->ended.at)
+            |= rt_blame_completed (sim->blame[news->to], news->survived,
+                                   news->ended.at)
                != 0;
       else
-        sim->fresh[news->to]
-            |= rt_blame_ended (sim->blame[news->to], sim->now, &news->ended);
+        sim->fresh[news->to] |= rt_blame_add_report (sim->blame[news->to],
+                                                     sim->now, &news->ended);
       DL_DELETE (sim->news, news);
       free (news);
     }
@@ -353,20 +354,21 @@
 stream_ends (sim_t *sim, sim_stream_t *stream)
 {
   size_t d = stream->deadly - 1;
-  const rt_ended_t at = { .at = sim->now };
-  unsigned ends = judgement (sim, stream->host, stream->digest).ends;
+  const rt_crash_report_t at = { .at = sim->now };
+  unsigned crashes = judgement (sim, stream->host, stream->digest).crashes;
 
   if (stream->deadly)
     {
       sim->result.ended++;
-      if (++sim->ends[d] == ENDS_KNOWN)
+      if (++sim->crashes[d] == ENDS_KNOWN)
         sim->third[d] = sim->now;
       engine_end (sim, stream->engine);
       return;
     }
   if (sim->o.rule
-      && rt_blame_survived (sim->blame[stream->host], stream->digest, sim->now)
-      && (!sim->o.tell_late || ends > 1))
+      && rt_blame_completed (sim->blame[stream->host], stream->digest,
+                             sim->now)
+      && (!sim->o.tell_late || crashes > 1))
     news_spread (sim, stream->host, &at, stream->digest);
   stream_drop (sim, stream);
 }
@@ -409,7 +411,7 @@
       if (!engine->up && engine->back <= sim->now)
         {
           engine->up = 1;
-          engine->start++;
+          engine->instance++;
         }
       if (engine->up)
         up[n++] = i;
@@ -456,8 +458,9 @@
 static void
 sim_open (sim_t *sim)
 {
-  const rt_blame_options_t options
-      = { .most = 4096, .customer_most = 4096, .rule = sim->o.rule };
+  const rt_blame_options_t options = { .max_requests = 4096,
+                                       .max_customer_requests = 4096,
+                                       .rule = sim->o.rule };
   const sim_stream_t none = { 0 };
   sim_stream_t first = none;
   size_t i;
--- a/tests/t_clock.c
+++ b/tests/t_clock.c
@@ -88,16 +88,19 @@
    host slept meanwhile or not. */
 START_TEST (test_block_runs_out_while_the_host_is_suspended)
 {
-  const rt_blame_options_t options
-      = { .most = 10, .customer_most = 10, .rule = &rt_blame_odds };
+  const rt_blame_options_t options = { .max_requests = 10,
+                                       .max_customer_requests = 10,
+                                       .rule = &rt_blame_rule_odds };
   rt_blame_t *blame = rt_blame_new (&options);
 
   rt_blame_block (blame, 7, 1, net_clock_now (&test_clock), 1);
-  ck_assert_int_eq (rt_blame_of (blame, net_clock_now (&test_clock), 7).state,
-                    RT_BLAME_BLOCKED);
-  suspend_for (rt_blame_hold (1));
-  ck_assert_int_eq (rt_blame_of (blame, net_clock_now (&test_clock), 7).state,
-                    RT_BLAME_SUSPECT);
+  ck_assert_int_eq (
+      rt_blame_get_status (blame, net_clock_now (&test_clock), 7).state,
+      RT_BLAME_BLOCKED);
+  suspend_for (rt_blame_block_time (1));
+  ck_assert_int_eq (
+      rt_blame_get_status (blame, net_clock_now (&test_clock), 7).state,
+      RT_BLAME_SUSPECT);
   rt_blame_free (blame);
 }
 END_TEST
--- a/tests/t_suspect.c
+++ b/tests/t_suspect.c
@@ -55,8 +55,9 @@
 static void
 suspect_setup (void)
 {
-  const rt_blame_options_t options
-      = { .most = 1000, .customer_most = 200, .rule = &rt_blame_odds };
+  const rt_blame_options_t options = { .max_requests = 1000,
+                                       .max_customer_requests = 200,
+                                       .rule = &rt_blame_rule_odds };
 
   blame = rt_blame_new (&options);
   blocked = 0;
@@ -69,7 +70,8 @@
 }
 
 static void
-blocked_count (void *arg, rt_digest_t digest, const rt_judgement_t *judgement)
+blocked_count (void *arg, rt_digest_t digest,
+               const rt_blame_status_t *judgement)
 {
   (void)arg;
   (void)digest;
@@ -78,7 +80,7 @@
 }
 
 static void
-blocked_any (void *arg, rt_digest_t digest, const rt_judgement_t *judgement)
+blocked_any (void *arg, rt_digest_t digest, const rt_blame_status_t *judgement)
 {
   unsigned *n = arg;
 
@@ -89,28 +91,28 @@
 static void
 judge (el_time_t now)
 {
-  rt_blame_judge (blame, now, ENDPOINTS, blocked_count, NULL);
+  rt_blame_update (blame, now, ENDPOINTS, blocked_count, NULL);
 }
 
 /* An end of the start ENGINE that two hosts saw. */
 static void
 ended (unsigned engine, el_time_t at, rt_digest_t digest, el_time_t ran)
 {
-  rt_ended_t e = { .start = { .id = "e", .born = engine },
-                   .digest = digest,
-                   .customer = 1,
-                   .at = at,
-                   .ran = ran,
-                   .first = 1 };
+  rt_crash_report_t e = { .instance = { .id = "e", .born = engine },
+                          .digest = digest,
+                          .customer = 1,
+                          .at = at,
+                          .ran = ran,
+                          .first = 1 };
 
   for (e.host = 1; e.host <= 2; e.host++)
-    rt_blame_ended (blame, NOW, &e);
+    rt_blame_add_report (blame, NOW, &e);
 }
 
 static rt_blame_state_t
 state_of (rt_digest_t digest)
 {
-  return rt_blame_of (blame, NOW, digest).state;
+  return rt_blame_get_status (blame, NOW, digest).state;
 }
 
 /* Fifty ran under the first end, each with the one to blame; under the next
@@ -132,7 +134,7 @@
   ck_assert_uint_eq (blocked, 1);
   ck_assert_int_eq (state_of (DEADLY), RT_BLAME_BLOCKED);
   for (i = 0; i < 50; i++)
-    ck_assert (rt_blame_of (blame, NOW, 1000 + i).odds < 1e-4);
+    ck_assert (rt_blame_get_status (blame, NOW, 1000 + i).odds < 1e-4);
 }
 END_TEST
 
@@ -180,7 +182,7 @@
 /* Facts come in any order, some twice; the odds are the same. */
 START_TEST (test_blame_order_of_news_plays_no_part)
 {
-  rt_ended_t facts[60];
+  rt_crash_report_t facts[60];
   double odds[2];
   uint64_t random = (uint64_t)_i * 77 + 1;
   size_t n = 0;
@@ -190,17 +192,17 @@
 
   for (i = 0; i < 4; i++)
     for (k = 0; k < 15; k++)
-      facts[n++] = (rt_ended_t){ .start = { .id = "e", .born = i },
-                                 .digest = k ? 100 + i * k : DEADLY,
-                                 .host = 1 + k % 3,
-                                 .at = NOW + i * EL_SEC,
-                                 .ran = (k + 1) * 60 * EL_MSEC,
-                                 .first = 1 };
+      facts[n++] = (rt_crash_report_t){ .instance = { .id = "e", .born = i },
+                                        .digest = k ? 100 + i * k : DEADLY,
+                                        .host = 1 + k % 3,
+                                        .at = NOW + i * EL_SEC,
+                                        .ran = (k + 1) * 60 * EL_MSEC,
+                                        .first = 1 };
   for (round = 0; round < 2; round++)
     {
       for (i = 0; round && i < n; i++)
         {
-          rt_ended_t held = facts[i];
+          rt_crash_report_t held = facts[i];
 
           k = el_random (&random) % n;
           facts[i] = facts[k];
@@ -210,12 +212,12 @@
       suspect_setup ();
       for (i = 0; i < n; i++)
         {
-          rt_blame_ended (blame, NOW + 5 * EL_SEC, &facts[i]);
+          rt_blame_add_report (blame, NOW + 5 * EL_SEC, &facts[i]);
           if (round)
-            rt_blame_ended (blame, NOW + 5 * EL_SEC, &facts[i / 2]);
+            rt_blame_add_report (blame, NOW + 5 * EL_SEC, &facts[i / 2]);
         }
       judge (NOW + 5 * EL_SEC);
-      odds[round] = rt_blame_of (blame, NOW, DEADLY).odds;
+      odds[round] = rt_blame_get_status (blame, NOW, DEADLY).odds;
     }
   ck_assert_double_eq_tol (odds[0] / odds[1], 1, 1e-6);
 }
@@ -227,37 +229,37 @@
 {
   ended (1, NOW, DEADLY, EL_MSEC);
   ended (2, NOW + EL_SEC, DEADLY, EL_MSEC);
-  ck_assert_uint_ne (rt_blame_survived (blame, DEADLY, NOW + 5 * EL_SEC), 0);
+  ck_assert_uint_ne (rt_blame_completed (blame, DEADLY, NOW + 5 * EL_SEC), 0);
   ended (3, NOW + 2 * EL_SEC, DEADLY, EL_MSEC);
   ck_assert_int_eq (state_of (DEADLY), RT_BLAME_NONE);
   ended (4, NOW + 6 * EL_SEC, DEADLY, EL_MSEC);
   judge (NOW + 6 * EL_SEC);
-  ck_assert_uint_eq (rt_blame_of (blame, NOW, DEADLY).ends, 1);
+  ck_assert_uint_eq (rt_blame_get_status (blame, NOW, DEADLY).crashes, 1);
   ck_assert_uint_eq (blocked, 0);
-  ck_assert_uint_eq (rt_blame_survived (blame, 99, NOW), 0);
+  ck_assert_uint_eq (rt_blame_completed (blame, 99, NOW), 0);
 }
 END_TEST
 
 /* What only one host saw may be that host's own trouble: it takes more. */
 START_TEST (test_blame_one_witness_counts_half)
 {
-  rt_ended_t e
+  rt_crash_report_t e
       = { .digest = DEADLY, .host = 1, .ran = 80 * EL_MSEC, .first = 1 };
   unsigned i;
 
   for (i = 0; i < 3; i++)
     {
-      e.start.born = i;
+      e.instance.born = i;
       e.at = NOW + i * EL_SEC;
-      rt_blame_ended (blame, NOW, &e);
+      rt_blame_add_report (blame, NOW, &e);
     }
   judge (NOW + 3 * EL_SEC);
   ck_assert_uint_eq (blocked, 0);
   e.host = 0; /* the store says so, too */
   for (i = 0; i < 3; i++)
     {
-      e.start.born = i;
-      rt_blame_ended (blame, NOW, &e);
+      e.instance.born = i;
+      rt_blame_add_report (blame, NOW, &e);
     }
   judge (NOW + 3 * EL_SEC);
   ck_assert_uint_eq (blocked, 1);
@@ -268,9 +270,9 @@
    counting an end of long ago in and out again is no end near this one. */
 START_TEST (test_blame_one_end_after_another_of_long_ago_is_not_enough)
 {
-  const rt_ended_t gone = { .start = { .id = "gone" }, .at = NOW };
+  const rt_crash_report_t gone = { .instance = { .id = "gone" }, .at = NOW };
 
-  rt_blame_ended (blame, NOW, &gone);
+  rt_blame_add_report (blame, NOW, &gone);
   ended (1, NOW + 32 * EL_SEC, 1000, 1 * EL_MSEC);
   ended (1, NOW + 32 * EL_SEC, 1001, (1 + (unsigned)_i) * 50 * EL_MSEC);
   judge (NOW + 32 * EL_SEC);
@@ -282,19 +284,20 @@
    as run there. */
 START_TEST (test_blame_what_came_after_an_end_is_not_to_blame)
 {
-  rt_ended_t e = { .start = { .id = "e", .born = 1 },
-                   .digest = DEADLY,
-                   .customer = 1,
-                   .host = 3,
-                   .at = NOW + 701 * EL_MSEC,
-                   .ran = 175,
-                   .first = 1 };
+  rt_crash_report_t e = { .instance = { .id = "e", .born = 1 },
+                          .digest = DEADLY,
+                          .customer = 1,
+                          .host = 3,
+                          .at = NOW + 701 * EL_MSEC,
+                          .ran = 175,
+                          .first = 1 };
 
   ended (1, NOW, 99, 20 * EL_MSEC);
-  rt_blame_ended (blame, NOW + EL_SEC, &e);
+  rt_blame_add_report (blame, NOW + EL_SEC, &e);
   ended (2, NOW + 707 * EL_MSEC, DEADLY, 267);
   judge (NOW + 2 * EL_SEC);
-  ck_assert_uint_eq (rt_blame_of (blame, NOW + 2 * EL_SEC, DEADLY).ends, 1);
+  ck_assert_uint_eq (
+      rt_blame_get_status (blame, NOW + 2 * EL_SEC, DEADLY).crashes, 1);
   ck_assert_uint_eq (blocked, 0);
 }
 END_TEST
@@ -310,19 +313,22 @@
   for (i = 0; i < 4; i++)
     ended (i, NOW + i * EL_SEC, DEADLY, 80 * EL_MSEC);
   judge (NOW + 4 * EL_SEC);
-  first = rt_blame_of (blame, NOW, DEADLY).until;
-  ck_assert_uint_eq (first, NOW + 3 * EL_SEC + rt_blame_hold (1));
+  first = rt_blame_get_status (blame, NOW, DEADLY).blocked_until;
+  ck_assert_uint_eq (first, NOW + 3 * EL_SEC + rt_blame_block_time (1));
   now = first + EL_SEC;
   judge (now);
-  ck_assert_int_eq (rt_blame_of (blame, now, DEADLY).state, RT_BLAME_SUSPECT);
+  ck_assert_int_eq (rt_blame_get_status (blame, now, DEADLY).state,
+                    RT_BLAME_SUSPECT);
   ended (9, now, DEADLY, 80 * EL_MSEC);
   judge (now);
-  ck_assert_int_eq (rt_blame_of (blame, now, DEADLY).state, RT_BLAME_BLOCKED);
-  ck_assert_uint_eq (rt_blame_of (blame, now, DEADLY).until,
-                     now + rt_blame_hold (2));
-  ck_assert_uint_eq (rt_blame_hold (2), 2 * rt_blame_hold (1));
+  ck_assert_int_eq (rt_blame_get_status (blame, now, DEADLY).state,
+                    RT_BLAME_BLOCKED);
+  ck_assert_uint_eq (rt_blame_get_status (blame, now, DEADLY).blocked_until,
+                     now + rt_blame_block_time (2));
+  ck_assert_uint_eq (rt_blame_block_time (2), 2 * rt_blame_block_time (1));
   ck_assert_int_eq (rt_blame_clear (blame, DEADLY, now + 1), 1);
-  ck_assert_int_eq (rt_blame_of (blame, now, DEADLY).state, RT_BLAME_NONE);
+  ck_assert_int_eq (rt_blame_get_status (blame, now, DEADLY).state,
+                    RT_BLAME_NONE);
 }
 END_TEST
 
@@ -330,7 +336,8 @@
    than the caller's part of the room, and what is known of another's stays. */
 START_TEST (test_blame_one_caller_pushes_nobody_out)
 {
-  rt_ended_t e = { .customer = 2, .host = 1, .ran = EL_MSEC, .first = 1 };
+  rt_crash_report_t e
+      = { .customer = 2, .host = 1, .ran = EL_MSEC, .first = 1 };
   unsigned i;
 
   for (i = 0; i < 4; i++)
@@ -339,16 +346,16 @@
   ck_assert_int_eq (state_of (DEADLY), RT_BLAME_BLOCKED);
   for (i = 0; i < 100000; i++)
     {
-      e.start.born = 100 + i / 100;
+      e.instance.born = 100 + i / 100;
       e.digest = 1000 + i;
       e.at = NOW + 5 * EL_SEC;
-      rt_blame_ended (blame, NOW, &e);
+      rt_blame_add_report (blame, NOW, &e);
       if (i % 10 == 0)
         rt_blame_block (blame, 2000000 + i, 2, NOW + 5 * EL_SEC, 1);
     }
   ck_assert_int_eq (state_of (DEADLY), RT_BLAME_BLOCKED);
   blocked = 0;
-  rt_blame_visit (blame, NOW + 6 * EL_SEC, blocked_any, &blocked);
+  rt_blame_visit_requests (blame, NOW + 6 * EL_SEC, blocked_any, &blocked);
   ck_assert_uint_le (blocked, 201);
 }
 END_TEST
@@ -360,7 +367,7 @@
 START_TEST (test_blame_any_course_keeps_to_the_bound)
 {
   sim_options_t options = { .seed = (uint64_t)_i + 1,
-                            .rule = &rt_blame_odds,
+                            .rule = &rt_blame_rule_odds,
                             .apart = 2,
                             .hosts = 7,
                             .engines = 6,
