--- a/gate/answer.c
+++ b/gate/answer.c
@@ -3,20 +3,20 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Answers: what came of a request so far, and who waits for the rest. Readers
- * are woken after the router has returned, never from within one of its
- * actions.
+ * Answers: the result of a request so far, and the readers that wait for the
+ * rest. Readers are woken after the router has returned, never from within
+ * one of its actions.
  */
 #include <string.h>
 
 #include "libgate.h"
 
-#define TOKENS_FIRST_CAP 32
+#define TOKENS_INITIAL_CAP 32
 
-static void answer_hold_over (void *arg, el_time_t now);
+static void unread_expired (void *arg, el_time_t now);
 
-/* Headers that belong to one connection, and those that the gate sets. */
-static const char *const hop_headers[] = {
+/* Hop-by-hop headers, and headers that the gateway sets or consumes itself. */
+static const char *const unforwarded_headers[] = {
   "connection",
   "keep-alive",
   "proxy-authenticate",
@@ -35,33 +35,34 @@
   "x-elmarch-sequence",
 };
 
-/** Whether a header is handed through between caller and endpoint. */
+/** Whether a header is passed on between caller and endpoint. */
 int
 gt_header_passes (el_str_t name)
 {
   size_t i;
 
-  for (i = 0; i < sizeof hop_headers / sizeof *hop_headers; i++)
-    if (h2o_lcstris (name.ptr, name.len, hop_headers[i],
-                     strlen (hop_headers[i])))
+  for (i = 0; i < sizeof unforwarded_headers / sizeof *unforwarded_headers;
+       i++)
+    if (h2o_lcstris (name.ptr, name.len, unforwarded_headers[i],
+                     strlen (unforwarded_headers[i])))
       return 0;
   return 1;
 }
 
 gt_answer_t *
-gt_answer_new (gt_gate_t *gate, const gt_ask_t *ask)
+gt_answer_new (gt_gate_t *gate, const gt_request_t *request)
 {
   gt_answer_t *answer = el_alloc (sizeof *answer);
 
   answer->refs = 1;
   answer->gate = gate;
-  answer->work = ask->work;
-  answer->target = el_str_dup (ask->target);
-  answer->in_session = ask->in_session;
-  answer->keep = !ask->repeatable;
-  answer->base = ask->nresume;
-  answer->hold.cb = answer_hold_over;
-  answer->hold.arg = answer;
+  answer->type = request->type;
+  answer->target = el_str_dup (request->target);
+  answer->in_session = request->in_session;
+  answer->keep_running = !request->repeatable;
+  answer->nresumed = request->nresume;
+  answer->unread_timer.cb = unread_expired;
+  answer->unread_timer.arg = answer;
   return answer;
 }
 
@@ -79,7 +80,7 @@
 
   if (--answer->refs)
     return;
-  net_clock_cancel (&answer->gate->clock, &answer->hold);
+  net_clock_cancel (&answer->gate->clock, &answer->unread_timer);
   for (i = 0; i < answer->nheaders; i++)
     {
       el_str_free (&answer->headers[i].name);
@@ -93,9 +94,9 @@
   free (answer);
 }
 
-/* Have the readers woken once the router has returned. */
+/* Schedules the readers to be woken once the router has returned. */
 static void
-answer_touch (gt_answer_t *answer)
+answer_mark_dirty (gt_answer_t *answer)
 {
   if (answer->dirty)
     return;
@@ -105,7 +106,7 @@
   answer->gate->dirty = answer;
 }
 
-/** Wake the readers of all answers that have news. */
+/** Wakes the readers of all answers that changed. */
 void
 gt_answer_flush (gt_gate_t *gate)
 {
@@ -123,14 +124,14 @@
     }
 }
 
-/** READER waits for ANSWER from now on, and is woken once for what is
-    already there. */
+/** Adds READER to the readers of ANSWER and wakes it once for the content
+    that is already there. */
 void
 gt_answer_attach (gt_answer_t *answer, gt_reader_t *reader)
 {
   reader->answer = gt_answer_ref (answer);
   DL_APPEND (answer->readers, reader);
-  net_clock_cancel (&answer->gate->clock, &answer->hold);
+  net_clock_cancel (&answer->gate->clock, &answer->unread_timer);
   reader->wake (reader);
 }
 
@@ -143,7 +144,7 @@
 }
 
 static void
-answer_hold_over (void *arg, el_time_t now)
+unread_expired (void *arg, el_time_t now)
 {
   gt_answer_t *answer = arg;
 
@@ -152,9 +153,9 @@
     answer_cancel (answer);
 }
 
-/** READER has gone. A request that may be repeated and that nobody waits for
-    is cancelled: in a session after a while, so that the caller can take the
-    stream up again; without one at once. */
+/** Removes READER. A repeatable request without readers is cancelled: in a
+    session after options.session_hold, so that the caller can resume the
+    stream; otherwise at once. */
 void
 gt_answer_detach (gt_reader_t *reader)
 {
@@ -164,10 +165,10 @@
     return;
   reader->answer = NULL;
   DL_DELETE (answer->readers, reader);
-  if (!answer->readers && !answer->ended && !answer->keep)
+  if (!answer->readers && !answer->ended && !answer->keep_running)
     {
       if (answer->in_session)
-        net_clock_set (&answer->gate->clock, &answer->hold,
+        net_clock_set (&answer->gate->clock, &answer->unread_timer,
                        answer->gate->options.session_hold);
       else
         answer_cancel (answer);
@@ -175,7 +176,7 @@
   gt_answer_unref (answer);
 }
 
-/** The next token of a chat. */
+/** Appends a token to the answer of a chat. */
 void
 gt_answer_token (gt_answer_t *answer, uint64_t id, el_str_t text)
 {
@@ -184,7 +185,7 @@
   if (answer->ntokens == answer->cap_tokens)
     {
       answer->cap_tokens
-          = answer->cap_tokens ? 2 * answer->cap_tokens : TOKENS_FIRST_CAP;
+          = answer->cap_tokens ? 2 * answer->cap_tokens : TOKENS_INITIAL_CAP;
       answer->tokens = el_grow (answer->tokens, answer->cap_tokens,
                                 sizeof *answer->tokens);
     }
@@ -193,10 +194,10 @@
   token->offset = answer->text.len;
   token->len = text.len;
   el_buf_add (&answer->text, text);
-  answer_touch (answer);
+  answer_mark_dirty (answer);
 }
 
-/** The endpoint's answer to a call. */
+/** Stores the endpoint's response to a call. */
 void
 gt_answer_result (gt_answer_t *answer, const net_result_t *result)
 {
@@ -217,14 +218,14 @@
 }
 
 void
-gt_answer_end (gt_answer_t *answer, const gt_end_t *end)
+gt_answer_finish (gt_answer_t *answer, const gt_outcome_t *outcome)
 {
   answer->ended = 1;
-  answer->end = *end;
-  answer_touch (answer);
+  answer->outcome = *outcome;
+  answer_mark_dirty (answer);
 }
 
-/** The memory that an answer takes. */
+/** Memory used by an answer, in bytes. */
 size_t
 gt_answer_bytes (const gt_answer_t *answer)
 {
--- a/gate/caller.c
+++ b/gate/caller.c
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Answers to callers: whole, or as server-sent events. Everything tells its
- * verdict, in a header and, for streams, in the last event.
+ * Responses to callers, complete or as server-sent events. Each gives its
+ * verdict: in a header, or for a stream in the last event.
  */
 #include <inttypes.h>
 #include <stdio.h>
@@ -24,16 +24,16 @@
   int started;
   int sending;
   int finished;
-  size_t position; /* tokens handed out, those that the caller brought too */
+  size_t position; /* tokens sent, counting those the caller already had */
   el_buf_t chunk;
 } caller_t;
 
-/* What the caller is told for each reason. */
+/* The error reply for each reason. */
 static const struct
 {
-  int status; /* when nothing of the answer was sent */
+  int status; /* used if nothing of the answer was sent */
   const char *message;
-} reasons[RT_REASONS] = {
+} reason_replies[RT_REASONS] = {
   [RT_CANCELLED] = { 503, "the request was cancelled" },
   [RT_NOT_FOUND] = { 404, "no such model, service or customer" },
   [RT_NO_ROUTE] = { 503, "no endpoints can serve this now" },
@@ -45,10 +45,11 @@
   [RT_STOPPING] = { 503, "this host is stopping; use another" },
 };
 
-/** Tell the verdict, and when to come back unless that is 0. */
+/** Builds the verdict header, and the retry headers unless RETRY_AFTER_MS is
+    0. */
 void
 gt_verdict_headers (el_verdict_t verdict, uint64_t retry_after_ms,
-                    gt_verdict_head_t *out)
+                    gt_verdict_header_set_t *out)
 {
   out->n = 0;
   out->headers[out->n++]
@@ -68,7 +69,7 @@
 static void
 verdict_headers (h2o_req_t *req, el_verdict_t verdict, uint64_t retry_after_ms)
 {
-  gt_verdict_head_t head;
+  gt_verdict_header_set_t head;
   size_t i;
 
   gt_verdict_headers (verdict, retry_after_ms, &head);
@@ -76,7 +77,7 @@
     net_req_add_header (req, head.headers[i].name, head.headers[i].value);
 }
 
-/** The body of a refusal. */
+/** The JSON body of an error reply. */
 json_t *
 gt_refusal_json (const gt_refusal_t *refusal)
 {
@@ -91,7 +92,7 @@
   return json;
 }
 
-/** Answer with a refusal. */
+/** Sends an error reply. */
 void
 gt_caller_refuse (h2o_req_t *req, const gt_refusal_t *refusal)
 {
@@ -104,31 +105,31 @@
   json_decref (json);
 }
 
-/** The refusal that tells of an END without the whole answer. */
+/** The error reply for an OUTCOME without a complete answer. */
 void
-gt_refusal_of_end (const gt_end_t *end, gt_refusal_t *out)
+gt_refusal_from_outcome (const gt_outcome_t *outcome, gt_refusal_t *out)
 {
-  out->status = reasons[end->reason].status;
-  out->verdict = end->verdict;
-  out->code = rt_reason_name (end->reason);
-  out->message = reasons[end->reason].message;
-  out->retry_after_ms = end->retry_after_ms;
+  out->status = reason_replies[outcome->reason].status;
+  out->verdict = outcome->verdict;
+  out->code = rt_reason_name (outcome->reason);
+  out->message = reason_replies[outcome->reason].message;
+  out->retry_after_ms = outcome->retry_after_ms;
 }
 
 static int
-end_is_whole (const gt_end_t *end)
+outcome_is_complete (const gt_outcome_t *outcome)
 {
-  return end->reason == RT_DONE || end->reason == RT_LENGTH;
+  return outcome->reason == RT_DONE || outcome->reason == RT_LENGTH;
 }
 
 static void
-call_answer (caller_t *caller)
+reply_call (caller_t *caller)
 {
   gt_answer_t *answer = caller->reader.answer;
   h2o_req_t *req = caller->req;
   size_t i;
 
-  verdict_headers (req, answer->end.verdict, 0);
+  verdict_headers (req, answer->outcome.verdict, 0);
   for (i = 0; i < answer->nheaders; i++)
     net_req_add_header (req, answer->headers[i].name,
                         answer->headers[i].value);
@@ -137,10 +138,10 @@
 }
 
 static void
-chat_answer (caller_t *caller)
+reply_chat (caller_t *caller)
 {
   gt_answer_t *answer = caller->reader.answer;
-  size_t skip = caller->position - answer->base;
+  size_t skip = caller->position - answer->nresumed;
   size_t offset = skip < answer->ntokens ? answer->tokens[skip].offset
                                          : answer->text.len;
   el_str_t text = el_str_after (el_buf_str (&answer->text), offset);
@@ -154,18 +155,18 @@
       "object", "chat.completion", "model", answer->target.ptr,
       answer->target.len, "choices", "index", 0, "message", "role",
       "assistant", "content", text.len ? text.ptr : "", text.len,
-      "finish_reason", rt_reason_name (answer->end.reason), "usage",
-      "completion_tokens", (json_int_t)(answer->base + answer->ntokens),
-      "elmarch", "verdict", el_verdict_name (answer->end.verdict));
+      "finish_reason", rt_reason_name (answer->outcome.reason), "usage",
+      "completion_tokens", (json_int_t)(answer->nresumed + answer->ntokens),
+      "elmarch", "verdict", el_verdict_name (answer->outcome.verdict));
   dump = json_dumps (json, JSON_COMPACT);
-  verdict_headers (caller->req, answer->end.verdict, 0);
+  verdict_headers (caller->req, answer->outcome.verdict, 0);
   net_req_reply (caller->req, 200, GT_JSON, el_str (dump));
   free (dump);
   json_decref (json);
 }
 
 static void
-caller_whole (caller_t *caller)
+caller_send_complete (caller_t *caller)
 {
   gt_answer_t *answer = caller->reader.answer;
   gt_refusal_t refusal;
@@ -173,19 +174,19 @@
   if (!answer->ended || caller->finished)
     return;
   caller->finished = 1;
-  if (!end_is_whole (&answer->end))
+  if (!outcome_is_complete (&answer->outcome))
     {
-      gt_refusal_of_end (&answer->end, &refusal);
+      gt_refusal_from_outcome (&answer->outcome, &refusal);
       gt_caller_refuse (caller->req, &refusal);
     }
-  else if (answer->work == RT_CALL)
-    call_answer (caller);
+  else if (answer->type == RT_CALL)
+    reply_call (caller);
   else
-    chat_answer (caller);
+    reply_chat (caller);
 }
 
 static void
-event_write (el_buf_t *out, json_t *json)
+write_event (el_buf_t *out, json_t *json)
 {
   char *dump = json_dumps (json, JSON_COMPACT);
 
@@ -197,55 +198,57 @@
 }
 
 static void
-event_token (caller_t *caller, size_t i)
+write_token_event (caller_t *caller, size_t i)
 {
   gt_answer_t *answer = caller->reader.answer;
   const gt_token_t *token = &answer->tokens[i];
   char id[GT_NUMBER_MAX + 16];
 
   snprintf (id, sizeof id, "chatcmpl-%" PRIu64, answer->stream);
-  event_write (&caller->chunk,
+  write_event (&caller->chunk,
                json_pack ("{s:s,s:s,s:s%,s:[{s:i,s:{s:s%},s:n}],s:{s:I,s:I}}",
                           "id", id, "object", "chat.completion.chunk", "model",
                           answer->target.ptr, answer->target.len, "choices",
                           "index", 0, "delta", "content",
                           token->len ? answer->text.ptr + token->offset : "",
                           token->len, "finish_reason", "elmarch", "index",
-                          (json_int_t)(answer->base + i), "token",
+                          (json_int_t)(answer->nresumed + i), "token",
                           (json_int_t)token->id));
 }
 
-/* The last event: with [DONE] only when the answer is whole. */
+/* The last event of a stream, followed by [DONE] only if the answer is
+   complete. */
 static void
-event_end (caller_t *caller)
+write_final_event (caller_t *caller)
 {
   gt_answer_t *answer = caller->reader.answer;
   gt_refusal_t refusal;
   json_t *json;
 
-  if (!end_is_whole (&answer->end))
+  if (!outcome_is_complete (&answer->outcome))
     {
-      gt_refusal_of_end (&answer->end, &refusal);
+      gt_refusal_from_outcome (&answer->outcome, &refusal);
       json = gt_refusal_json (&refusal);
       json_object_set_new (
           json_object_get (json, "elmarch"), "tokens",
-          json_integer ((json_int_t)(answer->base + answer->ntokens)));
-      event_write (&caller->chunk, json);
+          json_integer ((json_int_t)(answer->nresumed + answer->ntokens)));
+      write_event (&caller->chunk, json);
       return;
     }
-  event_write (
-      &caller->chunk,
-      json_pack ("{s:s,s:s%,s:[{s:i,s:{},s:s}],s:{s:s,s:I}}", "object",
-                 "chat.completion.chunk", "model", answer->target.ptr,
-                 answer->target.len, "choices", "index", 0, "delta",
-                 "finish_reason", rt_reason_name (answer->end.reason),
-                 "elmarch", "verdict", el_verdict_name (answer->end.verdict),
-                 "tokens", (json_int_t)(answer->base + answer->ntokens)));
+  write_event (&caller->chunk,
+               json_pack ("{s:s,s:s%,s:[{s:i,s:{},s:s}],s:{s:s,s:I}}",
+                          "object", "chat.completion.chunk", "model",
+                          answer->target.ptr, answer->target.len, "choices",
+                          "index", 0, "delta", "finish_reason",
+                          rt_reason_name (answer->outcome.reason), "elmarch",
+                          "verdict", el_verdict_name (answer->outcome.verdict),
+                          "tokens",
+                          (json_int_t)(answer->nresumed + answer->ntokens)));
   el_buf_add (&caller->chunk, EL_STR ("data: [DONE]\n\n"));
 }
 
 static void
-stream_open (caller_t *caller)
+stream_start (caller_t *caller)
 {
   h2o_req_t *req = caller->req;
 
@@ -258,10 +261,11 @@
   h2o_start_response (req, &caller->generator);
 }
 
-/* Send what is new. One chunk is under way at a time, so a slow caller holds
-   up nothing but itself: the tokens wait in the answer. */
+/* Sends the tokens not sent yet. Only one chunk is in flight at a time, so a
+   slow caller delays nobody else: further tokens are buffered in the
+   answer. */
 static void
-caller_stream (caller_t *caller)
+caller_send_stream (caller_t *caller)
 {
   gt_answer_t *answer = caller->reader.answer;
   h2o_iovec_t iov;
@@ -271,20 +275,21 @@
     return;
   if (!caller->started)
     {
-      if (ended && !end_is_whole (&answer->end) && answer->ntokens == 0)
+      if (ended && !outcome_is_complete (&answer->outcome)
+          && answer->ntokens == 0)
         {
-          caller_whole (caller);
+          caller_send_complete (caller);
           return;
         }
-      if (!ended && answer->base + answer->ntokens <= caller->position)
+      if (!ended && answer->nresumed + answer->ntokens <= caller->position)
         return;
-      stream_open (caller);
+      stream_start (caller);
     }
   el_buf_reset (&caller->chunk);
-  while (caller->position < answer->base + answer->ntokens)
-    event_token (caller, caller->position++ - answer->base);
+  while (caller->position < answer->nresumed + answer->ntokens)
+    write_token_event (caller, caller->position++ - answer->nresumed);
   if (ended)
-    event_end (caller);
+    write_final_event (caller);
   if (caller->chunk.len == 0)
     return;
   caller->sending = 1;
@@ -300,9 +305,9 @@
   caller_t *caller = H2O_STRUCT_FROM_MEMBER (caller_t, reader, reader);
 
   if (caller->stream)
-    caller_stream (caller);
+    caller_send_stream (caller);
   else
-    caller_whole (caller);
+    caller_send_complete (caller);
 }
 
 static void
@@ -312,7 +317,7 @@
 
   (void)req;
   caller->sending = 0;
-  caller_stream (caller);
+  caller_send_stream (caller);
 }
 
 static void
@@ -324,20 +329,21 @@
   caller->finished = 1;
 }
 
-/* h2o frees the request: it was answered, or the caller has gone. */
+/* Called when h2o frees the request: it was answered, or the caller
+   disconnected. */
 static void
 caller_dispose (void *arg)
 {
   caller_t *caller = arg;
 
   caller->finished = 1;
-  caller->gate->callers--;
+  caller->gate->open_responses--;
   gt_answer_detach (&caller->reader);
   el_buf_free (&caller->chunk);
 }
 
-/** Answer REQ from ANSWER, from token POSITION on; takes over the caller's
-    reference. */
+/** Answers REQ with ANSWER, starting at token POSITION. Takes over the
+    reference to ANSWER. */
 void
 gt_caller_serve (gt_gate_t *gate, h2o_req_t *req, gt_answer_t *answer,
                  int stream, size_t position)
@@ -347,15 +353,15 @@
 
   memset (caller, 0, sizeof *caller);
   caller->gate = gate;
-  gate->callers++;
+  gate->open_responses++;
   caller->reader.wake = caller_wake;
   caller->generator.proceed = caller_proceed;
   caller->generator.stop = caller_stop;
   caller->req = req;
   caller->stream = stream;
-  caller->position = position > answer->base ? position : answer->base;
-  if (caller->position > answer->base + answer->ntokens && answer->ended)
-    caller->position = answer->base + answer->ntokens;
+  caller->position = position > answer->nresumed ? position : answer->nresumed;
+  if (caller->position > answer->nresumed + answer->ntokens && answer->ended)
+    caller->position = answer->nresumed + answer->ntokens;
   gt_answer_attach (answer, &caller->reader);
   gt_answer_unref (answer);
 }
--- a/gate/door.c
+++ b/gate/door.c
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * The door: which part serves which address, who may ask, and what all
- * requests have in common.
+ * HTTP API: dispatch of requests by path and method, authentication, and what
+ * all handlers share.
  */
 #include <stdio.h>
 #include <string.h>
@@ -19,42 +19,44 @@
 #define DEADLINE_MAX_MS 3600000
 #define STARTING_RETRY_MS 500
 
-typedef enum door_who
+typedef enum api_role
 {
-  WHO_ANY,
-  WHO_OPERATOR
-} door_who_t;
+  ROLE_ANY,
+  ROLE_OPERATOR
+} api_role_t;
 
-typedef void (*door_fn) (gt_gate_t *gate, h2o_req_t *req, el_str_t rest);
+typedef void (*api_handler_fn) (gt_gate_t *gate, h2o_req_t *req,
+                                el_str_t rest);
 
-/* Parts that prove customers themselves are open to any here. */
+/* The dispatch table; the first match serves. ROLE_ANY checks nothing here:
+   handlers that need a customer authenticate it themselves. */
 static const struct
 {
-  const char *method; /* NULL takes all */
+  const char *method; /* NULL: any */
   el_str_t prefix;
   int exact;
-  door_who_t who;
-  door_fn serve;
-} doors[] = {
-  { "POST", EL_STR ("/v1/chat/completions"), 1, WHO_ANY, gt_door_chat },
-  { "GET", EL_STR ("/v1/entry-hosts"), 1, WHO_ANY, gt_door_entry_hosts },
-  { "POST", EL_STR ("/v1/sessions"), 1, WHO_ANY, gt_door_session_open },
-  { "DELETE", EL_STR ("/v1/sessions/"), 0, WHO_ANY, gt_door_session_close },
-  { NULL, EL_STR ("/services/"), 0, WHO_ANY, gt_door_call },
-  { "GET", EL_STR ("/admin/v1/dump"), 1, WHO_OPERATOR, gt_door_dump },
-  { "GET", EL_STR ("/metrics"), 1, WHO_ANY, gt_door_metrics },
-  { "GET", EL_STR ("/admin/v1/blocked"), 1, WHO_OPERATOR, gt_door_blocked },
-  { "DELETE", EL_STR ("/admin/v1/blocked/"), 0, WHO_OPERATOR,
-    gt_door_unblock },
-  { NULL, EL_STR ("/admin/v1/"), 0, WHO_OPERATOR, gt_door_resources },
+  api_role_t role;
+  api_handler_fn serve;
+} handlers[] = {
+  { "POST", EL_STR ("/v1/chat/completions"), 1, ROLE_ANY, gt_api_chat },
+  { "GET", EL_STR ("/v1/entry-hosts"), 1, ROLE_ANY, gt_api_entry_hosts },
+  { "POST", EL_STR ("/v1/sessions"), 1, ROLE_ANY, gt_api_session_open },
+  { "DELETE", EL_STR ("/v1/sessions/"), 0, ROLE_ANY, gt_api_session_close },
+  { NULL, EL_STR ("/services/"), 0, ROLE_ANY, gt_api_call },
+  { "GET", EL_STR ("/admin/v1/dump"), 1, ROLE_OPERATOR, gt_api_dump },
+  { "GET", EL_STR ("/metrics"), 1, ROLE_ANY, gt_api_metrics },
+  { "GET", EL_STR ("/admin/v1/blocked"), 1, ROLE_OPERATOR, gt_api_blocked },
+  { "DELETE", EL_STR ("/admin/v1/blocked/"), 0, ROLE_OPERATOR,
+    gt_api_unblock },
+  { NULL, EL_STR ("/admin/v1/"), 0, ROLE_OPERATOR, gt_api_resources },
 };
 
-/** Answer an error of the caller's: this arrival has run nothing. One that
-    names a session may repeat an earlier arrival, which the door knows nothing
-    of. */
+/** Rejects a request before it reaches the ledger or the router: this arrival
+    has run nothing. In a session it may repeat an earlier arrival, which is
+    not known at this point, so the verdict is that it may have run. */
 void
-gt_door_error (gt_gate_t *gate, h2o_req_t *req, int status, const char *code,
-               const char *message)
+gt_api_error (gt_gate_t *gate, h2o_req_t *req, int status, const char *code,
+              const char *message)
 {
   gt_refusal_t refusal = {
     .status = status, .verdict = EL_NOT_RUN, .code = code, .message = message
@@ -71,7 +73,7 @@
   gt_caller_refuse (req, &refusal);
 }
 
-/** Answer with JSON; takes over the reference. */
+/** Answers with JSON. Takes over the reference to JSON. */
 void
 gt_door_json (h2o_req_t *req, int status, json_t *json)
 {
@@ -83,7 +85,7 @@
 }
 
 static el_str_t
-bearer (const h2o_req_t *req)
+bearer_key (const h2o_req_t *req)
 {
   el_str_t value = net_req_header (req, "authorization");
 
@@ -103,81 +105,81 @@
     snprintf (out + 2 * i, 3, "%02x", hash[i]);
 }
 
-/* The customer of a session's token, which stands for the key: clients do not
-   send the key on to another host that they are pointed to. */
+/* Authenticates by session token. The token replaces the API key, because
+   clients do not send the authorization header to another host that they are
+   redirected to. */
 static int
-token_customer (gt_gate_t *gate, h2o_req_t *req, gt_ask_t *ask)
+authenticate_token (gt_gate_t *gate, h2o_req_t *req, gt_request_t *request)
 {
   el_str_t text = net_req_header (req, "x-elmarch-session");
   el_err_t err;
 
-  if (co_token_read (text, gate->options.cluster_key, &ask->token, &err))
+  if (co_token_read (text, gate->options.cluster_key, &request->token, &err))
     {
-      gt_door_error (gate, req, 400, "bad-session", err.msg);
+      gt_api_error (gate, req, 400, "bad-session", err.msg);
       return 0;
     }
-  if (ask->customer.len && !el_str_eq (ask->customer, ask->token.customer))
+  if (request->customer.len
+      && !el_str_eq (request->customer, request->token.customer))
     {
-      gt_door_error (gate, req, 403, "foreign-session",
-                     "the session is another customer's");
+      gt_api_error (gate, req, 403, "foreign-session",
+                    "the session is another customer's");
       return 0;
     }
-  ask->customer = ask->token.customer;
-  if (!co_config_get (gate->config, CO_CUSTOMER, ask->customer))
+  request->customer = request->token.customer;
+  if (!co_config_get (gate->config, CO_CUSTOMER, request->customer))
     {
-      gt_door_error (gate, req, 401, "unknown-customer",
-                     "the session's customer is no longer known");
+      gt_api_error (gate, req, 401, "unknown-customer",
+                    "the session's customer is no longer known");
       return 0;
     }
   if (!el_str_to_u64 (net_req_header (req, "x-elmarch-sequence"),
-                      &ask->sequence)
-      || ask->sequence == 0)
+                      &request->sequence)
+      || request->sequence == 0)
     {
-      gt_door_error (gate, req, 400, "bad-sequence",
-                     "x-elmarch-sequence: takes a whole number from 1");
+      gt_api_error (gate, req, 400, "bad-sequence",
+                    "x-elmarch-sequence: takes a whole number from 1");
       return 0;
     }
-  ask->in_session = 1;
+  request->in_session = 1;
   return 1;
 }
 
-/** Find out who asks: the customer of the key or of the session's token. Gives
-    0 after an answer that tells what is wrong; nothing is run for one who is
-    not known. */
+/** Authenticates the customer by API key or session token. Returns 0 after
+    replying with an error; nothing runs for an unknown customer. */
 int
-gt_door_customer (gt_gate_t *gate, h2o_req_t *req, gt_ask_t *ask)
+gt_api_authenticate (gt_gate_t *gate, h2o_req_t *req, gt_request_t *request)
 {
   char hash[2 * SHA256_BYTES + 1];
-  el_str_t key = bearer (req);
+  el_str_t key = bearer_key (req);
 
   if (!pr_config_ready (gate->sync))
     {
-      gt_door_error (gate, req, 503, "starting",
-                     "this host has no configuration yet; use another");
+      gt_api_error (gate, req, 503, "starting",
+                    "this host has no configuration yet; use another");
       return 0;
     }
   if (key.len)
     {
       sha256_hex (key, hash);
-      rt_router_authenticate (gate->router, el_str (hash), &ask->customer);
+      rt_router_authenticate (gate->router, el_str (hash), &request->customer);
     }
-  if (!ask->customer.len
+  if (!request->customer.len
       && (key.len || !net_req_header (req, "x-elmarch-session").len))
     {
-      gt_door_error (gate, req, 401, "unknown-customer",
-                     "authorization: takes Bearer and a customer's key");
+      gt_api_error (gate, req, 401, "unknown-customer",
+                    "authorization: takes Bearer and a customer's key");
       return 0;
     }
   if (net_req_header (req, "x-elmarch-session").len
       || net_req_header (req, "x-elmarch-sequence").len)
-    return token_customer (gate, req, ask);
+    return authenticate_token (gate, req, request);
   return 1;
 }
 
-/** When the request's time is over. Gives 0 after an answer that tells what
-    is wrong. */
+/** Reads the request's deadline. Returns 0 after replying with an error. */
 int
-gt_door_deadline (gt_gate_t *gate, h2o_req_t *req, el_time_t *deadline)
+gt_api_deadline (gt_gate_t *gate, h2o_req_t *req, el_time_t *deadline)
 {
   el_str_t text = net_req_header (req, "x-elmarch-deadline-ms");
   uint64_t ms;
@@ -187,8 +189,8 @@
     return 1;
   if (!el_str_to_u64 (text, &ms) || ms == 0 || ms > DEADLINE_MAX_MS)
     {
-      gt_door_error (gate, req, 400, "bad-deadline",
-                     "x-elmarch-deadline-ms: takes 1 to 3600000");
+      gt_api_error (gate, req, 400, "bad-deadline",
+                    "x-elmarch-deadline-ms: takes 1 to 3600000");
       return 0;
     }
   *deadline = net_clock_now (&gate->clock) + ms * EL_MSEC;
@@ -196,47 +198,50 @@
 }
 
 static int
-operator_proved (const gt_gate_t *gate, const h2o_req_t *req)
+operator_authenticated (const gt_gate_t *gate, const h2o_req_t *req)
 {
-  el_str_t key = bearer (req);
-  el_str_t want = gate->options.operator_key;
+  el_str_t key = bearer_key (req);
+  el_str_t expected = gate->options.operator_key;
 
-  return key.len == want.len
-         && CRYPTO_memcmp (key.ptr, want.ptr, want.len) == 0;
+  return key.len == expected.len
+         && CRYPTO_memcmp (key.ptr, expected.ptr, expected.len) == 0;
 }
 
-/** Serve one request. */
+/** Dispatches one request to its handler. */
 void
-gt_door_handle (void *arg, h2o_req_t *req)
+gt_api_handle (void *arg, h2o_req_t *req)
 {
   gt_gate_t *gate = arg;
   el_str_t method = net_req_method (req);
   el_str_t path = net_req_path (req);
-  int found = 0;
+  int path_found = 0;
   size_t i;
 
   gate->counts.http_requests++;
-  for (i = 0; i < sizeof doors / sizeof *doors; i++)
+  for (i = 0; i < sizeof handlers / sizeof *handlers; i++)
     {
-      if (!el_str_starts (path, doors[i].prefix)
-          || (doors[i].exact && path.len != doors[i].prefix.len))
+      if (!el_str_starts (path, handlers[i].prefix)
+          || (handlers[i].exact && path.len != handlers[i].prefix.len))
         continue;
-      found = 1;
-      if (doors[i].method && !el_str_eq (method, el_str (doors[i].method)))
+      path_found = 1;
+      if (handlers[i].method
+          && !el_str_eq (method, el_str (handlers[i].method)))
         continue;
-      if (doors[i].who == WHO_OPERATOR && !operator_proved (gate, req))
+      if (handlers[i].role == ROLE_OPERATOR
+          && !operator_authenticated (gate, req))
         {
-          gt_door_error (gate, req, 401, "not-an-operator",
-                         "authorization: takes Bearer and the operators' "
-                         "key");
+          gt_api_error (gate, req, 401, "not-an-operator",
+                        "authorization: takes Bearer and the operators' "
+                        "key");
           return;
         }
-      doors[i].serve (gate, req, el_str_after (path, doors[i].prefix.len));
+      handlers[i].serve (gate, req,
+                         el_str_after (path, handlers[i].prefix.len));
       return;
     }
-  if (found)
-    gt_door_error (gate, req, 405, "bad-method",
-                   "this address does not take the method");
+  if (path_found)
+    gt_api_error (gate, req, 405, "bad-method",
+                  "this address does not take the method");
   else
-    gt_door_error (gate, req, 404, "not-found", "no such address");
+    gt_api_error (gate, req, 404, "not-found", "no such address");
 }
--- a/gate/door_call.c
+++ b/gate/door_call.c
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Calls to plain services: /services/NAME/PATH, with method, headers and body
- * handed through.
+ * Calls to services: /services/NAME/PATH. Method, headers and body are passed
+ * on to the endpoint.
  */
 #include <string.h>
 
@@ -12,12 +12,12 @@
 
 #define HEADERS_MAX 64
 
-/* A call that its session's home answers. */
-typedef struct call_wait
+/* A call forwarded to the host that has its session. */
+typedef struct forwarded_call
 {
-  gt_hold_t *hold;
+  gt_hold_t *deferred;
   gt_gate_t *gate;
-} call_wait_t;
+} forwarded_call_t;
 
 static const el_str_t safe_methods[] = { EL_STR ("GET"), EL_STR ("HEAD") };
 
@@ -32,9 +32,10 @@
   return 0;
 }
 
-/* Headers for the endpoint, in the request's pool. */
+/* Collects the headers for the endpoint, allocated in the pool of REQ. Returns
+   0 if there are too many. */
 static int
-call_headers (h2o_req_t *req, gt_ask_t *ask)
+call_headers (h2o_req_t *req, gt_request_t *request)
 {
   net_header_t *list
       = h2o_mem_alloc_pool (&req->pool, (HEADERS_MAX + 1) * sizeof *list);
@@ -53,39 +54,42 @@
       list[n].name = name;
       list[n++].value = (el_str_t){ header->value.base, header->value.len };
     }
-  list[n++] = (net_header_t){ EL_STR ("x-elmarch-customer"), ask->customer };
-  ask->headers = list;
-  ask->nheaders = n;
+  list[n++]
+      = (net_header_t){ EL_STR ("x-elmarch-customer"), request->customer };
+  request->headers = list;
+  request->nheaders = n;
   return 1;
 }
 
 static uint64_t
-call_digest (const gt_ask_t *ask)
+call_digest (const gt_request_t *request)
 {
-  return el_str_hash (ask->target) ^ el_str_hash (ask->path)
-         ^ (el_str_hash (ask->method) << 1) ^ (el_str_hash (ask->body) << 2);
+  return el_str_hash (request->target) ^ el_str_hash (request->path)
+         ^ (el_str_hash (request->method) << 1)
+         ^ (el_str_hash (request->body) << 2);
 }
 
-/* The target, and the path as the endpoint gets it, with the query. */
+/* Splits the service name from the path that is sent to the endpoint, which
+   includes the query. Returns 0 if the name is invalid. */
 static int
-call_target (h2o_req_t *req, el_str_t rest, gt_ask_t *ask)
+call_parse_target (h2o_req_t *req, el_str_t rest, gt_request_t *request)
 {
   size_t skip;
 
-  ask->target = el_str_cut (&rest, '/');
-  skip = (size_t)(ask->target.ptr + ask->target.len - req->path.base);
-  ask->path = (el_str_t){ req->path.base + skip, req->path.len - skip };
-  if (ask->path.len == 0 || ask->path.ptr[0] != '/')
-    ask->path = EL_STR ("/");
-  return co_name_valid (ask->target);
+  request->target = el_str_cut (&rest, '/');
+  skip = (size_t)(request->target.ptr + request->target.len - req->path.base);
+  request->path = (el_str_t){ req->path.base + skip, req->path.len - skip };
+  if (request->path.len == 0 || request->path.ptr[0] != '/')
+    request->path = EL_STR ("/");
+  return co_name_valid (request->target);
 }
 
 static void
 call_forwarded (void *arg, const pr_called_t *forwarded)
 {
-  call_wait_t *wait = arg;
-  gt_gate_t *gate = wait->gate;
-  h2o_req_t *req = gt_hold_release (wait->hold);
+  forwarded_call_t *call = arg;
+  gt_gate_t *gate = call->gate;
+  h2o_req_t *req = gt_hold_release (call->deferred);
   gt_refusal_t refusal
       = { .status = 409,
           .verdict = EL_MAY_HAVE_RUN,
@@ -95,7 +99,7 @@
             "there" };
   size_t i;
 
-  free (wait);
+  free (call);
   if (!forwarded->answered)
     gate->counts.home_gone++;
   if (!req)
@@ -113,57 +117,59 @@
 }
 
 static void
-call_forward (gt_gate_t *gate, h2o_req_t *req, const gt_ask_t *ask)
+call_forward (gt_gate_t *gate, h2o_req_t *req, const gt_request_t *request)
 {
-  call_wait_t *wait = el_alloc (sizeof *wait);
+  forwarded_call_t *call = el_alloc (sizeof *call);
 
   gate->counts.forwarded++;
-  wait->gate = gate;
-  wait->hold = gt_hold_new (req);
-  gt_session_forward (gate, ask, call_forwarded, wait);
+  call->gate = gate;
+  call->deferred = gt_hold_new (req);
+  gt_session_forward (gate, request, call_forwarded, call);
 }
 
-/** Serve a call. */
+/** Serves /services/NAME/PATH. */
 void
-gt_door_call (gt_gate_t *gate, h2o_req_t *req, el_str_t rest)
+gt_api_call (gt_gate_t *gate, h2o_req_t *req, el_str_t rest)
 {
-  gt_ask_t ask = { .work = RT_CALL };
+  gt_request_t request = { .type = RT_CALL };
   const co_service_t *service;
-  gt_refusal_t refusal = { .go = 0 };
+  gt_refusal_t refusal = { .redirect = 0 };
   gt_answer_t *answer;
 
-  if (!gt_door_customer (gate, req, &ask)
-      || !gt_door_deadline (gate, req, &ask.deadline))
+  if (!gt_api_authenticate (gate, req, &request)
+      || !gt_api_deadline (gate, req, &request.deadline))
     return;
-  if (!call_target (req, rest, &ask)
-      || !(service = rt_router_service (gate->router, ask.target)))
+  if (!call_parse_target (req, rest, &request)
+      || !(service = rt_router_service (gate->router, request.target)))
     {
-      gt_door_error (gate, req, 404, "not-found", "no such service");
+      gt_api_error (gate, req, 404, "not-found", "no such service");
       return;
     }
-  ask.method = net_req_method (req);
-  ask.body = net_req_body (req);
-  ask.repeatable = (service->repeatable || method_is_safe (ask.method))
-                   && !el_str_eq (net_req_header (req, "x-elmarch-repeatable"),
-                                  EL_STR ("no"));
-  if (!call_headers (req, &ask))
+  request.method = net_req_method (req);
+  request.body = net_req_body (req);
+  request.repeatable
+      = (service->repeatable || method_is_safe (request.method))
+        && !el_str_eq (net_req_header (req, "x-elmarch-repeatable"),
+                       EL_STR ("no"));
+  if (!call_headers (req, &request))
     {
-      gt_door_error (gate, req, 400, "too-many-headers",
-                     "at most 64 headers are handed on");
+      gt_api_error (gate, req, 400, "too-many-headers",
+                    "at most 64 headers are handed on");
       return;
     }
-  ask.digest = call_digest (&ask);
-  if (ask.in_session && pr_peers_where (gate->peers, &ask.token, &ask.where))
+  request.digest = call_digest (&request);
+  if (request.in_session
+      && pr_peers_where (gate->peers, &request.token, &request.owner))
     {
-      call_forward (gate, req, &ask);
+      call_forward (gate, req, &request);
       return;
     }
-  answer = gt_flow_ask (gate, &ask, &refusal);
-  ask.where = refusal.where;
+  answer = gt_request_submit (gate, &request, &refusal);
+  request.owner = refusal.owner;
   if (answer)
     gt_caller_serve (gate, req, answer, 0, 0);
-  else if (refusal.go)
-    call_forward (gate, req, &ask);
+  else if (refusal.redirect)
+    call_forward (gate, req, &request);
   else
     gt_caller_refuse (req, &refusal);
 }
--- a/gate/door_chat.c
+++ b/gate/door_chat.c
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * POST /v1/chat/completions: from JSON to a typed request, by a table of the
- * fields that it takes.
+ * POST /v1/chat/completions: validates the JSON body against a table of
+ * fields and runs the chat.
  */
 #include <stdio.h>
 #include <string.h>
@@ -12,7 +12,7 @@
 #include "libgate.h"
 
 #define MESSAGES_MAX 1024
-#define RESUME_MAX 131072
+#define RESUME_TOKENS_MAX 131072
 
 typedef enum chat_type
 {
@@ -25,12 +25,12 @@
   CHAT_ANY
 } chat_type_t;
 
-/* Fields marked as parameters are handed on to the engines as they are. */
+/* Fields with is_param set are passed on to the engines unchanged. */
 static const struct
 {
   const char *name;
   chat_type_t type;
-  int parameter;
+  int is_param;
 } fields[] = {
   { "model", CHAT_STRING, 0 },
   { "messages", CHAT_MESSAGES, 0 },
@@ -48,7 +48,7 @@
   { "response_format", CHAT_ANY, 1 },
 };
 
-static const char *const type_texts[] = {
+static const char *const type_descriptions[] = {
   [CHAT_STRING] = "a string",
   [CHAT_BOOL] = "true or false",
   [CHAT_COUNT] = "a whole number from 1",
@@ -58,13 +58,14 @@
   [CHAT_ANY] = "any value",
 };
 
-/* A request that waits for news of its session's home. */
-typedef struct chat_wait
+/* A request that waits until its session's home has been asked whether it is
+   alive. */
+typedef struct home_query
 {
   gt_gate_t *gate;
-  gt_hold_t *hold;
-  gt_ask_t ask;
-} chat_wait_t;
+  gt_hold_t *deferred;
+  gt_request_t request;
+} home_query_t;
 
 static int
 messages_valid (const json_t *messages)
@@ -91,7 +92,7 @@
   size_t n = json_array_size (tokens);
   size_t i;
 
-  if (!json_is_array (tokens) || n > RESUME_MAX)
+  if (!json_is_array (tokens) || n > RESUME_TOKENS_MAX)
     return 0;
   for (i = 0; i < n; i++)
     if (!json_is_integer (json_array_get (tokens, i))
@@ -123,8 +124,8 @@
   return 0;
 }
 
-/* Whether all fields are known and of their type; MESSAGE tells of the first
-   that is not. Parameters are collected in PARAMS. */
+/* Whether all fields are known and have the right type; otherwise MESSAGE
+   describes the first invalid one. Collects the parameters in PARAMS. */
 static int
 chat_validate (json_t *json, json_t *params, char *message, size_t size)
 {
@@ -145,10 +146,10 @@
     if (!field_valid (fields[i].type, value))
       {
         snprintf (message, size, "%s: takes %s", name,
-                  type_texts[fields[i].type]);
+                  type_descriptions[fields[i].type]);
         return 0;
       }
-    if (fields[i].parameter)
+    if (fields[i].is_param)
       json_object_set (params, name, value);
   }
   if (!json_object_get (json, "model") || !json_object_get (json, "messages"))
@@ -168,7 +169,7 @@
 }
 
 static void
-chat_resume (h2o_req_t *req, const json_t *tokens, gt_ask_t *ask)
+chat_resume (h2o_req_t *req, const json_t *tokens, gt_request_t *request)
 {
   size_t n = json_array_size (tokens);
   uint64_t *list;
@@ -179,13 +180,14 @@
   list = h2o_mem_alloc_pool (&req->pool, n * sizeof *list);
   for (i = 0; i < n; i++)
     list[i] = (uint64_t)json_integer_value (json_array_get (tokens, i));
-  ask->resume = list;
-  ask->nresume = n;
+  request->resume = list;
+  request->nresume = n;
 }
 
-/* What the ask keeps lives in the request's pool. */
+/* Fills REQUEST; its strings are allocated in the pool of REQ. */
 static void
-chat_fill (h2o_req_t *req, json_t *json, json_t *params, gt_ask_t *ask)
+request_fill (h2o_req_t *req, json_t *json, json_t *params,
+              gt_request_t *request)
 {
   json_t *count = json_object_get (json, "max_completion_tokens");
   json_t *model = json_object_get (json, "model");
@@ -196,21 +198,21 @@
 
   if (!count)
     count = json_object_get (json, "max_tokens");
-  ask->work = RT_CHAT;
-  ask->target = pool_str (req, (el_str_t){ json_string_value (model),
-                                           json_string_length (model) });
-  ask->prompt = pool_str (req, el_str (text));
-  ask->max_tokens = (uint64_t)json_integer_value (count);
-  ask->stream = json_is_true (json_object_get (json, "stream"));
-  chat_resume (req, json_object_get (json, "resume_tokens"), ask);
-  ask->digest = el_str_hash (ask->prompt) ^ el_str_hash (ask->target)
-                ^ ask->max_tokens;
+  request->type = RT_CHAT;
+  request->target = pool_str (req, (el_str_t){ json_string_value (model),
+                                               json_string_length (model) });
+  request->prompt = pool_str (req, el_str (text));
+  request->max_tokens = (uint64_t)json_integer_value (count);
+  request->stream = json_is_true (json_object_get (json, "stream"));
+  chat_resume (req, json_object_get (json, "resume_tokens"), request);
+  request->digest = el_str_hash (request->prompt)
+                    ^ el_str_hash (request->target) ^ request->max_tokens;
   free (text);
   json_decref (prompt);
 }
 
 static int
-chat_read (gt_gate_t *gate, h2o_req_t *req, gt_ask_t *ask)
+chat_parse (gt_gate_t *gate, h2o_req_t *req, gt_request_t *request)
 {
   el_str_t body = net_req_body (req);
   char message[EL_ERR_MAX] = "";
@@ -225,16 +227,16 @@
     {
       snprintf (message, sizeof message, "body: takes a JSON object: %.160s",
                 json ? "got another type" : error.text);
-      gt_door_error (gate, req, 400, "bad-json", message);
+      gt_api_error (gate, req, 400, "bad-json", message);
       json_decref (json);
       return 0;
     }
   params = json_object ();
   valid = chat_validate (json, params, message, sizeof message);
   if (valid)
-    chat_fill (req, json, params, ask);
+    request_fill (req, json, params, request);
   else
-    gt_door_error (gate, req, 400, "bad-field", message);
+    gt_api_error (gate, req, 400, "bad-field", message);
   json_decref (params);
   json_decref (json);
   return valid;
@@ -255,28 +257,29 @@
 }
 
 static void
-chat_run (gt_gate_t *gate, h2o_req_t *req, const gt_ask_t *ask)
+chat_run (gt_gate_t *gate, h2o_req_t *req, const gt_request_t *request)
 {
   gt_refusal_t refusal;
-  gt_answer_t *answer = gt_flow_ask (gate, ask, &refusal);
+  gt_answer_t *answer = gt_request_submit (gate, request, &refusal);
 
   if (answer)
-    gt_caller_serve (gate, req, answer, ask->stream, ask->nresume);
-  else if (refusal.go)
-    chat_redirect (req, refusal.where.http);
+    gt_caller_serve (gate, req, answer, request->stream, request->nresume);
+  else if (refusal.redirect)
+    chat_redirect (req, refusal.owner.http);
   else
     gt_caller_refuse (req, &refusal);
 }
 
-/* The home was asked. A live one streams its own answer to the caller. When
-   it can't be had, a request that may be repeated is taken up here from the
-   tokens that the caller has; any other may have run there. */
+/* The session's home was asked. If it is alive, the caller is redirected to
+   it. Otherwise a repeatable request runs here without the session, resuming
+   after the tokens that the caller has; any other may have run there and is
+   refused. */
 static void
-chat_home (void *arg, pr_home_t state)
+home_answered (void *arg, pr_home_t state)
 {
-  chat_wait_t *wait = arg;
-  gt_gate_t *gate = wait->gate;
-  h2o_req_t *req = gt_hold_release (wait->hold);
+  home_query_t *query = arg;
+  gt_gate_t *gate = query->gate;
+  h2o_req_t *req = gt_hold_release (query->deferred);
   gt_refusal_t refusal
       = { .status = 409,
           .verdict = EL_MAY_HAVE_RUN,
@@ -288,47 +291,48 @@
   if (req && state == PR_HOME_LIVE)
     {
       gate->counts.forwarded++;
-      chat_redirect (req, wait->ask.where.http);
+      chat_redirect (req, query->request.owner.http);
     }
-  else if (req && wait->ask.repeatable)
+  else if (req && query->request.repeatable)
     {
       gate->counts.home_gone++;
-      wait->ask.in_session = 0;
+      query->request.in_session = 0;
       net_req_add_header (req, EL_STR ("x-elmarch-session-lost"),
                           EL_STR ("1"));
-      chat_run (gate, req, &wait->ask);
+      chat_run (gate, req, &query->request);
     }
   else if (req)
     {
       gate->counts.home_gone++;
       gt_caller_refuse (req, &refusal);
     }
-  free (wait);
+  free (query);
 }
 
-/** Serve a chat. */
+/** Serves POST /v1/chat/completions. */
 void
-gt_door_chat (gt_gate_t *gate, h2o_req_t *req, el_str_t rest)
+gt_api_chat (gt_gate_t *gate, h2o_req_t *req, el_str_t rest)
 {
-  gt_ask_t ask = { 0 };
+  gt_request_t request = { 0 };
 
   (void)rest;
-  if (!gt_door_customer (gate, req, &ask)
-      || !gt_door_deadline (gate, req, &ask.deadline)
-      || !chat_read (gate, req, &ask))
+  if (!gt_api_authenticate (gate, req, &request)
+      || !gt_api_deadline (gate, req, &request.deadline)
+      || !chat_parse (gate, req, &request))
     return;
-  ask.repeatable = !el_str_eq (net_req_header (req, "x-elmarch-repeatable"),
-                               EL_STR ("no"));
-  if (ask.in_session && pr_peers_where (gate->peers, &ask.token, &ask.where))
+  request.repeatable = !el_str_eq (
+      net_req_header (req, "x-elmarch-repeatable"), EL_STR ("no"));
+  if (request.in_session
+      && pr_peers_where (gate->peers, &request.token, &request.owner))
     {
-      chat_wait_t *wait = el_alloc (sizeof *wait);
+      home_query_t *query = el_alloc (sizeof *query);
 
-      wait->gate = gate;
-      wait->hold = gt_hold_new (req);
-      ask.where.http = pool_str (req, ask.where.http);
-      wait->ask = ask;
-      pr_peers_ask_home (gate->peers, &ask.where, chat_home, wait);
+      query->gate = gate;
+      query->deferred = gt_hold_new (req);
+      request.owner.http = pool_str (req, request.owner.http);
+      query->request = request;
+      pr_peers_ask_home (gate->peers, &request.owner, home_answered, query);
       return;
     }
-  chat_run (gate, req, &ask);
+  chat_run (gate, req, &request);
 }
--- a/gate/door_oper.c
+++ b/gate/door_oper.c
@@ -3,7 +3,8 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * The operators' resources, the state dump, and metrics.
+ * HTTP API for operators: configuration resources, state dump, blocked
+ * requests, and metrics.
  */
 #include <inttypes.h>
 #include <stdio.h>
@@ -13,35 +14,35 @@
 
 #define CHANGE_ID_DIGITS 16
 
-typedef struct oper_put
+typedef struct change_op
 {
   gt_gate_t *gate;
-  gt_hold_t *hold;
+  gt_hold_t *deferred;
   co_kind_t kind;
   char name[CO_NAME_MAX + 1];
   char id[CO_NAME_MAX + 1];
   json_t *spec;
-} oper_put_t;
+} change_op_t;
 
-typedef void (*oper_fn) (gt_gate_t *gate, h2o_req_t *req, co_kind_t kind,
-                         el_str_t name);
+typedef void (*admin_fn) (gt_gate_t *gate, h2o_req_t *req, co_kind_t kind,
+                          el_str_t name);
 
-static void oper_get (gt_gate_t *, h2o_req_t *, co_kind_t, el_str_t);
-static void oper_put (gt_gate_t *, h2o_req_t *, co_kind_t, el_str_t);
-static void oper_delete (gt_gate_t *, h2o_req_t *, co_kind_t, el_str_t);
+static void admin_get (gt_gate_t *, h2o_req_t *, co_kind_t, el_str_t);
+static void admin_put (gt_gate_t *, h2o_req_t *, co_kind_t, el_str_t);
+static void admin_delete (gt_gate_t *, h2o_req_t *, co_kind_t, el_str_t);
 
 static const struct
 {
   const char *method;
-  oper_fn serve;
+  admin_fn serve;
 } methods[] = {
-  { "GET", oper_get },
-  { "PUT", oper_put },
-  { "DELETE", oper_delete },
+  { "GET", admin_get },
+  { "PUT", admin_put },
+  { "DELETE", admin_delete },
 };
 
-/* The answer to each outcome of a change. */
-static const gt_refusal_t put_refusals[] = {
+/* The error reply for each outcome of a change. */
+static const gt_refusal_t change_refusals[] = {
   [GT_PUT_CONFLICT] = { .status = 409,
                         .verdict = EL_NOT_RUN,
                         .code = "conflict",
@@ -91,7 +92,7 @@
 }
 
 static void
-oper_get (gt_gate_t *gate, h2o_req_t *req, co_kind_t kind, el_str_t name)
+admin_get (gt_gate_t *gate, h2o_req_t *req, co_kind_t kind, el_str_t name)
 {
   const co_resource_t *res;
   list_arg_t list = { gate, kind, NULL };
@@ -109,20 +110,20 @@
   if (res)
     gt_door_json (req, 200, resource_json (gate, res));
   else
-    gt_door_error (gate, req, 404, "not-found", "no such resource");
+    gt_api_error (gate, req, 404, "not-found", "no such resource");
 }
 
 static void
-put_done (void *arg, gt_put_t outcome, uint64_t revision)
+change_done (void *arg, gt_put_t outcome, uint64_t revision)
 {
-  oper_put_t *put = arg;
-  gt_gate_t *gate = put->gate;
-  h2o_req_t *req = gt_hold_release (put->hold);
+  change_op_t *op = arg;
+  gt_gate_t *gate = op->gate;
+  h2o_req_t *req = gt_hold_release (op->deferred);
   const co_resource_t *res
-      = co_config_get (gate->config, put->kind, el_str (put->name));
+      = co_config_get (gate->config, op->kind, el_str (op->name));
 
-  EL_LOG (EL_LOG_INFO, "change", EL_FC ("kind", co_kind_name (put->kind)),
-          EL_FC ("name", put->name), EL_FC ("id", put->id),
+  EL_LOG (EL_LOG_INFO, "change", EL_FC ("kind", co_kind_name (op->kind)),
+          EL_FC ("name", op->name), EL_FC ("id", op->id),
           EL_FN ("outcome", outcome), EL_FN ("revision", revision));
   if (req && outcome != GT_PUT_ACCEPTED)
     {
@@ -137,48 +138,49 @@
           json_decref (json);
         }
       net_req_add_header (req, EL_STR ("x-elmarch-change-id"),
-                          el_str (put->id));
-      gt_caller_refuse (req, &put_refusals[outcome]);
+                          el_str (op->id));
+      gt_caller_refuse (req, &change_refusals[outcome]);
     }
   else if (req)
     {
       json_t *json
-          = json_pack ("{s:s,s:s,s:I,s:s}", "kind", co_kind_name (put->kind),
-                       "name", put->name, "resourceVersion",
-                       (json_int_t)revision, "changeId", put->id);
+          = json_pack ("{s:s,s:s,s:I,s:s}", "kind", co_kind_name (op->kind),
+                       "name", op->name, "resourceVersion",
+                       (json_int_t)revision, "changeId", op->id);
 
-      if (put->spec)
-        json_object_set (json, "spec", put->spec);
+      if (op->spec)
+        json_object_set (json, "spec", op->spec);
       gt_door_json (req, 200, json);
     }
-  json_decref (put->spec);
-  free (put);
+  json_decref (op->spec);
+  free (op);
 }
 
-/* Send a change to the platform. SPEC, NULL for a removal, is taken over. */
+/* Sends a change to the platform. Takes over the reference to SPEC; NULL
+   deletes the resource. */
 static void
-oper_change (gt_gate_t *gate, h2o_req_t *req, co_kind_t kind, el_str_t name,
-             json_t *spec, el_str_t id, uint64_t expected)
+admin_change (gt_gate_t *gate, h2o_req_t *req, co_kind_t kind, el_str_t name,
+              json_t *spec, el_str_t id, uint64_t expected)
 {
-  oper_put_t *put = el_alloc (sizeof *put);
+  change_op_t *op = el_alloc (sizeof *op);
   gt_change_t change = { .kind = kind, .spec = spec, .expected = expected };
 
-  put->gate = gate;
-  put->kind = kind;
-  put->spec = spec;
-  snprintf (put->name, sizeof put->name, "%.*s", (int)name.len, name.ptr);
+  op->gate = gate;
+  op->kind = kind;
+  op->spec = spec;
+  snprintf (op->name, sizeof op->name, "%.*s", (int)name.len, name.ptr);
   if (id.len)
-    snprintf (put->id, sizeof put->id, "%.*s", (int)id.len, id.ptr);
+    snprintf (op->id, sizeof op->id, "%.*s", (int)id.len, id.ptr);
   else
-    snprintf (put->id, sizeof put->id, "%.*s-%" PRIu64, CHANGE_ID_DIGITS,
-              gate->incarnation_hex, gate->next_change++);
-  put->hold = gt_hold_new (req);
-  change.name = el_str (put->name);
-  change.id = el_str (put->id);
-  gt_platform_put (gate->platform, &change, put_done, put);
+    snprintf (op->id, sizeof op->id, "%.*s-%" PRIu64, CHANGE_ID_DIGITS,
+              gate->incarnation_hex, gate->next_change_id++);
+  op->deferred = gt_hold_new (req);
+  change.name = el_str (op->name);
+  change.id = el_str (op->id);
+  gt_platform_put (gate->platform, &change, change_done, op);
 }
 
-/* The revision that a change without one of its own replaces. */
+/* The revision that a change replaces if its request names none. */
 static uint64_t
 revision_in_force (const gt_gate_t *gate, co_kind_t kind, el_str_t name)
 {
@@ -188,7 +190,7 @@
 }
 
 static void
-oper_put (gt_gate_t *gate, h2o_req_t *req, co_kind_t kind, el_str_t name)
+admin_put (gt_gate_t *gate, h2o_req_t *req, co_kind_t kind, el_str_t name)
 {
   el_str_t body = net_req_body (req);
   json_t *json = json_loadb (body.ptr ? body.ptr : "", body.len,
@@ -205,29 +207,29 @@
                       &spec, "resourceVersion", &expected, "changeId", &id,
                       &id_len))
     {
-      gt_door_error (gate, req, 400, "bad-json", error.text);
+      gt_api_error (gate, req, 400, "bad-json", error.text);
       json_decref (json);
       return;
     }
   res = co_resource_parse (kind, name, spec, 0, &err);
   if (!res || (id_len && !co_name_valid ((el_str_t){ id, id_len })))
     {
-      gt_door_error (gate, req, 422, "bad-resource",
-                     res ? "changeId: takes a name" : err.msg);
+      gt_api_error (gate, req, 422, "bad-resource",
+                    res ? "changeId: takes a name" : err.msg);
       co_resource_free (res);
       json_decref (json);
       return;
     }
   co_resource_free (res);
-  oper_change (gate, req, kind, name, json_incref (spec),
-               (el_str_t){ id, id_len },
-               expected >= 0 ? (uint64_t)expected
-                             : revision_in_force (gate, kind, name));
+  admin_change (gate, req, kind, name, json_incref (spec),
+                (el_str_t){ id, id_len },
+                expected >= 0 ? (uint64_t)expected
+                              : revision_in_force (gate, kind, name));
   json_decref (json);
 }
 
 static void
-oper_delete (gt_gate_t *gate, h2o_req_t *req, co_kind_t kind, el_str_t name)
+admin_delete (gt_gate_t *gate, h2o_req_t *req, co_kind_t kind, el_str_t name)
 {
   uint64_t expected = revision_in_force (gate, kind, name);
   el_str_t text;
@@ -235,21 +237,21 @@
   if (net_req_query (req, EL_STR ("resourceVersion"), &text)
       && !el_str_to_u64 (text, &expected))
     {
-      gt_door_error (gate, req, 400, "bad-query",
-                     "resourceVersion: takes a whole number");
+      gt_api_error (gate, req, 400, "bad-query",
+                    "resourceVersion: takes a whole number");
       return;
     }
   if (!expected)
     {
-      gt_door_error (gate, req, 404, "not-found", "no such resource");
+      gt_api_error (gate, req, 404, "not-found", "no such resource");
       return;
     }
-  oper_change (gate, req, kind, name, NULL, (el_str_t){ NULL, 0 }, expected);
+  admin_change (gate, req, kind, name, NULL, (el_str_t){ NULL, 0 }, expected);
 }
 
-/** Serve /admin/v1/KIND and /admin/v1/KIND/NAME. */
+/** Serves /admin/v1/KIND and /admin/v1/KIND/NAME. */
 void
-gt_door_resources (gt_gate_t *gate, h2o_req_t *req, el_str_t rest)
+gt_api_resources (gt_gate_t *gate, h2o_req_t *req, el_str_t rest)
 {
   el_str_t kind_name = el_str_cut (&rest, '/');
   co_kind_t kind;
@@ -257,7 +259,7 @@
 
   if (!co_kind_parse (kind_name, &kind))
     {
-      gt_door_error (gate, req, 404, "not-found", "no such kind");
+      gt_api_error (gate, req, 404, "not-found", "no such kind");
       return;
     }
   for (i = 0; i < sizeof methods / sizeof *methods; i++)
@@ -267,45 +269,46 @@
         methods[i].serve (gate, req, kind, rest);
         return;
       }
-  gt_door_error (gate, req, 405, "bad-method",
-                 "takes GET; PUT and DELETE with a name");
+  gt_api_error (gate, req, 405, "bad-method",
+                "takes GET; PUT and DELETE with a name");
 }
 
 void
-gt_door_dump (gt_gate_t *gate, h2o_req_t *req, el_str_t rest)
+gt_api_dump (gt_gate_t *gate, h2o_req_t *req, el_str_t rest)
 {
   (void)rest;
   gt_door_json (req, 200, gt_gate_dump (gate));
 }
 
-/** The requests that ran where endpoints ended: those that are suspect, and
-    those that are blocked. */
+/** Serves GET /admin/v1/blocked: the requests that ran on endpoints when these
+    ended, suspected or blocked. */
 void
-gt_door_blocked (gt_gate_t *gate, h2o_req_t *req, el_str_t rest)
+gt_api_blocked (gt_gate_t *gate, h2o_req_t *req, el_str_t rest)
 {
   (void)rest;
   gt_door_json (req, 200,
-                gate->talk.suspects ? gate->talk.suspects (gate->talk.arg)
-                                    : json_array ());
+                gate->relay_hooks.suspects
+                    ? gate->relay_hooks.suspects (gate->relay_hooks.arg)
+                    : json_array ());
 }
 
-/** Let a request in again that is blocked. */
+/** Serves DELETE /admin/v1/blocked/DIGEST: unblocks a request. */
 void
-gt_door_unblock (gt_gate_t *gate, h2o_req_t *req, el_str_t rest)
+gt_api_unblock (gt_gate_t *gate, h2o_req_t *req, el_str_t rest)
 {
   rt_digest_t digest;
 
   if (!rt_digest_read (rest, &digest))
-    gt_door_error (gate, req, 400, "bad-digest",
-                   "takes 16 hexadecimal digits");
-  else if (!gate->talk.unblock || !gate->talk.unblock (gate->talk.arg, digest))
-    gt_door_error (gate, req, 404, "not-found", "no such request");
+    gt_api_error (gate, req, 400, "bad-digest", "takes 16 hexadecimal digits");
+  else if (!gate->relay_hooks.unblock
+           || !gate->relay_hooks.unblock (gate->relay_hooks.arg, digest))
+    gt_api_error (gate, req, 404, "not-found", "no such request");
   else
     gt_door_json (req, 200, json_object ());
 }
 
 void
-gt_door_metrics (gt_gate_t *gate, h2o_req_t *req, el_str_t rest)
+gt_api_metrics (gt_gate_t *gate, h2o_req_t *req, el_str_t rest)
 {
   el_buf_t text = { NULL, 0, 0 };
 
--- a/gate/engine.c
+++ b/gate/engine.c
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * The dialect that engines and workers speak: JSON over HTTP. Only this file
- * changes when they speak another.
+ * Protocol of engines and workers: JSON over HTTP. To support another
+ * protocol, only this file needs to change.
  */
 #include <inttypes.h>
 #include <stdio.h>
@@ -13,8 +13,8 @@
 #include "access.h"
 #include "libgate.h"
 
-#define SESSION_MAX 64
-#define SESSION_INC_DIGITS 16
+#define SESSION_NAME_MAX 64
+#define INCARNATION_DIGITS 16
 
 static void engine_write_call (const gt_gate_t *, const rt_action_t *,
                                el_buf_t *);
@@ -23,7 +23,7 @@
 static void engine_read_reply (const gt_gate_t *, const net_result_t *,
                                rt_event_t *, json_t **);
 
-const gt_engine_dialect_t gt_engine_http = {
+const gt_engine_protocol_t gt_engine_http = {
   .call_path = EL_STR ("/v1/stage"),
   .abandon_path = EL_STR ("/v1/abandon"),
   .write_call = engine_write_call,
@@ -31,10 +31,11 @@
   .read_reply = engine_read_reply,
 };
 
-/* The words with which an endpoint says that it did not begin a request. */
+/* Values of the x-refused header, by which an endpoint states that it did not
+   start a request. */
 static const struct
 {
-  const char *word;
+  const char *code;
   rt_failure_t fail;
 } refusals[] = {
   { "leaving", RT_FAIL_LEAVING },
@@ -43,29 +44,30 @@
   { "invalid", RT_FAIL_REFUSED },
 };
 
-static const rt_failure_t net_fails[] = {
+static const rt_failure_t net_failures[] = {
   [NET_CONNECT] = RT_FAIL_CONNECT, [NET_REFUSED] = RT_FAIL_CONNECT,
   [NET_BROKEN] = RT_FAIL_BROKEN,   [NET_TIMEOUT] = RT_FAIL_TIMEOUT,
   [NET_TOO_BIG] = RT_FAIL_BROKEN,  [NET_HELD] = RT_FAIL_BUSY,
 };
 
 rt_failure_t
-gt_net_fail (net_outcome_t net)
+gt_net_failure (net_outcome_t net)
 {
-  return net_fails[net];
+  return net_failures[net];
 }
 
-/** Whether the endpoint says, in a header of its own, that it refused the
-    request before it began, and for how long it wants nothing. */
+/** Whether the endpoint states, in its x-refused header, that it refused the
+    request before it started. Sets EVENT's failure and the rest that the
+    endpoint asks for in retry-after. */
 int
-gt_refused (const net_result_t *result, rt_event_t *event)
+gt_endpoint_refused (const net_result_t *result, rt_event_t *event)
 {
-  el_str_t word = net_result_header (result, "x-refused");
+  el_str_t code = net_result_header (result, "x-refused");
   el_str_t rest = net_result_header (result, "retry-after");
   size_t i;
 
   for (i = 0; i < sizeof refusals / sizeof *refusals; i++)
-    if (el_str_eq (word, el_str (refusals[i].word)))
+    if (el_str_eq (code, el_str (refusals[i].code)))
       {
         event->fail = refusals[i].fail;
         if (rest.len && !el_str_to_time (rest, RT_REST_MOST, &event->rest))
@@ -75,16 +77,18 @@
   return 0;
 }
 
-/* A stream's name at engines: unique over hosts and their incarnations. */
+/* The stream's session name at engines, unique across hosts and their
+   incarnations. */
 static void
-session_name (const gt_gate_t *gate, uint64_t stream, char out[SESSION_MAX])
+session_name (const gt_gate_t *gate, uint64_t stream,
+              char out[SESSION_NAME_MAX])
 {
-  snprintf (out, SESSION_MAX, "%.*s-%" PRIu64, SESSION_INC_DIGITS,
+  snprintf (out, SESSION_NAME_MAX, "%.*s-%" PRIu64, INCARNATION_DIGITS,
             gate->incarnation_hex, stream);
 }
 
 static void
-json_write (json_t *json, el_buf_t *out)
+json_append (json_t *json, el_buf_t *out)
 {
   char *text = json_dumps (json, JSON_COMPACT);
 
@@ -108,7 +112,7 @@
 engine_write_call (const gt_gate_t *gate, const rt_action_t *action,
                    el_buf_t *body)
 {
-  char session[SESSION_MAX];
+  char session[SESSION_NAME_MAX];
   json_t *json;
 
   session_name (gate, action->stream, session);
@@ -128,19 +132,19 @@
   if (action->hidden.len)
     json_object_set_new (
         json, "hidden", json_stringn (action->hidden.ptr, action->hidden.len));
-  json_write (json, body);
+  json_append (json, body);
 }
 
 static void
 engine_write_abandon (const gt_gate_t *gate, const rt_action_t *action,
                       el_buf_t *body)
 {
-  char session[SESSION_MAX];
+  char session[SESSION_NAME_MAX];
 
   session_name (gate, action->stream, session);
-  json_write (json_pack ("{s:s,s:I}", "session", session, "attempt",
-                         (json_int_t)action->call.attempt),
-              body);
+  json_append (json_pack ("{s:s,s:I}", "session", session, "attempt",
+                          (json_int_t)action->call.attempt),
+               body);
 }
 
 static el_str_t
@@ -155,9 +159,10 @@
   return (uint64_t)json_integer_value (json_object_get (object, name));
 }
 
-/* An answer that is no answer to a stage call: it can't be told what ran. */
+/* The response is not a valid answer to a stage call: it is not known whether
+   the call ran. */
 static void
-reply_broken (rt_event_t *event)
+reply_invalid (rt_event_t *event)
 {
   event->kind = RT_EV_FAILED;
   event->verdict = EL_MAY_HAVE_RUN;
@@ -166,23 +171,23 @@
 
 static void
 engine_read_reply (const gt_gate_t *gate, const net_result_t *result,
-                   rt_event_t *event, json_t **keep)
+                   rt_event_t *event, json_t **backing)
 {
-  char session[SESSION_MAX];
+  char session[SESSION_NAME_MAX];
   json_t *json;
   json_t *token;
 
-  if (gt_refused (result, event))
+  if (gt_endpoint_refused (result, event))
     {
       event->kind = RT_EV_FAILED;
       event->verdict = EL_NOT_RUN;
       return;
     }
   json = json_loadb (result->body.ptr, result->body.len, 0, NULL);
-  *keep = json;
+  *backing = json;
   if (result->status != 200 || !json_is_object (json))
     {
-      reply_broken (event);
+      reply_invalid (event);
       return;
     }
   session_name (gate, event->stream, session);
--- a/gate/flow.c
+++ b/gate/flow.c
@@ -3,41 +3,41 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * From a checked request to the router and back: the ledger decides whether
- * it runs, the router's actions become exchanges with endpoints.
+ * Requests in flight: the ledger decides whether a validated request runs,
+ * and the router's actions are carried out as HTTP exchanges with endpoints.
  */
 #include <string.h>
 
 #include "libgate.h"
 
-static void flow_call (gt_gate_t *, gt_flow_t *, const rt_action_t *);
-static void flow_abandon (gt_gate_t *, gt_flow_t *, const rt_action_t *);
-static void flow_token (gt_gate_t *, gt_flow_t *, const rt_action_t *);
-static void flow_end (gt_gate_t *, gt_flow_t *, const rt_action_t *);
-static void chat_send (gt_gate_t *, gt_flow_t *, const rt_action_t *);
-static void call_send (gt_gate_t *, gt_flow_t *, const rt_action_t *);
+static void inflight_call (gt_gate_t *, gt_inflight_t *, const rt_action_t *);
+static void inflight_abandon (gt_gate_t *, gt_inflight_t *,
+                              const rt_action_t *);
+static void inflight_token (gt_gate_t *, gt_inflight_t *, const rt_action_t *);
+static void inflight_end (gt_gate_t *, gt_inflight_t *, const rt_action_t *);
+static void chat_send (gt_gate_t *, gt_inflight_t *, const rt_action_t *);
+static void call_send (gt_gate_t *, gt_inflight_t *, const rt_action_t *);
 static void chat_done (void *arg, const net_result_t *result);
 static void call_done (void *arg, const net_result_t *result);
 
-typedef void (*flow_act_fn) (gt_gate_t *gate, gt_flow_t *flow,
-                             const rt_action_t *action);
+typedef void (*action_fn) (gt_gate_t *gate, gt_inflight_t *inflight,
+                           const rt_action_t *action);
 
-static const flow_act_fn acts[RT_ACTIONS] = {
-  [RT_ACT_CALL] = flow_call,
-  [RT_ACT_ABANDON] = flow_abandon,
-  [RT_ACT_TOKEN] = flow_token,
-  [RT_ACT_END] = flow_end,
+static const action_fn action_handlers[RT_ACTIONS] = {
+  [RT_ACT_CALL] = inflight_call,
+  [RT_ACT_ABANDON] = inflight_abandon,
+  [RT_ACT_TOKEN] = inflight_token,
+  [RT_ACT_END] = inflight_end,
 };
 
-static const flow_act_fn senders[RT_REQUEST_TYPES] = {
+static const action_fn senders[RT_REQUEST_TYPES] = {
   [RT_CHAT] = chat_send,
   [RT_CALL] = call_send,
 };
 
 #define ABANDON_TIMEOUT (2 * EL_SEC)
 
-/* What the ledger's word means for the one who asked, where it does not lead
-   to an answer. */
+/* The reply to the caller for each ledger result that yields no answer. */
 static const gt_refusal_t ledger_refusals[] = {
   [CO_LED_FORGOTTEN] = { .status = 409,
                          .verdict = EL_MAY_HAVE_RUN,
@@ -73,158 +73,163 @@
                                     "former host" },
 };
 
-static gt_flow_t *
-flow_find (gt_gate_t *gate, uint64_t id)
+static gt_inflight_t *
+inflight_find (gt_gate_t *gate, uint64_t id)
 {
-  gt_flow_t *flow;
+  gt_inflight_t *inflight;
 
-  HASH_FIND (hh, gate->flows, &id, sizeof id, flow);
-  return flow;
+  HASH_FIND (hh, gate->inflight, &id, sizeof id, inflight);
+  return inflight;
 }
 
 static void
-flow_keep_call (gt_flow_t *flow, const gt_ask_t *ask)
+inflight_copy_call (gt_inflight_t *inflight, const gt_request_t *request)
 {
   size_t i;
 
-  flow->method = el_str_dup (ask->method);
-  flow->path = el_str_dup (ask->path);
-  flow->body = el_str_dup (ask->body);
-  flow->headers = el_alloc ((ask->nheaders + 1) * sizeof *flow->headers);
-  flow->nheaders = ask->nheaders;
-  for (i = 0; i < ask->nheaders; i++)
+  inflight->method = el_str_dup (request->method);
+  inflight->path = el_str_dup (request->path);
+  inflight->body = el_str_dup (request->body);
+  inflight->headers
+      = el_alloc ((request->nheaders + 1) * sizeof *inflight->headers);
+  inflight->nheaders = request->nheaders;
+  for (i = 0; i < request->nheaders; i++)
     {
-      flow->headers[i].name = el_str_dup (ask->headers[i].name);
-      flow->headers[i].value = el_str_dup (ask->headers[i].value);
+      inflight->headers[i].name = el_str_dup (request->headers[i].name);
+      inflight->headers[i].value = el_str_dup (request->headers[i].value);
     }
 }
 
 void
-gt_flow_free (gt_flow_t *flow)
+gt_inflight_free (gt_inflight_t *inflight)
 {
   size_t i;
 
-  HASH_DEL (flow->gate->flows, flow);
-  if (flow->exchange)
-    net_client_cancel (flow->exchange);
-  for (i = 0; i < flow->nheaders; i++)
+  HASH_DEL (inflight->gate->inflight, inflight);
+  if (inflight->exchange)
+    net_client_cancel (inflight->exchange);
+  for (i = 0; i < inflight->nheaders; i++)
     {
-      el_str_free (&flow->headers[i].name);
-      el_str_free (&flow->headers[i].value);
+      el_str_free (&inflight->headers[i].name);
+      el_str_free (&inflight->headers[i].value);
     }
-  free (flow->headers);
-  el_str_free (&flow->method);
-  el_str_free (&flow->path);
-  el_str_free (&flow->body);
-  el_str_free (&flow->endpoint);
-  gt_answer_unref (flow->answer);
-  free (flow);
+  free (inflight->headers);
+  el_str_free (&inflight->method);
+  el_str_free (&inflight->path);
+  el_str_free (&inflight->body);
+  el_str_free (&inflight->endpoint);
+  gt_answer_unref (inflight->answer);
+  free (inflight);
 }
 
 static void
-flow_start (gt_gate_t *gate, const gt_ask_t *ask, gt_answer_t *answer)
+inflight_start (gt_gate_t *gate, const gt_request_t *request,
+                gt_answer_t *answer)
 {
-  gt_flow_t *flow = el_alloc (sizeof *flow);
+  gt_inflight_t *inflight = el_alloc (sizeof *inflight);
   rt_event_t event = { .kind = RT_EV_REQUEST,
-                       .work = ask->work,
-                       .customer = ask->customer,
-                       .target = ask->target,
-                       .prompt = ask->prompt,
-                       .resume = ask->resume,
-                       .nresume = ask->nresume,
-                       .max_tokens = ask->max_tokens,
-                       .deadline = ask->deadline,
-                       .repeatable = ask->repeatable };
-
-  flow->id = gate->next_stream++;
-  flow->gate = gate;
-  flow->answer = gt_answer_ref (answer);
-  flow->in_session = ask->in_session;
-  flow->session = co_token_session (&ask->token);
-  flow->sequence = ask->sequence;
-  flow->repeatable = ask->repeatable;
-  flow->started = net_clock_now (&gate->clock);
-  if (ask->work == RT_CALL)
-    flow_keep_call (flow, ask);
-  HASH_ADD (hh, gate->flows, id, sizeof flow->id, flow);
-  answer->stream = flow->id;
-  event.stream = flow->id;
+                       .work = request->type,
+                       .customer = request->customer,
+                       .target = request->target,
+                       .prompt = request->prompt,
+                       .resume = request->resume,
+                       .nresume = request->nresume,
+                       .max_tokens = request->max_tokens,
+                       .deadline = request->deadline,
+                       .repeatable = request->repeatable };
+
+  inflight->id = gate->next_stream++;
+  inflight->gate = gate;
+  inflight->answer = gt_answer_ref (answer);
+  inflight->in_session = request->in_session;
+  inflight->session = co_token_session (&request->token);
+  inflight->sequence = request->sequence;
+  inflight->repeatable = request->repeatable;
+  inflight->started = net_clock_now (&gate->clock);
+  if (request->type == RT_CALL)
+    inflight_copy_call (inflight, request);
+  HASH_ADD (hh, gate->inflight, id, sizeof inflight->id, inflight);
+  answer->stream = inflight->id;
+  event.stream = inflight->id;
   gt_router_event (gate, &event);
 }
 
-/** Run a request, or join the one that it repeats. Gives the answer with a
-    reference of the caller's, or NULL with the refusal. */
+/** Runs a request, or joins the one that it repeats. Returns a new reference
+    to the answer, or NULL with *REFUSAL filled in. */
 gt_answer_t *
-gt_flow_ask (gt_gate_t *gate, const gt_ask_t *ask, gt_refusal_t *refusal)
+gt_request_submit (gt_gate_t *gate, const gt_request_t *request,
+                   gt_refusal_t *refusal)
 {
-  gt_answer_t *answer = gt_answer_new (gate, ask);
-  co_led_result_t word = CO_LED_RUN;
-  co_session_t session = co_token_session (&ask->token);
+  gt_answer_t *answer = gt_answer_new (gate, request);
+  co_led_result_t ledger_result = CO_LED_RUN;
+  co_session_t session = co_token_session (&request->token);
   void *first = NULL;
 
-  if (ask->in_session)
-    word = co_ledger_begin (gate->ledger, net_clock_now (&gate->clock),
-                            &session, ask->sequence, ask->digest, answer,
-                            &first);
-  if (word == CO_LED_RUN)
+  if (request->in_session)
+    ledger_result = co_ledger_begin (
+        gate->ledger, net_clock_now (&gate->clock), &session,
+        request->sequence, request->digest, answer, &first);
+  if (ledger_result == CO_LED_RUN)
     {
-      if (ask->in_session)
-        gt_answer_ref (answer); /* the ledger's */
-      flow_start (gate, ask, answer);
+      if (request->in_session)
+        gt_answer_ref (answer); /* the ledger's reference */
+      inflight_start (gate, request, answer);
       return answer;
     }
   gt_answer_unref (answer);
-  if (word == CO_LED_JOIN || word == CO_LED_ANSWER)
+  if (ledger_result == CO_LED_JOIN || ledger_result == CO_LED_ANSWER)
     {
       gate->counts.joined++;
       return gt_answer_ref (first);
     }
-  if (word == CO_LED_FORGOTTEN)
+  if (ledger_result == CO_LED_FORGOTTEN)
     gate->counts.forgotten++;
-  *refusal = ledger_refusals[word];
-  if (word == CO_LED_MOVED)
-    refusal->where = *pr_peers_successor (gate->peers);
-  if (word == CO_LED_ELSEWHERE)
-    refusal->where
-        = (pr_place_t){ ask->token.home, ask->token.peer, ask->token.http };
-  refusal->go = refusal->where.peer.len > 0;
+  *refusal = ledger_refusals[ledger_result];
+  if (ledger_result == CO_LED_MOVED)
+    refusal->owner = *pr_peers_successor (gate->peers);
+  if (ledger_result == CO_LED_ELSEWHERE)
+    refusal->owner = (pr_place_t){ request->token.home, request->token.peer,
+                                   request->token.http };
+  refusal->redirect = refusal->owner.peer.len > 0;
   return NULL;
 }
 
-/** The router's actions. */
+/** Carries out an action of the router. */
 void
-gt_flow_act (void *arg, const rt_action_t *action)
+gt_inflight_action (void *arg, const rt_action_t *action)
 {
   gt_gate_t *gate = arg;
-  gt_flow_t *flow = flow_find (gate, action->stream);
+  gt_inflight_t *inflight = inflight_find (gate, action->stream);
 
   if (gate->options.trace_fd >= 0)
     gt_trace (gate, rt_trace_action (action));
-  if (flow)
-    acts[action->kind](gate, flow, action);
+  if (inflight)
+    action_handlers[action->kind](gate, inflight, action);
 }
 
-/* Asked before a call leaves on a connection that had to be made. */
+/* Checked again before a call is sent on a newly opened connection. */
 static int
-flow_may (void *arg)
+may_send (void *arg)
 {
-  const gt_flow_t *flow = arg;
+  const gt_inflight_t *inflight = arg;
 
-  return rt_router_may_send (
-      flow->gate->router, net_clock_now (&flow->gate->clock), flow->endpoint);
+  return rt_router_may_send (inflight->gate->router,
+                             net_clock_now (&inflight->gate->clock),
+                             inflight->endpoint);
 }
 
 static void
-flow_call (gt_gate_t *gate, gt_flow_t *flow, const rt_action_t *action)
+inflight_call (gt_gate_t *gate, gt_inflight_t *inflight,
+               const rt_action_t *action)
 {
-  el_str_free (&flow->endpoint);
-  flow->endpoint = el_str_dup (action->endpoint);
-  flow->call = action->call;
-  senders[action->work](gate, flow, action);
+  el_str_free (&inflight->endpoint);
+  inflight->endpoint = el_str_dup (action->endpoint);
+  inflight->call = action->call;
+  senders[action->work](gate, inflight, action);
 }
 
 static void
-chat_send (gt_gate_t *gate, gt_flow_t *flow, const rt_action_t *action)
+chat_send (gt_gate_t *gate, gt_inflight_t *inflight, const rt_action_t *action)
 {
   el_buf_t body = { NULL, 0, 0 };
   net_header_t type = { EL_STR ("content-type"), GT_JSON };
@@ -233,34 +238,34 @@
                       .path = gt_engine_http.call_path,
                       .headers = &type,
                       .nheaders = 1,
-                      .may = flow_may,
+                      .may = may_send,
                       .done = chat_done,
-                      .arg = flow };
+                      .arg = inflight };
 
   gt_engine_http.write_call (gate, action, &body);
   send.body = el_buf_str (&body);
-  flow->exchange = net_client_send (gate->client, &send);
+  inflight->exchange = net_client_send (gate->client, &send);
   el_buf_free (&body);
 }
 
-/* A call that may not be repeated gets a connection of its own: on a kept
-   one the endpoint's close may cross with the request, and then it can't be
-   told whether it ran. */
+/* A call that must not be repeated gets a connection of its own: on a
+   keep-alive connection the endpoint may close just as the request is sent,
+   and then it is not known whether the request ran. */
 static void
-call_send (gt_gate_t *gate, gt_flow_t *flow, const rt_action_t *action)
+call_send (gt_gate_t *gate, gt_inflight_t *inflight, const rt_action_t *action)
 {
   net_send_t send = { .address = action->address,
-                      .method = flow->method,
-                      .path = flow->path,
-                      .headers = flow->headers,
-                      .nheaders = flow->nheaders,
-                      .body = flow->body,
-                      .fresh = !flow->repeatable,
-                      .may = flow_may,
+                      .method = inflight->method,
+                      .path = inflight->path,
+                      .headers = inflight->headers,
+                      .nheaders = inflight->nheaders,
+                      .body = inflight->body,
+                      .fresh = !inflight->repeatable,
+                      .may = may_send,
                       .done = call_done,
-                      .arg = flow };
+                      .arg = inflight };
 
-  flow->exchange = net_client_send (gate->client, &send);
+  inflight->exchange = net_client_send (gate->client, &send);
 }
 
 static void
@@ -268,47 +273,49 @@
 {
   event->kind = RT_EV_FAILED;
   event->verdict = result->verdict;
-  event->fail = gt_net_fail (result->net);
+  event->fail = gt_net_failure (result->net);
 }
 
-/* The endpoint's own word that it leaves is told to the other hosts. */
+/* Tells the other hosts when an endpoint reported that it is leaving. */
 static void
-leaving_tell (gt_gate_t *gate, const gt_flow_t *flow, const rt_event_t *event)
+report_leaving (gt_gate_t *gate, const gt_inflight_t *inflight,
+                const rt_event_t *event)
 {
   if (event->kind == RT_EV_FAILED && event->fail == RT_FAIL_LEAVING)
-    pr_peers_endpoint_leaves (gate->peers, flow->endpoint);
+    pr_peers_endpoint_leaves (gate->peers, inflight->endpoint);
 }
 
 static void
 chat_done (void *arg, const net_result_t *result)
 {
-  gt_flow_t *flow = arg;
-  gt_gate_t *gate = flow->gate;
-  rt_event_t event = { .stream = flow->id, .call = flow->call };
-  json_t *keep = NULL;
+  gt_inflight_t *inflight = arg;
+  gt_gate_t *gate = inflight->gate;
+  rt_event_t event = { .stream = inflight->id, .call = inflight->call };
+  json_t *backing = NULL;
 
-  flow->exchange = NULL;
+  inflight->exchange = NULL;
   if (result->net != NET_OK)
     exchange_failed (result, &event);
   else
-    gt_engine_http.read_reply (gate, result, &event, &keep);
-  leaving_tell (gate, flow, &event);
+    gt_engine_http.read_reply (gate, result, &event, &backing);
+  report_leaving (gate, inflight, &event);
   gt_router_event (gate, &event);
-  json_decref (keep);
+  json_decref (backing);
 }
 
 static void
 call_done (void *arg, const net_result_t *result)
 {
-  gt_flow_t *flow = arg;
-  gt_gate_t *gate = flow->gate;
-  rt_event_t event
-      = { .stream = flow->id, .call = flow->call, .echo = flow->call };
+  gt_inflight_t *inflight = arg;
+  gt_gate_t *gate = inflight->gate;
+  rt_event_t event = { .stream = inflight->id,
+                       .call = inflight->call,
+                       .echo = inflight->call };
 
-  flow->exchange = NULL;
+  inflight->exchange = NULL;
   if (result->net != NET_OK)
     exchange_failed (result, &event);
-  else if (gt_refused (result, &event))
+  else if (gt_endpoint_refused (result, &event))
     {
       event.kind = RT_EV_FAILED;
       event.verdict = EL_NOT_RUN;
@@ -316,9 +323,9 @@
   else
     {
       event.kind = RT_EV_REPLY;
-      gt_answer_result (flow->answer, result);
+      gt_answer_result (inflight->answer, result);
     }
-  leaving_tell (gate, flow, &event);
+  report_leaving (gate, inflight, &event);
   gt_router_event (gate, &event);
 }
 
@@ -329,9 +336,11 @@
   (void)result;
 }
 
-/* Stop waiting for the attempt, and tell its engine to drop it. */
+/* Cancels the exchange of an attempt and, for a chat, tells the engine to
+   discard the attempt. */
 static void
-flow_abandon (gt_gate_t *gate, gt_flow_t *flow, const rt_action_t *action)
+inflight_abandon (gt_gate_t *gate, gt_inflight_t *inflight,
+                  const rt_action_t *action)
 {
   el_buf_t body = { NULL, 0, 0 };
   net_header_t type = { EL_STR ("content-type"), GT_JSON };
@@ -343,10 +352,10 @@
                       .timeout = ABANDON_TIMEOUT,
                       .done = abandon_done };
 
-  if (flow->exchange && flow->call.attempt == action->call.attempt)
+  if (inflight->exchange && inflight->call.attempt == action->call.attempt)
     {
-      net_client_cancel (flow->exchange);
-      flow->exchange = NULL;
+      net_client_cancel (inflight->exchange);
+      inflight->exchange = NULL;
     }
   if (action->work != RT_CHAT)
     return;
@@ -357,28 +366,31 @@
 }
 
 static void
-flow_token (gt_gate_t *gate, gt_flow_t *flow, const rt_action_t *action)
+inflight_token (gt_gate_t *gate, gt_inflight_t *inflight,
+                const rt_action_t *action)
 {
-  if (flow->answer->ntokens == 0)
+  if (inflight->answer->ntokens == 0)
     el_hist_add (&gate->counts.first_token,
-                 net_clock_now (&gate->clock) - flow->started);
-  gt_answer_token (flow->answer, action->token, action->text);
+                 net_clock_now (&gate->clock) - inflight->started);
+  gt_answer_token (inflight->answer, action->token, action->text);
 }
 
 static void
-flow_end (gt_gate_t *gate, gt_flow_t *flow, const rt_action_t *action)
+inflight_end (gt_gate_t *gate, gt_inflight_t *inflight,
+              const rt_action_t *action)
 {
-  gt_end_t end = { action->verdict, action->reason, action->retry_after_ms };
+  gt_outcome_t outcome
+      = { action->verdict, action->reason, action->retry_after_ms };
 
-  EL_LOG (EL_LOG_DEBUG, "request_end", EL_FN ("stream", flow->id),
-          EL_FS ("target", flow->answer->target),
-          EL_FC ("verdict", el_verdict_name (end.verdict)),
-          EL_FC ("reason", rt_reason_name (end.reason)),
+  EL_LOG (EL_LOG_DEBUG, "request_end", EL_FN ("stream", inflight->id),
+          EL_FS ("target", inflight->answer->target),
+          EL_FC ("verdict", el_verdict_name (outcome.verdict)),
+          EL_FC ("reason", rt_reason_name (outcome.reason)),
           EL_FN ("tokens", action->tokens));
-  gt_answer_end (flow->answer, &end);
-  if (flow->in_session)
-    co_ledger_end (gate->ledger, net_clock_now (&gate->clock), &flow->session,
-                   flow->sequence, end.verdict,
-                   gt_answer_bytes (flow->answer));
-  gt_flow_free (flow);
+  gt_answer_finish (inflight->answer, &outcome);
+  if (inflight->in_session)
+    co_ledger_end (gate->ledger, net_clock_now (&gate->clock),
+                   &inflight->session, inflight->sequence, outcome.verdict,
+                   gt_answer_bytes (inflight->answer));
+  gt_inflight_free (inflight);
 }
--- a/gate/gate.c
+++ b/gate/gate.c
@@ -3,7 +3,8 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * One host's gate: puts the parts together, and drains them.
+ * Gateway of one host: creates its parts, exports metrics and the state dump,
+ * and drains at a stop.
  */
 #include <errno.h>
 #include <fcntl.h>
@@ -14,8 +15,8 @@
 
 #include "libgate.h"
 
-#define EXPIRE_EVERY (5 * EL_SEC)
-#define DRAIN_LOOK_EVERY (50 * EL_MSEC)
+#define EXPIRE_INTERVAL (5 * EL_SEC)
+#define DRAIN_POLL_INTERVAL (50 * EL_MSEC)
 
 static void
 config_changed (void *arg, const co_resource_t *prev,
@@ -58,8 +59,8 @@
     gt_router_event (gate, &event);
 }
 
-/** Write a line of the trace; takes over the reference. The descriptor does
-    not block: a reader that does not keep up loses lines, and does not hold up
+/** Writes a line of the trace. Takes over the reference to LINE. The
+    descriptor is non-blocking: a slow reader loses lines instead of blocking
     the host. */
 void
 gt_trace (gt_gate_t *gate, json_t *line)
@@ -68,8 +69,8 @@
   el_buf_t out = { NULL, 0, 0 };
   ssize_t n;
 
-  /* A line that was cut is ended before the next one. */
-  el_buf_printf (&out, "%s%s\n", gate->trace_cut ? "\n" : "", text);
+  /* If the last line was cut short, end it first. */
+  el_buf_printf (&out, "%s%s\n", gate->trace_partial ? "\n" : "", text);
   do
     n = write (gate->options.trace_fd, out.ptr, out.len);
   while (n < 0 && errno == EINTR);
@@ -78,7 +79,7 @@
   if (n != (ssize_t)out.len)
     gate->counts.trace_lost++;
   if (n > 0)
-    gate->trace_cut = n != (ssize_t)out.len;
+    gate->trace_partial = n != (ssize_t)out.len;
   el_buf_free (&out);
   free (text);
   json_decref (line);
@@ -98,7 +99,8 @@
                              (json_int_t)o->leave_hold));
 }
 
-/** Hand the router an event, then wake those whom its actions concern. */
+/** Passes an event to the router, then wakes the readers of the answers that
+    its actions changed. */
 void
 gt_router_event (gt_gate_t *gate, const rt_event_t *event)
 {
@@ -123,18 +125,18 @@
 }
 
 static void
-gate_expire (void *arg, el_time_t now)
+expire_sessions (void *arg, el_time_t now)
 {
   gt_gate_t *gate = arg;
 
   co_ledger_expire (gate->ledger, now);
-  net_clock_set (&gate->clock, &gate->expire, EXPIRE_EVERY);
+  net_clock_set (&gate->clock, &gate->expire, EXPIRE_INTERVAL);
 }
 
 #define RT_COUNT(field) &rt_router_counts (gate->router)->field
 
 static void
-gate_metrics (gt_gate_t *gate)
+gate_register_metrics (gt_gate_t *gate)
 {
   const struct
   {
@@ -202,7 +204,8 @@
     { "elmarch_leaving_total", "refusals by endpoints that leave", EL_COUNTER,
       RT_COUNT (leaving) },
     { "elmarch_active", "requests running", EL_GAUGE, &gate->gauge_active },
-    { "elmarch_callers", "answers not wholly sent", EL_GAUGE, &gate->callers },
+    { "elmarch_callers", "answers not wholly sent", EL_GAUGE,
+      &gate->open_responses },
     { "elmarch_queued", "requests waiting", EL_GAUGE, &gate->gauge_queued },
     { "elmarch_sessions", "sessions at home here", EL_GAUGE,
       &gate->gauge_sessions },
@@ -223,7 +226,7 @@
 }
 
 static void
-gate_parts (gt_gate_t *gate)
+gate_create_parts (gt_gate_t *gate)
 {
   const gt_options_t *o = &gate->options;
   rt_options_t router = { .seed = o->seed,
@@ -231,7 +234,7 @@
                           .max_queue = o->max_queue,
                           .call_limit = o->call_limit,
                           .leave_hold = o->leave_hold,
-                          .act = gt_flow_act,
+                          .act = gt_inflight_action,
                           .arg = gate };
   co_ledger_options_t ledger = { .max_sessions = o->max_sessions,
                                  .max_entries = o->max_entries,
@@ -255,7 +258,7 @@
 }
 
 static pr_peers_t *
-gate_peers (gt_gate_t *gate, el_err_t *err)
+gate_create_peers (gt_gate_t *gate, el_err_t *err)
 {
   const gt_options_t *o = &gate->options;
   pr_options_t peers = { .clock = &gate->clock,
@@ -276,8 +279,8 @@
   return pr_peers_new (&peers, err);
 }
 
-/** Start one host's gate on its loop; NULL, with the reason in ERR, when an
-    address can't be had. */
+/** Starts the gateway on its loop. Returns NULL with the reason in ERR if it
+    can't listen on an address. */
 gt_gate_t *
 gt_gate_new (const gt_options_t *options, el_err_t *err)
 {
@@ -285,28 +288,28 @@
   net_server_options_t server = { .loop = options->loop,
                                   .address = options->listen,
                                   .max_body = options->max_body,
-                                  .handle = gt_door_handle,
+                                  .handle = gt_api_handle,
                                   .arg = gate };
 
   gate->options = *options;
   gate->next_stream = 1;
-  gate->next_change = 1;
+  gate->next_change_id = 1;
   if (getrandom (gate->incarnation.byte, CO_INCARNATION_BYTES, 0)
       != CO_INCARNATION_BYTES)
     abort ();
   co_incarnation_hex (&gate->incarnation, gate->incarnation_hex);
   net_clock_open (&gate->clock, options->loop);
-  gate_parts (gate);
-  gate->peers = gate_peers (gate, err);
+  gate_create_parts (gate);
+  gate->peers = gate_create_peers (gate, err);
   gate->server = gate->peers ? net_server_new (&server, err) : NULL;
   if (!gate->server)
     return NULL;
-  gate_metrics (gate);
+  gate_register_metrics (gate);
   if (options->platform.len)
     gate->platform = gt_platform_new (gate);
-  gate->expire.cb = gate_expire;
+  gate->expire.cb = expire_sessions;
   gate->expire.arg = gate;
-  net_clock_set (&gate->clock, &gate->expire, EXPIRE_EVERY);
+  net_clock_set (&gate->clock, &gate->expire, EXPIRE_INTERVAL);
   EL_LOG (EL_LOG_INFO, "started", EL_FS ("listen", options->listen),
           EL_FS ("peer_listen", options->peer_listen),
           EL_FS ("hall", options->hall),
@@ -315,7 +318,7 @@
 }
 
 static void
-gate_stopped (gt_gate_t *gate)
+gate_shutdown (gt_gate_t *gate)
 {
   EL_LOG (EL_LOG_INFO, "drained",
           EL_FN ("sessions", co_ledger_sessions (gate->ledger)));
@@ -327,38 +330,40 @@
   gate->drained (gate->drained_arg);
 }
 
-/* The successor knows all, what ended meanwhile included, and tells the other
-   hosts whose sessions it has. */
+/* The successor now has the complete state, including requests that ended
+   after the handover, and announces to the other hosts whose sessions it
+   has. */
 static void
-drain_told (void *arg)
+farewell_sent (void *arg)
 {
-  gate_stopped (arg);
+  gate_shutdown (arg);
 }
 
 static void
-drain_look (void *arg, el_time_t now)
+drain_poll (void *arg, el_time_t now)
 {
   gt_gate_t *gate = arg;
-  int idle = HASH_COUNT (gate->flows) == 0 && gate->callers == 0;
+  int idle = HASH_COUNT (gate->inflight) == 0 && gate->open_responses == 0;
 
-  if (now >= gate->drain_until)
-    gate_stopped (gate);
-  else if (!idle || gate->handing)
-    net_clock_set (&gate->clock, &gate->expire, DRAIN_LOOK_EVERY);
+  if (now >= gate->drain_deadline)
+    gate_shutdown (gate);
+  else if (!idle || gate->handing_over)
+    net_clock_set (&gate->clock, &gate->expire, DRAIN_POLL_INTERVAL);
   else
-    pr_peers_farewell (gate->peers, drain_told, gate);
+    pr_peers_farewell (gate->peers, farewell_sent, gate);
 }
 
 static void
-drain_handed (void *arg)
+handover_done (void *arg)
 {
   gt_gate_t *gate = arg;
 
-  gate->handing = 0;
+  gate->handing_over = 0;
 }
 
-/** Take no new work, hand the sessions over, let what runs end in its own time
-    and its answers reach the callers, then call DONE. */
+/** Accepts no new requests, hands the sessions over, and calls DONE once all
+    running requests have ended and their answers are sent, or after
+    options.drain_limit. */
 void
 gt_gate_drain (gt_gate_t *gate, gt_drained_cb done, void *arg)
 {
@@ -367,25 +372,26 @@
   if (gate->draining)
     return;
   gate->draining = 1;
-  gate->drain_until = net_clock_now (&gate->clock) + gate->options.drain_limit;
+  gate->drain_deadline
+      = net_clock_now (&gate->clock) + gate->options.drain_limit;
   gate->drained = done;
   gate->drained_arg = arg;
   EL_LOG (EL_LOG_INFO, "draining",
-          EL_FN ("running", HASH_COUNT (gate->flows)));
+          EL_FN ("running", HASH_COUNT (gate->inflight)));
   co_ledger_seal (gate->ledger);
   pr_peers_drain (gate->peers);
   gt_router_event (gate, &event);
-  gate->handing = 1;
-  pr_peers_hand_over (gate->peers, drain_handed, gate);
-  gate->expire.cb = drain_look;
+  gate->handing_over = 1;
+  pr_peers_hand_over (gate->peers, handover_done, gate);
+  gate->expire.cb = drain_poll;
   net_clock_set (&gate->clock, &gate->expire, 0);
 }
 
-/** The process's state for operators. */
+/** The state of the process as JSON, for operators. */
 json_t *
 gt_gate_dump (gt_gate_t *gate)
 {
-  const gt_relay_talk_t *talk = &gate->talk;
+  const gt_relay_talk_t *relay_hooks = &gate->relay_hooks;
 
   return json_pack (
       "{s:s,s:s,s:b,s:I,s:I,s:I,s:I,s:o,s:o,s:o,s:o}", "version", EL_VERSION,
@@ -396,8 +402,11 @@
       "resources", (json_int_t)co_config_count (gate->config), "peers",
       pr_peers_dump (gate->peers), "router",
       rt_router_dump (gate->router, net_clock_now (&gate->clock)), "blocked",
-      talk->suspects ? talk->suspects (talk->arg) : json_array (), "closed",
-      talk->closed ? talk->closed (talk->arg) : json_object ());
+      relay_hooks->suspects ? relay_hooks->suspects (relay_hooks->arg)
+                            : json_array (),
+      "closed",
+      relay_hooks->closed ? relay_hooks->closed (relay_hooks->arg)
+                          : json_object ());
 }
 
 net_clock_t *
@@ -412,14 +421,15 @@
   return gate->client;
 }
 
-/** The figures that the gate serves; others may add theirs. */
+/** The metrics that the gateway exports; other modules may add theirs. */
 el_metrics_t *
 gt_gate_metrics (gt_gate_t *gate)
 {
   return &gate->metrics;
 }
 
-/** Have the other hosts send no callers here for now, or again. */
+/** Sets whether the other hosts stop listing this host as an entry address for
+    callers. Has no effect while draining. */
 void
 gt_gate_withdraw (gt_gate_t *gate, int withdrawn)
 {
@@ -427,80 +437,83 @@
     pr_peers_withdraw (gate->peers, withdrawn);
 }
 
-/** Live hosts, this one included. */
+/** Number of live hosts, including this one. */
 size_t
 gt_gate_hosts (const gt_gate_t *gate)
 {
   return pr_peers_live (gate->peers);
 }
 
-/** Those of this host's hall. */
+/** Number of live hosts in this host's hall, including this one. */
 size_t
 gt_gate_hall_hosts (const gt_gate_t *gate)
 {
   return pr_peers_hall_live (gate->peers);
 }
 
-/** Whether this host comes first among the live ones that stay: all that see
-    the same members prefer the same one. */
+/** Whether this host comes first among the live hosts that are not draining.
+    Hosts with the same view of the membership agree on it. */
 int
 gt_gate_preferred (const gt_gate_t *gate)
 {
   return !gate->draining && pr_peers_preferred (gate->peers);
 }
 
-/** Append the entry addresses for callers of HALL: hosts of their own hall
-    while enough of them live, else all. */
+/** Appends the entry addresses for callers in HALL to LIST: hosts of that hall
+    if enough of them are available, else of all halls. */
 void
 gt_gate_entries (gt_gate_t *gate, el_str_t hall, json_t *list)
 {
   pr_peers_addresses (gate->peers, hall, list);
 }
 
-/** What FOLLOW sees is told to the other hosts that ask. */
+/** Sets the follower whose store changes are passed on to other hosts that ask
+    for them. */
 void
-gt_gate_follow (gt_gate_t *gate, gt_follow_t *follow)
+gt_gate_follow (gt_gate_t *gate, gt_follow_t *store_follower)
 {
-  gate->follow = follow;
+  gate->store_follower = store_follower;
 }
 
-/** The follower has heard of the store. */
+/** Answers the hosts that wait for news: the follower has heard from the
+   store, or this host has polled its hall's engines. */
 void
 gt_gate_heard (gt_gate_t *gate)
 {
   pr_peers_heard (gate->peers);
 }
 
-/** The host that was asked last could not tell, though the store answers: ask
-    others for a while. */
+/** The host that was last asked for store changes could not give them although
+    the store is reachable: asks other hosts for a while. */
 void
 gt_gate_blame_news (gt_gate_t *gate)
 {
   pr_peers_blame_news (gate->peers);
 }
 
-/** Have TALK exchange with other hosts how engines and requests do. */
+/** Sets the callbacks that exchange the state of engines and requests with
+    other hosts. */
 void
-gt_gate_talk (gt_gate_t *gate, const gt_relay_talk_t *talk)
+gt_gate_talk (gt_gate_t *gate, const gt_relay_talk_t *relay_hooks)
 {
-  gate->talk = *talk;
+  gate->relay_hooks = *relay_hooks;
 }
 
-/** Have all hosts know BODY, named by ID, soon, and remember it for HOLD. */
+/** Spreads BODY, identified by ID, to all hosts, which keep it for HOLD. */
 void
 gt_gate_tell (gt_gate_t *gate, uint64_t id, el_time_t hold, el_str_t body)
 {
   pr_peers_tell (gate->peers, id, hold, body);
 }
 
-/** Whether another host has told this one the rumors that it knows. */
+/** Whether this host has received the rumors known to another host. */
 int
 gt_gate_rumors_known (const gt_gate_t *gate)
 {
   return pr_peers_rumors_known (gate->peers);
 }
 
-/** A number that names this incarnation of the host; not 0. */
+/** A number that identifies this incarnation of the host; never 0. */
 uint64_t
 gt_gate_witness (const gt_gate_t *gate)
 {
@@ -510,17 +523,17 @@
   return witness | 1;
 }
 
-/** Whether this host comes first in its hall: it does what one host does for
-    all of them. */
+/** Whether this host is the leader of its hall, which does the work that one
+    host does for the hall. */
 int
 gt_gate_leads (const gt_gate_t *gate)
 {
   return !gate->draining && pr_peers_leads (gate->peers);
 }
 
-/** Ask another host what it has seen of the store, where OLD such questions in
-    a row had old answers; gives 0 when this host
-    should ask the store. */
+/** Asks another host for store changes after AFTER; OLD is the number of
+    consecutive answers that were out of date. Returns 0 if this host should
+    ask the store itself. */
 int
 gt_gate_ask_news (gt_gate_t *gate, pr_position_t after, unsigned old,
                   pr_news_cb done, void *arg)
--- a/gate/gate.h
+++ b/gate/gate.h
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * The gate: one host's HTTP towards callers and operators, its clients
- * towards endpoints and the platform, and RPC between hosts, around one
+ * The gateway of one host: an HTTP server for callers and operators, clients
+ * of endpoints and of the platform, and RPC between hosts, built around one
  * router and one ledger.
  */
 #ifndef ELMARCH_GATE_H
@@ -23,51 +23,56 @@
 typedef struct gt_options
 {
   uv_loop_t *loop;
-  el_str_t listen;       /**< callers and operators, ip:port */
-  el_str_t peer_listen;  /**< other hosts, ip:port */
-  el_str_t peers;        /**< their peer addresses, with commas */
-  el_str_t hall;         /**< where this host stands */
-  el_str_t entry;        /**< where callers of relayed requests connect;
-                              empty: as listen */
-  el_str_t platform;     /**< the platform's address, ip:port; empty: this host
-                              is configured otherwise */
-  el_str_t cluster_key;  /**< shared by the hosts */
-  el_str_t operator_key; /**< operators prove themselves with it */
+  el_str_t listen;       /**< address for callers and operators, ip:port */
+  el_str_t peer_listen;  /**< address for other hosts, ip:port */
+  el_str_t peers;        /**< peer addresses of other hosts, comma-separated */
+  el_str_t hall;         /**< zone of this host */
+  el_str_t entry;        /**< address for callers of relayed requests;
+                              empty: same as listen */
+  el_str_t platform;     /**< address of the platform, ip:port; empty: this
+                              host gets its configuration elsewhere */
+  el_str_t cluster_key;  /**< secret shared by all hosts */
+  el_str_t operator_key; /**< bearer key that authenticates operators */
   uint64_t capacity;     /**< see co_member_t */
-  uint64_t store_followers; /**< hosts of a hall that follow the store
-                                 themselves */
+  uint64_t store_followers; /**< number of hosts of a hall that read the
+                                 store directly */
   uint64_t max_active;
   uint64_t max_queue;
-  uint64_t max_body; /**< bytes of a caller's request */
+  uint64_t max_body; /**< maximum size of a request body, bytes */
   uint64_t max_sessions;
-  uint64_t max_entries; /**< requests remembered for a session */
-  uint64_t max_answers; /**< bytes of the answers remembered */
-  el_time_t deadline;   /**< of a request that names none */
-  el_time_t call_limit; /**< longest wait for one stage */
-  el_time_t session_idle;
-  el_time_t session_hold; /**< a stream goes on this long unread */
-  el_time_t leave_hold;
-  el_time_t drain_limit; /**< a stop waits this long for what runs */
+  uint64_t max_entries;   /**< requests remembered per session */
+  uint64_t max_answers;   /**< total size of remembered answers, bytes */
+  el_time_t deadline;     /**< time limit of a request that sets none */
+  el_time_t call_limit;   /**< time limit of one call to a pipeline stage */
+  el_time_t session_idle; /**< an unused session expires after this time */
+  el_time_t session_hold; /**< a session's stream without readers is
+                               cancelled after this time */
+  el_time_t leave_hold;   /**< for how long an endpoint counts as leaving after
+                               a report that it leaves */
+  el_time_t drain_limit;  /**< longest wait for running requests at a stop */
   uint64_t seed;
-  int trace_fd; /**< where the trace goes; -1 is nowhere */
+  int trace_fd; /**< descriptor the trace is written to; -1: none */
 } gt_options_t;
 
 typedef void (*gt_drained_cb) (void *arg);
 
-/** Who tells other hosts and operators what it knows of relayed requests and
-    engines, and hears of them. */
+/** Callbacks into the relay: the state of engines and relayed requests that
+    is exchanged with other hosts and shown to operators. Any of them may be
+    NULL. */
 typedef struct gt_relay_talk
 {
-  /** Gives a list, which the caller frees; its strings stay its own. */
+  /** Returns the state of engines known here, for other hosts. The caller
+      frees the list but not its strings. */
   size_t (*tell) (void *arg, pr_engine_t **out);
+  /** Another host sent the state of its engines. */
   void (*hear) (void *arg, const pr_engine_t *news, size_t n);
-  /** Another host told a rumor that was not known here. */
+  /** A rumor that was not known here arrived from another host. */
   void (*rumor) (void *arg, const co_rumor_t *rumor);
-  /** The requests that are suspect or blocked. */
+  /** Requests that are suspected of ending endpoints or blocked. */
   json_t *(*suspects) (void *arg);
-  /** The endpoints that nothing new goes to. */
+  /** Endpoints that get no new requests. */
   json_t *(*closed) (void *arg);
-  /** Let a request in again; gives 0 when nothing is known of it. */
+  /** Unblocks a request; returns 0 if it is unknown. */
   int (*unblock) (void *arg, rt_digest_t digest);
   void *arg;
 } gt_relay_talk_t;
--- a/gate/hold.c
+++ b/gate/hold.c
@@ -3,52 +3,53 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Requests that are held while news of another process is awaited.
+ * Requests that are answered after an asynchronous operation.
  */
 #include "libgate.h"
 
-/* Lives in the request's pool and is disposed of with it. */
-typedef struct hold_cell
+/* Allocated in the request's pool; its destructor reports that h2o freed the
+   request. */
+typedef struct request_guard
 {
-  gt_hold_t *hold;
-} hold_cell_t;
+  gt_hold_t *deferred;
+} request_guard_t;
 
 struct gt_hold
 {
   h2o_req_t *req;
-  hold_cell_t *cell;
+  request_guard_t *guard;
 };
 
 static void
-cell_dispose (void *arg)
+guard_dispose (void *arg)
 {
-  hold_cell_t *cell = arg;
+  request_guard_t *guard = arg;
 
-  if (cell->hold)
-    cell->hold->req = NULL;
+  if (guard->deferred)
+    guard->deferred->req = NULL;
 }
 
-/** Hold REQ; h2o may free it at any time. */
+/** Defers the answer to REQ, which h2o may free at any time. */
 gt_hold_t *
 gt_hold_new (h2o_req_t *req)
 {
-  gt_hold_t *hold = el_alloc (sizeof *hold);
+  gt_hold_t *deferred = el_alloc (sizeof *deferred);
 
-  hold->req = req;
-  hold->cell
-      = h2o_mem_alloc_shared (&req->pool, sizeof *hold->cell, cell_dispose);
-  hold->cell->hold = hold;
-  return hold;
+  deferred->req = req;
+  deferred->guard = h2o_mem_alloc_shared (&req->pool, sizeof *deferred->guard,
+                                          guard_dispose);
+  deferred->guard->deferred = deferred;
+  return deferred;
 }
 
-/** End the hold; gives the request, or NULL when the caller has gone. */
+/** Frees DEFERRED. Returns the request, or NULL if the caller disconnected. */
 h2o_req_t *
-gt_hold_release (gt_hold_t *hold)
+gt_hold_release (gt_hold_t *deferred)
 {
-  h2o_req_t *req = hold->req;
+  h2o_req_t *req = deferred->req;
 
   if (req)
-    hold->cell->hold = NULL;
-  free (hold);
+    deferred->guard->deferred = NULL;
+  free (deferred);
   return req;
 }
--- a/gate/libgate.h
+++ b/gate/libgate.h
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Internals of the gate package.
+ * Internals of the gateway: the interfaces between the files of gate/.
  */
 #ifndef ELMARCH_LIBGATE_H
 #define ELMARCH_LIBGATE_H
@@ -20,10 +20,10 @@
 
 typedef struct gt_answer gt_answer_t;
 typedef struct gt_reader gt_reader_t;
-typedef struct gt_flow gt_flow_t;
+typedef struct gt_inflight gt_inflight_t;
 typedef struct gt_platform gt_platform_t;
 
-/* One who waits for an answer; its wake is called when there is news. */
+/* Waits for an answer; wake is called whenever the answer has changed. */
 struct gt_reader
 {
   void (*wake) (gt_reader_t *reader);
@@ -35,36 +35,37 @@
 typedef struct gt_token
 {
   uint64_t id;
-  size_t offset; /* of its text */
+  size_t offset; /* of its text in the answer's text */
   size_t len;
 } gt_token_t;
 
-/* How a request ended, as it is told to the one who asked. */
-typedef struct gt_end
+/* How a request ended, as reported to its caller. */
+typedef struct gt_outcome
 {
   el_verdict_t verdict;
   rt_reason_t reason;
   uint64_t retry_after_ms;
-} gt_end_t;
+} gt_outcome_t;
 
-/* The answer to one request, shared by those who wait for it. */
+/* The answer to one request, reference-counted and shared by all its
+   readers. */
 struct gt_answer
 {
   unsigned refs;
-  rt_request_type_t work;
+  rt_request_type_t type;
   uint64_t stream;
   el_str_t target;
   int in_session;
-  int keep; /* goes on without readers to its end */
+  int keep_running; /* not cancelled when its last reader leaves */
   int ended;
-  gt_end_t end;
+  gt_outcome_t outcome;
   gt_reader_t *readers;
-  int dirty;
+  int dirty; /* in the gateway's list of answers with readers to wake */
   gt_answer_t *dirty_next;
-  el_timer_t hold; /* a stream that nobody reads */
+  el_timer_t unread_timer; /* cancels a session's stream without readers */
   gt_gate_t *gate;
   /* chat */
-  size_t base; /* tokens that the caller brought */
+  size_t nresumed; /* tokens that the caller already had */
   gt_token_t *tokens;
   size_t ntokens;
   size_t cap_tokens;
@@ -76,18 +77,18 @@
   el_buf_t body;
 };
 
-/* What a caller asks, checked and typed. */
-typedef struct gt_ask
+/* A caller's request, parsed and validated. */
+typedef struct gt_request
 {
-  rt_request_type_t work;
+  rt_request_type_t type;
   el_str_t customer;
   el_str_t target;
   int repeatable;
-  el_time_t deadline; /* on the clock */
+  el_time_t deadline; /* absolute, on the gateway's clock */
   int in_session;
   co_token_t token;
-  pr_place_t where; /* when that is not here */
-  unsigned hops;    /* hosts that forwarded it so far */
+  pr_place_t owner; /* host that has the session, if not this one */
+  unsigned hops;    /* number of hosts that forwarded it so far */
   uint64_t sequence;
   uint64_t digest;
   /* chat */
@@ -102,9 +103,9 @@
   const net_header_t *headers;
   size_t nheaders;
   el_str_t body;
-} gt_ask_t;
+} gt_request_t;
 
-/* A refusal that needs no router. */
+/* An error reply, or a redirection to the host that has the session. */
 typedef struct gt_refusal
 {
   int status;
@@ -112,14 +113,14 @@
   const char *code;
   const char *message;
   uint64_t retry_after_ms;
-  int go;           /* no refusal: another host has it */
-  pr_place_t where; /* which one */
+  int redirect;     /* no error: another host has the session */
+  pr_place_t owner; /* that host */
 } gt_refusal_t;
 
-/* A request that runs. */
-struct gt_flow
+/* A request in flight. */
+struct gt_inflight
 {
-  uint64_t id; /* key: the router's stream */
+  uint64_t id; /* hash key: the router's stream number */
   gt_gate_t *gate;
   gt_answer_t *answer;
   int in_session;
@@ -141,14 +142,14 @@
 typedef struct gt_counts
 {
   uint64_t http_requests;
-  uint64_t denied;       /* unknown customers and operators */
-  uint64_t bad_requests; /* broken or over a limit */
-  uint64_t joined;       /* duplicates that got the first one's answer */
-  uint64_t forgotten;    /* refused because it may have run */
-  uint64_t forwarded;    /* to the session's home */
-  uint64_t home_gone;    /* not forwarded: the home does not answer */
-  uint64_t trace_lost;
-  uint64_t platform_calls; /* all kinds, a watch as one */
+  uint64_t denied;         /* customers and operators not authenticated */
+  uint64_t bad_requests;   /* malformed or over a limit */
+  uint64_t joined;         /* duplicates that share the first one's answer */
+  uint64_t forgotten;      /* refused because they may have run already */
+  uint64_t forwarded;      /* to the host that has the session */
+  uint64_t home_gone;      /* the session's home did not answer */
+  uint64_t trace_lost;     /* lines of the trace not written completely */
+  uint64_t platform_calls; /* of all kinds; a watch counts once */
   uint64_t platform_failures;
   el_hist_t first_token; /* microseconds */
 } gt_counts_t;
@@ -165,13 +166,14 @@
   pr_config_t *sync;
   co_incarnation_t incarnation;
   char incarnation_hex[CO_INCARNATION_HEX + 1];
-  gt_flow_t *flows;
+  gt_inflight_t *inflight;
   uint64_t next_stream;
-  uint64_t next_change;
+  uint64_t next_change_id;
   gt_answer_t *dirty;
   pr_peers_t *peers;
-  gt_follow_t *follow; /* news for other hosts; NULL without */
-  gt_relay_talk_t talk;
+  gt_follow_t *store_follower; /* source of store changes for other hosts; may
+                                  be NULL */
+  gt_relay_talk_t relay_hooks;
   gt_platform_t *platform;
   gt_counts_t counts;
   el_metrics_t metrics;
@@ -182,41 +184,41 @@
   uint64_t gauge_bytes;
   uint64_t gauge_revision;
   el_timer_t expire;
-  uint64_t callers; /* answers that are not wholly sent */
+  uint64_t open_responses; /* responses not sent completely */
   int draining;
-  int trace_cut; /* the last line of the trace is not whole */
-  int handing;   /* sessions are on their way to a successor */
-  el_time_t drain_until;
+  int trace_partial; /* the last write ended within a line */
+  int handing_over;  /* sessions are being handed to the successor */
+  el_time_t drain_deadline;
   gt_drained_cb drained;
   void *drained_arg;
 };
 
-/* gate.c */
+/* The gateway's router, trace and random numbers. */
 void gt_router_event (gt_gate_t *gate, const rt_event_t *event);
 void gt_trace (gt_gate_t *gate, json_t *line);
 uint64_t gt_random (gt_gate_t *gate);
 
-/* answer.c */
-gt_answer_t *gt_answer_new (gt_gate_t *gate, const gt_ask_t *ask);
+/* Answers and their readers. */
+gt_answer_t *gt_answer_new (gt_gate_t *gate, const gt_request_t *request);
 gt_answer_t *gt_answer_ref (gt_answer_t *answer);
 void gt_answer_unref (gt_answer_t *answer);
 void gt_answer_attach (gt_answer_t *answer, gt_reader_t *reader);
 void gt_answer_detach (gt_reader_t *reader);
 void gt_answer_token (gt_answer_t *answer, uint64_t id, el_str_t text);
 void gt_answer_result (gt_answer_t *answer, const net_result_t *result);
-void gt_answer_end (gt_answer_t *answer, const gt_end_t *end);
+void gt_answer_finish (gt_answer_t *answer, const gt_outcome_t *outcome);
 size_t gt_answer_bytes (const gt_answer_t *answer);
 void gt_answer_flush (gt_gate_t *gate);
 int gt_header_passes (el_str_t name);
 
-/* flow.c */
-gt_answer_t *gt_flow_ask (gt_gate_t *gate, const gt_ask_t *ask,
-                          gt_refusal_t *refusal);
-void gt_flow_act (void *arg, const rt_action_t *action);
-void gt_flow_free (gt_flow_t *flow);
+/* Requests in flight. */
+gt_answer_t *gt_request_submit (gt_gate_t *gate, const gt_request_t *request,
+                                gt_refusal_t *refusal);
+void gt_inflight_action (void *arg, const rt_action_t *action);
+void gt_inflight_free (gt_inflight_t *inflight);
 
-/* engine.c: the dialect that engines speak. */
-typedef struct gt_engine_dialect
+/* The protocol between the gateway and engines. */
+typedef struct gt_engine_protocol
 {
   el_str_t call_path;
   el_str_t abandon_path;
@@ -224,70 +226,73 @@
                       el_buf_t *body);
   void (*write_abandon) (const gt_gate_t *gate, const rt_action_t *action,
                          el_buf_t *body);
-  /* Fill EVENT from RESULT; *KEEP holds the strings until it is freed. */
+  /* Fills EVENT from RESULT. Strings of EVENT point into *BACKING, which the
+     caller releases. */
   void (*read_reply) (const gt_gate_t *gate, const net_result_t *result,
-                      rt_event_t *event, json_t **keep);
-} gt_engine_dialect_t;
+                      rt_event_t *event, json_t **backing);
+} gt_engine_protocol_t;
 
-extern const gt_engine_dialect_t gt_engine_http;
-rt_failure_t gt_net_fail (net_outcome_t net);
-int gt_refused (const net_result_t *result, rt_event_t *event);
+extern const gt_engine_protocol_t gt_engine_http;
+rt_failure_t gt_net_failure (net_outcome_t net);
+int gt_endpoint_refused (const net_result_t *result, rt_event_t *event);
 
-/* caller.c */
+/* Responses to callers. */
 void gt_caller_serve (gt_gate_t *gate, h2o_req_t *req, gt_answer_t *answer,
                       int stream, size_t position);
 void gt_caller_refuse (h2o_req_t *req, const gt_refusal_t *refusal);
-void gt_refusal_of_end (const gt_end_t *end, gt_refusal_t *out);
+void gt_refusal_from_outcome (const gt_outcome_t *outcome, gt_refusal_t *out);
 json_t *gt_refusal_json (const gt_refusal_t *refusal);
 
-/* Digits of any number, with the final NUL. */
+/* Size of a buffer for any 64-bit number in decimal, with the final NUL. */
 #define GT_NUMBER_MAX 24
 
-/** The headers that tell an answer's verdict and when to come back; they lie
-    in the struct. */
-typedef struct gt_verdict_head
+/** The headers that give an answer's verdict and retry delay. Their values
+    may point into the struct, which must not be copied. */
+typedef struct gt_verdict_header_set
 {
   net_header_t headers[3];
   size_t n;
   char seconds[GT_NUMBER_MAX];
   char ms[GT_NUMBER_MAX];
-} gt_verdict_head_t;
+} gt_verdict_header_set_t;
 
 void gt_verdict_headers (el_verdict_t verdict, uint64_t retry_after_ms,
-                         gt_verdict_head_t *out);
+                         gt_verdict_header_set_t *out);
 
-/* hold.c: a request whose answer waits for news that the caller may not
-   live to see. */
+/* Requests that are answered after an asynchronous operation; the caller may
+   disconnect before it completes. */
 typedef struct gt_hold gt_hold_t;
 
 gt_hold_t *gt_hold_new (h2o_req_t *req);
-h2o_req_t *gt_hold_release (gt_hold_t *hold);
+h2o_req_t *gt_hold_release (gt_hold_t *deferred);
 
-/* door.c and its parts. */
-void gt_door_handle (void *arg, h2o_req_t *req);
-int gt_door_customer (gt_gate_t *gate, h2o_req_t *req, gt_ask_t *ask);
-int gt_door_deadline (gt_gate_t *gate, h2o_req_t *req, el_time_t *deadline);
-void gt_door_error (gt_gate_t *gate, h2o_req_t *req, int status,
-                    const char *code, const char *message);
+/* The HTTP API. */
+void gt_api_handle (void *arg, h2o_req_t *req);
+int gt_api_authenticate (gt_gate_t *gate, h2o_req_t *req,
+                         gt_request_t *request);
+int gt_api_deadline (gt_gate_t *gate, h2o_req_t *req, el_time_t *deadline);
+void gt_api_error (gt_gate_t *gate, h2o_req_t *req, int status,
+                   const char *code, const char *message);
 void gt_door_json (h2o_req_t *req, int status, json_t *json);
-void gt_door_chat (gt_gate_t *gate, h2o_req_t *req, el_str_t rest);
-void gt_door_call (gt_gate_t *gate, h2o_req_t *req, el_str_t rest);
-void gt_door_session_open (gt_gate_t *gate, h2o_req_t *req, el_str_t rest);
-void gt_door_session_close (gt_gate_t *gate, h2o_req_t *req, el_str_t rest);
-void gt_door_entry_hosts (gt_gate_t *gate, h2o_req_t *req, el_str_t rest);
-void gt_door_resources (gt_gate_t *gate, h2o_req_t *req, el_str_t rest);
-void gt_door_dump (gt_gate_t *gate, h2o_req_t *req, el_str_t rest);
-void gt_door_blocked (gt_gate_t *gate, h2o_req_t *req, el_str_t rest);
-void gt_door_unblock (gt_gate_t *gate, h2o_req_t *req, el_str_t rest);
-void gt_door_metrics (gt_gate_t *gate, h2o_req_t *req, el_str_t rest);
+void gt_api_chat (gt_gate_t *gate, h2o_req_t *req, el_str_t rest);
+void gt_api_call (gt_gate_t *gate, h2o_req_t *req, el_str_t rest);
+void gt_api_session_open (gt_gate_t *gate, h2o_req_t *req, el_str_t rest);
+void gt_api_session_close (gt_gate_t *gate, h2o_req_t *req, el_str_t rest);
+void gt_api_entry_hosts (gt_gate_t *gate, h2o_req_t *req, el_str_t rest);
+void gt_api_resources (gt_gate_t *gate, h2o_req_t *req, el_str_t rest);
+void gt_api_dump (gt_gate_t *gate, h2o_req_t *req, el_str_t rest);
+void gt_api_blocked (gt_gate_t *gate, h2o_req_t *req, el_str_t rest);
+void gt_api_unblock (gt_gate_t *gate, h2o_req_t *req, el_str_t rest);
+void gt_api_metrics (gt_gate_t *gate, h2o_req_t *req, el_str_t rest);
 
-/* platform.c */
+/* The client of the platform. */
 typedef enum gt_put
 {
-  GT_PUT_ACCEPTED, /* the change is in the platform */
-  GT_PUT_CONFLICT, /* another change came first */
-  GT_PUT_NOT_RUN,  /* the platform can't be reached: nothing was written */
-  GT_PUT_UNKNOWN   /* it may still be written; ask with the change's id */
+  GT_PUT_ACCEPTED, /* the platform has stored the change */
+  GT_PUT_CONFLICT, /* the expected revision is not the current one */
+  GT_PUT_NOT_RUN,  /* the platform is unreachable: nothing was written */
+  GT_PUT_UNKNOWN   /* it may have been or may still be written; repeat it
+                       with the same id */
 } gt_put_t;
 
 typedef void (*gt_put_cb) (void *arg, gt_put_t outcome, uint64_t revision);
@@ -296,9 +301,9 @@
 {
   co_kind_t kind;
   el_str_t name;
-  json_t *spec; /* NULL removes the resource */
+  json_t *spec; /* NULL deletes the resource */
   el_str_t id;
-  uint64_t expected; /* the revision that it replaces; 0 is none */
+  uint64_t expected; /* current revision; 0 if the resource is new */
 } gt_change_t;
 
 gt_platform_t *gt_platform_new (gt_gate_t *gate);
@@ -306,9 +311,9 @@
                       gt_put_cb done, void *arg);
 void gt_platform_stop (gt_platform_t *platform);
 
-/* session_peer.c */
+/* Sessions held by other hosts. */
 void gt_session_peer_ops (pr_options_t *options, gt_gate_t *gate);
-void gt_session_forward (gt_gate_t *gate, const gt_ask_t *ask,
+void gt_session_forward (gt_gate_t *gate, const gt_request_t *request,
                          pr_called_cb done, void *arg);
 
 #endif
--- a/gate/session_peer.c
+++ b/gate/session_peer.c
@@ -3,23 +3,24 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * What the other hosts ask of this one and hear from it: calls for sessions
- * at home here, answers that sessions keep, news of the store and of engines.
+ * Implements the callbacks that the peer protocol needs from this host: calls
+ * for sessions that are held here, transfer of stored answers, and changes of
+ * the store and of engines.
  */
 #include <stdlib.h>
 #include <string.h>
 
 #include "libgate.h"
 
-/* Home, successor, and back to where the request runs. */
+/* Enough for home, successor, and back to the host where the request runs. */
 #define HOPS_MAX 3
 
-/* A call of another host that runs here. */
-typedef struct served
+/* A call that runs here for another host. */
+typedef struct remote_call
 {
   gt_reader_t reader;
   net_rpc_req_t *req;
-} served_t;
+} remote_call_t;
 
 static void ops_hosts (void *arg, size_t live);
 static void ops_leaving (void *arg, el_str_t endpoint);
@@ -59,7 +60,7 @@
         .code = "home-gone",
         .message = "the session's home is another incarnation" };
 
-/** Have the peers ask GATE. */
+/** Registers GATE's callbacks in the options of the peer protocol. */
 void
 gt_session_peer_ops (pr_options_t *options, gt_gate_t *gate)
 {
@@ -89,7 +90,8 @@
 {
   const gt_gate_t *gate = arg;
 
-  return gate->follow && gt_follow_tell (gate->follow, after, out);
+  return gate->store_follower
+         && gt_follow_tell (gate->store_follower, after, out);
 }
 
 static pr_position_t
@@ -97,8 +99,8 @@
 {
   const gt_gate_t *gate = arg;
 
-  return gate->follow ? gt_follow_position (gate->follow)
-                      : (pr_position_t){ 0 };
+  return gate->store_follower ? gt_follow_position (gate->store_follower)
+                              : (pr_position_t){ 0 };
 }
 
 static void
@@ -106,8 +108,8 @@
 {
   const gt_gate_t *gate = arg;
 
-  if (gate->follow)
-    gt_follow_epoch (gate->follow, epoch);
+  if (gate->store_follower)
+    gt_follow_epoch (gate->store_follower, epoch);
 }
 
 static el_time_t
@@ -115,7 +117,7 @@
 {
   const gt_gate_t *gate = arg;
 
-  return gate->follow ? gt_follow_known (gate->follow) : 0;
+  return gate->store_follower ? gt_follow_known (gate->store_follower) : 0;
 }
 
 static size_t
@@ -123,9 +125,9 @@
 {
   gt_gate_t *gate = arg;
 
-  if (!gate->talk.tell)
+  if (!gate->relay_hooks.tell)
     return 0;
-  return gate->talk.tell (gate->talk.arg, out);
+  return gate->relay_hooks.tell (gate->relay_hooks.arg, out);
 }
 
 static void
@@ -133,8 +135,8 @@
 {
   gt_gate_t *gate = arg;
 
-  if (gate->talk.hear)
-    gate->talk.hear (gate->talk.arg, engines, n);
+  if (gate->relay_hooks.hear)
+    gate->relay_hooks.hear (gate->relay_hooks.arg, engines, n);
 }
 
 static void
@@ -142,18 +144,18 @@
 {
   gt_gate_t *gate = arg;
 
-  if (gate->talk.rumor)
-    gate->talk.rumor (gate->talk.arg, rumor);
+  if (gate->relay_hooks.rumor)
+    gate->relay_hooks.rumor (gate->relay_hooks.arg, rumor);
 }
 
-/* When to come back is told with it: a caller through another host than its
-   session's home was left without, also while all endpoints rested for 60 s.
- */
+/* Includes the retry headers: without them, a caller whose call was forwarded
+   from another host would not learn when to retry, even while all endpoints
+   rest for 60 s. */
 static void
-call_refuse (net_rpc_req_t *req, const gt_refusal_t *refusal)
+reply_refusal (net_rpc_req_t *req, const gt_refusal_t *refusal)
 {
   net_header_t headers[4] = { { EL_STR ("content-type"), GT_JSON } };
-  gt_verdict_head_t head;
+  gt_verdict_header_set_t head;
   json_t *json = gt_refusal_json (refusal);
   char *text = json_dumps (json, JSON_COMPACT);
   pr_called_t called = { .verdict = refusal->verdict,
@@ -170,11 +172,11 @@
   json_decref (json);
 }
 
-/* Answer with what the endpoint gave, and with its verdict. */
+/* Replies with the endpoint's response and its verdict. */
 static void
-call_answer (net_rpc_req_t *req, const gt_answer_t *answer)
+reply_answer (net_rpc_req_t *req, const gt_answer_t *answer)
 {
-  pr_called_t called = { .verdict = answer->end.verdict,
+  pr_called_t called = { .verdict = answer->outcome.verdict,
                          .status = answer->status,
                          .nheaders = answer->nheaders + 1,
                          .body = el_buf_str (&answer->body) };
@@ -183,114 +185,115 @@
   memcpy (headers, answer->headers, answer->nheaders * sizeof *headers);
   headers[answer->nheaders]
       = (net_header_t){ EL_STR ("x-elmarch-verdict"),
-                        el_str (el_verdict_name (answer->end.verdict)) };
+                        el_str (el_verdict_name (answer->outcome.verdict)) };
   called.headers = headers;
   pr_call_answer (req, &called);
   free (headers);
 }
 
 static void
-served_wake (gt_reader_t *reader)
+remote_call_wake (gt_reader_t *reader)
 {
-  served_t *served = H2O_STRUCT_FROM_MEMBER (served_t, reader, reader);
+  remote_call_t *remote_call
+      = H2O_STRUCT_FROM_MEMBER (remote_call_t, reader, reader);
   const gt_answer_t *answer = reader->answer;
   gt_refusal_t refusal;
 
   if (!answer->ended)
     return;
-  if (answer->end.reason == RT_DONE)
-    call_answer (served->req, answer);
+  if (answer->outcome.reason == RT_DONE)
+    reply_answer (remote_call->req, answer);
   else
     {
-      gt_refusal_of_end (&answer->end, &refusal);
-      call_refuse (served->req, &refusal);
+      gt_refusal_from_outcome (&answer->outcome, &refusal);
+      reply_refusal (remote_call->req, &refusal);
     }
   gt_answer_detach (reader);
-  free (served);
+  free (remote_call);
 }
 
-/* Another host answered what was forwarded here: hand it on. */
+/* Passes on the answer to a call that this host forwarded for another one. */
 static void
-relayed_done (void *arg, const pr_called_t *called)
+forward_done (void *arg, const pr_called_t *called)
 {
   if (called->answered)
     pr_call_answer (arg, called);
   else
-    call_refuse (arg, &home_gone);
+    reply_refusal (arg, &home_gone);
 }
 
 static void
-call_ask (const pr_call_t *call, gt_ask_t *ask)
+call_to_request (const pr_call_t *call, gt_request_t *request)
 {
-  *ask = (gt_ask_t){ .work = RT_CALL,
-                     .customer = call->token.customer,
-                     .target = call->target,
-                     .repeatable = call->repeatable,
-                     .deadline = call->deadline,
-                     .in_session = 1,
-                     .token = call->token,
-                     .hops = call->hops,
-                     .sequence = call->sequence,
-                     .digest = call->digest,
-                     .method = call->method,
-                     .path = call->path,
-                     .headers = call->headers,
-                     .nheaders = call->nheaders,
-                     .body = call->body };
+  *request = (gt_request_t){ .type = RT_CALL,
+                             .customer = call->token.customer,
+                             .target = call->target,
+                             .repeatable = call->repeatable,
+                             .deadline = call->deadline,
+                             .in_session = 1,
+                             .token = call->token,
+                             .hops = call->hops,
+                             .sequence = call->sequence,
+                             .digest = call->digest,
+                             .method = call->method,
+                             .path = call->path,
+                             .headers = call->headers,
+                             .nheaders = call->nheaders,
+                             .body = call->body };
 }
 
 static void
 ops_call (void *arg, net_rpc_req_t *req, const pr_call_t *call)
 {
   gt_gate_t *gate = arg;
-  gt_refusal_t refusal = { .go = 0 };
+  gt_refusal_t refusal = { .redirect = 0 };
   gt_answer_t *answer;
-  served_t *served;
-  gt_ask_t ask;
+  remote_call_t *remote_call;
+  gt_request_t request;
 
   if (!call)
     {
-      call_refuse (req, &home_gone);
+      reply_refusal (req, &home_gone);
       return;
     }
-  call_ask (call, &ask);
-  answer = gt_flow_ask (gate, &ask, &refusal);
-  if (!answer && refusal.go && call->hops < HOPS_MAX)
+  call_to_request (call, &request);
+  answer = gt_request_submit (gate, &request, &refusal);
+  if (!answer && refusal.redirect && call->hops < HOPS_MAX)
     {
-      ask.where = refusal.where;
-      gt_session_forward (gate, &ask, relayed_done, req);
+      request.owner = refusal.owner;
+      gt_session_forward (gate, &request, forward_done, req);
       return;
     }
   if (!answer)
     {
-      call_refuse (req, &refusal);
+      reply_refusal (req, &refusal);
       return;
     }
-  served = el_alloc (sizeof *served);
-  served->reader.wake = served_wake;
-  served->req = req;
-  gt_answer_attach (answer, &served->reader);
+  remote_call = el_alloc (sizeof *remote_call);
+  remote_call->reader.wake = remote_call_wake;
+  remote_call->req = req;
+  gt_answer_attach (answer, &remote_call->reader);
   gt_answer_unref (answer);
 }
 
-/** Have the home of ASK's session run it. */
+/** Forwards REQUEST to the host that has its session. */
 void
-gt_session_forward (gt_gate_t *gate, const gt_ask_t *ask, pr_called_cb done,
-                    void *arg)
+gt_session_forward (gt_gate_t *gate, const gt_request_t *request,
+                    pr_called_cb done, void *arg)
 {
-  const pr_call_t call = { .token = ask->token,
-                           .where = ask->where,
-                           .sequence = ask->sequence,
-                           .digest = ask->digest,
-                           .deadline = ask->deadline,
-                           .repeatable = ask->repeatable,
-                           .hops = ask->hops,
-                           .target = ask->target,
-                           .method = ask->method,
-                           .path = ask->path,
-                           .headers = ask->headers,
-                           .nheaders = ask->nheaders,
-                           .body = ask->body };
+  const pr_call_t call = { .token = request->token,
+                           .where = request->owner,
+                           .sequence = request->sequence,
+                           .digest = request->digest,
+                           .deadline = request->deadline,
+                           .repeatable = request->repeatable,
+                           .hops = request->hops,
+                           .target = request->target,
+                           .method = request->method,
+                           .path = request->path,
+                           .headers = request->headers,
+                           .nheaders = request->nheaders,
+                           .body = request->body };
 
   pr_peers_forward (gate->peers, &call, done, arg);
 }
@@ -303,11 +306,11 @@
 
   (void)arg;
   memset (to, 0, sizeof *to);
-  to->chat = from->work == RT_CHAT;
-  to->verdict = from->end.verdict;
-  to->reason = from->end.reason;
+  to->chat = from->type == RT_CHAT;
+  to->verdict = from->outcome.verdict;
+  to->reason = from->outcome.reason;
   to->stream = from->stream;
-  to->base = from->base;
+  to->base = from->nresumed;
   to->status = from->status;
   PEER_BYTES_SET (to->target, target, from->target);
   PEER_BYTES_SET (to->text, text, from->text);
@@ -324,17 +327,19 @@
 static void *
 ops_answer_read (void *arg, const peer_answer *from, size_t *bytes)
 {
-  gt_ask_t ask = { .work = from->chat ? RT_CHAT : RT_CALL, .in_session = 1 };
+  gt_request_t request
+      = { .type = from->chat ? RT_CHAT : RT_CALL, .in_session = 1 };
   net_result_t result = { .status = from->status };
-  gt_end_t end = { (el_verdict_t)from->verdict, (rt_reason_t)from->reason, 0 };
+  gt_outcome_t outcome
+      = { (el_verdict_t)from->verdict, (rt_reason_t)from->reason, 0 };
   net_header_t *headers;
   gt_answer_t *answer;
   el_str_t text = PEER_BYTES_GET (from->text, text);
   u_int i;
 
-  ask.target = PEER_BYTES_GET (from->target, target);
-  ask.nresume = from->base;
-  answer = gt_answer_new (arg, &ask);
+  request.target = PEER_BYTES_GET (from->target, target);
+  request.nresume = from->base;
+  answer = gt_answer_new (arg, &request);
   answer->stream = from->stream;
   for (i = 0; i < from->tokens.tokens_len; i++)
     {
@@ -350,7 +355,7 @@
   result.nheaders = from->headers.headers_len;
   result.body = PEER_BYTES_GET (from->body, body);
   gt_answer_result (answer, &result);
-  gt_answer_end (answer, &end);
+  gt_answer_finish (answer, &outcome);
   free (headers);
   *bytes = gt_answer_bytes (answer);
   return answer;
