--- a/Makefile
+++ b/Makefile
@@ -27,8 +27,8 @@
        peer/peer_fetch.c peer/peer_news.c peer/peer_rumor.c peer/peer_forward.c \
        peer/peer_handover.c peer/peer_xdr.c
 GATE = gate/gate.c gate/answer.c \
-       gate/caller.c gate/hold.c gate/flow.c gate/engine.c gate/door.c \
-       gate/door_chat.c gate/door_call.c gate/door_session.c gate/door_oper.c \
+       gate/caller.c gate/deferred.c gate/inflight.c gate/engine.c gate/api.c \
+       gate/api_chat.c gate/api_call.c gate/api_session.c gate/api_admin.c \
        gate/platform.c gate/kv_http.c gate/session_peer.c \
        gate/relay.c gate/relay_attempt.c gate/relay_head.c gate/relay_response.c \
        gate/relay_events.c gate/relay_blame.c gate/relay_block.c gate/relay_suspect.c gate/relay_fact.c gate/relay_rumor.c gate/relay_backoff.c gate/relay_epoch.c gate/relay_log.c gate/relay_wait.c gate/relay_watch.c gate/relay_check.c gate/relay_poll.c \
--- a/elmarchd/site.c
+++ b/elmarchd/site.c
@@ -108,7 +108,7 @@
 endpoint_log (site_t *site, const rt_facts_t *facts, const char *what,
               uint64_t revision)
 {
-  int notable = facts->leaving || gt_gate_leads (site->gate);
+  int notable = facts->leaving || gt_gate_is_hall_leader (site->gate);
   el_time_t now = net_clock_now (gt_gate_clock (site->gate));
 
   EL_LOG (notable ? EL_LOG_INFO : EL_LOG_DEBUG, what,
@@ -213,7 +213,7 @@
 static void
 site_hear_all (site_t *site, el_time_t now)
 {
-  int known = gt_gate_rumors_known (site->gate);
+  int known = gt_gate_rumors_received (site->gate);
 
   if (site->heard || (!known && now < site->began + ALONE_AFTER))
     return;
@@ -251,7 +251,7 @@
 {
   site_t *site = arg;
 
-  gt_gate_entries (site->gate, hall, list);
+  gt_gate_entry_addresses (site->gate, hall, list);
 }
 
 static size_t
@@ -259,7 +259,7 @@
 {
   site_t *site = arg;
 
-  return gt_gate_hosts (site->gate);
+  return gt_gate_live_hosts (site->gate);
 }
 
 static size_t
@@ -267,7 +267,7 @@
 {
   site_t *site = arg;
 
-  return gt_gate_hall_hosts (site->gate);
+  return gt_gate_hall_live_hosts (site->gate);
 }
 
 static int
@@ -276,7 +276,7 @@
   site_t *site = arg;
 
   return !site->stopping && site->endpoints_known
-         && gt_gate_preferred (site->gate);
+         && gt_gate_is_preferred (site->gate);
 }
 
 static void
@@ -333,7 +333,7 @@
   site->rules_known = as_of;
   site_hear_all (site, net_clock_now (gt_gate_clock (site->gate)));
   gt_relays_set_rules_as_of (site->relays, as_of);
-  gt_gate_heard (site->gate);
+  gt_gate_news_available (site->gate);
 }
 
 static int
@@ -342,7 +342,7 @@
 {
   site_t *site = arg;
 
-  return gt_gate_ask_news (site->gate, after, old, done, done_arg);
+  return gt_gate_request_news (site->gate, after, old, done, done_arg);
 }
 
 static void
@@ -350,7 +350,7 @@
 {
   site_t *site = arg;
 
-  gt_gate_blame_news (site->gate);
+  gt_gate_avoid_news_source (site->gate);
 }
 
 /* The store goes on from an older copy. */
@@ -382,7 +382,7 @@
   site->part.arg = site;
   gt_store_join (&site->store, &site->part);
   site->follow = gt_follow_new (&all);
-  gt_gate_follow (site->gate, site->follow);
+  gt_gate_set_follower (site->gate, site->follow);
 }
 
 static el_time_t
@@ -422,7 +422,7 @@
 {
   site_t *site = arg;
 
-  return !site->stopping && gt_gate_leads (site->gate);
+  return !site->stopping && gt_gate_is_hall_leader (site->gate);
 }
 
 static void
@@ -430,7 +430,7 @@
 {
   site_t *site = arg;
 
-  gt_gate_heard (site->gate);
+  gt_gate_news_available (site->gate);
 }
 
 static size_t
@@ -496,7 +496,7 @@
 {
   site_t *site = arg;
 
-  gt_gate_tell (site->gate, id, hold, body);
+  gt_gate_gossip (site->gate, id, hold, body);
 }
 
 /* The first host of each hall has the store keep it that a request is blocked,
@@ -508,7 +508,7 @@
   el_time_t hold = left / EL_MSEC;
   el_buf_t key = { NULL, 0, 0 };
 
-  if (!gt_gate_leads (site->gate))
+  if (!gt_gate_is_hall_leader (site->gate))
     return;
   pf_blocked_key (digest, holds, &key);
   gt_store_keep (&site->store, el_buf_str (&key), site->options.name,
@@ -521,27 +521,28 @@
 site_relays (site_t *site, el_err_t *err)
 {
   const site_options_t *o = &site->options;
-  gt_relay_options_t relays = { .clock = gt_gate_clock (site->gate),
-                                .client = gt_gate_client (site->gate),
-                                .fleet = site->fleet,
-                                .dialect = &pf_relay,
-                                .listen = o->entry,
-                                .hall = o->hall,
-                                .key = o->key,
-                                .max_body = BODY_MAX,
-                                .repeat_ratio = o->repeat_ratio,
-                                .repeat_slack = o->repeat_slack,
-                                .repeat_window = o->repeat_window,
-                                .keys_limit = o->keys_limit,
-                                .seed = o->seed,
-                                .hosts = site_hosts,
-                                .hall_hosts = site_hall_hosts,
-                                .is_poller = site_polls,
-                                .poll_done = site_polled,
-                                .witness = gt_gate_witness (site->gate),
-                                .tell = site_tell_all,
-                                .blocked = site_blocked,
-                                .arg = site };
+  gt_relay_options_t relays
+      = { .clock = gt_gate_clock (site->gate),
+          .client = gt_gate_client (site->gate),
+          .fleet = site->fleet,
+          .dialect = &pf_relay,
+          .listen = o->entry,
+          .hall = o->hall,
+          .key = o->key,
+          .max_body = BODY_MAX,
+          .repeat_ratio = o->repeat_ratio,
+          .repeat_slack = o->repeat_slack,
+          .repeat_window = o->repeat_window,
+          .keys_limit = o->keys_limit,
+          .seed = o->seed,
+          .hosts = site_hosts,
+          .hall_hosts = site_hall_hosts,
+          .is_poller = site_polls,
+          .poll_done = site_polled,
+          .witness = gt_gate_incarnation_number (site->gate),
+          .tell = site_tell_all,
+          .blocked = site_blocked,
+          .arg = site };
 
   return gt_relays_new (&relays, err);
 }
@@ -602,13 +603,13 @@
                                .ready = site_ready,
                                .addresses = site_addresses,
                                .arg = site };
-  gt_relay_talk_t talk = { .tell = site_tell,
-                           .hear = site_hear,
-                           .rumor = site_rumor,
-                           .suspects = site_suspects,
-                           .closed = site_closed,
-                           .unblock = site_unblock,
-                           .arg = site };
+  gt_relay_hooks_t talk = { .list_engines = site_tell,
+                            .engines_received = site_hear,
+                            .rumor = site_rumor,
+                            .suspects = site_suspects,
+                            .closed = site_closed,
+                            .unblock = site_unblock,
+                            .arg = site };
 
   site->gate = gate;
   site->options = *options;
@@ -622,7 +623,7 @@
   site->relays = site_relays (site, err);
   if (!site->relays || !pf_entry_new (&entry, err))
     return NULL;
-  gt_gate_talk (gate, &talk);
+  gt_gate_set_relay_hooks (gate, &talk);
   gt_relays_metrics (site->relays, gt_gate_metrics (gate));
   site_metrics (site);
   site_follow (site);
--- a/gate/answer.c
+++ b/gate/answer.c
@@ -37,7 +37,7 @@
 
 /** Whether a header is passed on between caller and endpoint. */
 int
-gt_header_passes (el_str_t name)
+gt_header_is_forwarded (el_str_t name)
 {
   size_t i;
 
@@ -207,7 +207,7 @@
   answer->headers
       = el_alloc ((result->nheaders + 1) * sizeof *answer->headers);
   for (i = 0; i < result->nheaders; i++)
-    if (gt_header_passes (result->headers[i].name))
+    if (gt_header_is_forwarded (result->headers[i].name))
       {
         net_header_t *header = &answer->headers[answer->nheaders++];
 
--- a/gate/door.c
+++ b/gate/api.c
@@ -75,7 +75,7 @@
 
 /** Answers with JSON. Takes over the reference to JSON. */
 void
-gt_door_json (h2o_req_t *req, int status, json_t *json)
+gt_api_reply_json (h2o_req_t *req, int status, json_t *json)
 {
   char *text = json_dumps (json, JSON_COMPACT);
 
--- a/gate/door_oper.c
+++ b/gate/api_admin.c
@@ -17,7 +17,7 @@
 typedef struct change_op
 {
   gt_gate_t *gate;
-  gt_hold_t *deferred;
+  gt_deferred_t *deferred;
   co_kind_t kind;
   char name[CO_NAME_MAX + 1];
   char id[CO_NAME_MAX + 1];
@@ -101,14 +101,15 @@
     {
       list.items = json_array ();
       co_config_visit (gate->config, list_visit, &list);
-      gt_door_json (req, 200,
-                    json_pack ("{s:o,s:I}", "items", list.items, "revision",
-                               (json_int_t)co_config_revision (gate->config)));
+      gt_api_reply_json (
+          req, 200,
+          json_pack ("{s:o,s:I}", "items", list.items, "revision",
+                     (json_int_t)co_config_revision (gate->config)));
       return;
     }
   res = co_config_get (gate->config, kind, name);
   if (res)
-    gt_door_json (req, 200, resource_json (gate, res));
+    gt_api_reply_json (req, 200, resource_json (gate, res));
   else
     gt_api_error (gate, req, 404, "not-found", "no such resource");
 }
@@ -118,7 +119,7 @@
 {
   change_op_t *op = arg;
   gt_gate_t *gate = op->gate;
-  h2o_req_t *req = gt_hold_release (op->deferred);
+  h2o_req_t *req = gt_deferred_finish (op->deferred);
   const co_resource_t *res
       = co_config_get (gate->config, op->kind, el_str (op->name));
 
@@ -150,7 +151,7 @@
 
       if (op->spec)
         json_object_set (json, "spec", op->spec);
-      gt_door_json (req, 200, json);
+      gt_api_reply_json (req, 200, json);
     }
   json_decref (op->spec);
   free (op);
@@ -174,7 +175,7 @@
   else
     snprintf (op->id, sizeof op->id, "%.*s-%" PRIu64, CHANGE_ID_DIGITS,
               gate->incarnation_hex, gate->next_change_id++);
-  op->deferred = gt_hold_new (req);
+  op->deferred = gt_deferred_new (req);
   change.name = el_str (op->name);
   change.id = el_str (op->id);
   gt_platform_put (gate->platform, &change, change_done, op);
@@ -277,7 +278,7 @@
 gt_api_dump (gt_gate_t *gate, h2o_req_t *req, el_str_t rest)
 {
   (void)rest;
-  gt_door_json (req, 200, gt_gate_dump (gate));
+  gt_api_reply_json (req, 200, gt_gate_dump (gate));
 }
 
 /** Serves GET /admin/v1/blocked: the requests that ran on endpoints when these
@@ -286,10 +287,10 @@
 gt_api_blocked (gt_gate_t *gate, h2o_req_t *req, el_str_t rest)
 {
   (void)rest;
-  gt_door_json (req, 200,
-                gate->relay_hooks.suspects
-                    ? gate->relay_hooks.suspects (gate->relay_hooks.arg)
-                    : json_array ());
+  gt_api_reply_json (req, 200,
+                     gate->relay_hooks.suspects
+                         ? gate->relay_hooks.suspects (gate->relay_hooks.arg)
+                         : json_array ());
 }
 
 /** Serves DELETE /admin/v1/blocked/DIGEST: unblocks a request. */
@@ -304,7 +305,7 @@
            || !gate->relay_hooks.unblock (gate->relay_hooks.arg, digest))
     gt_api_error (gate, req, 404, "not-found", "no such request");
   else
-    gt_door_json (req, 200, json_object ());
+    gt_api_reply_json (req, 200, json_object ());
 }
 
 void
--- a/gate/door_call.c
+++ b/gate/api_call.c
@@ -15,7 +15,7 @@
 /* A call forwarded to the host that has its session. */
 typedef struct forwarded_call
 {
-  gt_hold_t *deferred;
+  gt_deferred_t *deferred;
   gt_gate_t *gate;
 } forwarded_call_t;
 
@@ -47,7 +47,7 @@
       const h2o_header_t *header = &req->headers.entries[i];
       el_str_t name = { header->name->base, header->name->len };
 
-      if (!gt_header_passes (name))
+      if (!gt_header_is_forwarded (name))
         continue;
       if (n == HEADERS_MAX)
         return 0;
@@ -89,7 +89,7 @@
 {
   forwarded_call_t *call = arg;
   gt_gate_t *gate = call->gate;
-  h2o_req_t *req = gt_hold_release (call->deferred);
+  h2o_req_t *req = gt_deferred_finish (call->deferred);
   gt_refusal_t refusal
       = { .status = 409,
           .verdict = EL_MAY_HAVE_RUN,
@@ -123,7 +123,7 @@
 
   gate->counts.forwarded++;
   call->gate = gate;
-  call->deferred = gt_hold_new (req);
+  call->deferred = gt_deferred_new (req);
   gt_session_forward (gate, request, call_forwarded, call);
 }
 
--- a/gate/door_chat.c
+++ b/gate/api_chat.c
@@ -63,7 +63,7 @@
 typedef struct home_query
 {
   gt_gate_t *gate;
-  gt_hold_t *deferred;
+  gt_deferred_t *deferred;
   gt_request_t request;
 } home_query_t;
 
@@ -279,7 +279,7 @@
 {
   home_query_t *query = arg;
   gt_gate_t *gate = query->gate;
-  h2o_req_t *req = gt_hold_release (query->deferred);
+  h2o_req_t *req = gt_deferred_finish (query->deferred);
   gt_refusal_t refusal
       = { .status = 409,
           .verdict = EL_MAY_HAVE_RUN,
@@ -328,7 +328,7 @@
       home_query_t *query = el_alloc (sizeof *query);
 
       query->gate = gate;
-      query->deferred = gt_hold_new (req);
+      query->deferred = gt_deferred_new (req);
       request.owner.http = pool_str (req, request.owner.http);
       query->request = request;
       pr_peers_ask_home (gate->peers, &request.owner, home_answered, query);
--- a/gate/door_session.c
+++ b/gate/api_session.c
@@ -48,11 +48,11 @@
       return;
     }
   session_token (gate, request.customer, session, &token);
-  gt_door_json (req, 201,
-                json_pack ("{s:s%,s:s%,s:I}", "session", token.ptr, token.len,
-                           "home", gate->options.listen.ptr,
-                           gate->options.listen.len, "idle_s",
-                           (json_int_t)(gate->options.session_idle / EL_SEC)));
+  gt_api_reply_json (
+      req, 201,
+      json_pack ("{s:s%,s:s%,s:I}", "session", token.ptr, token.len, "home",
+                 gate->options.listen.ptr, gate->options.listen.len, "idle_s",
+                 (json_int_t)(gate->options.session_idle / EL_SEC)));
   el_buf_free (&token);
 }
 
@@ -108,7 +108,7 @@
   pr_peers_entries (
       gate->peers, hosts, ENTRY_HOSTS_MAX,
       el_str_hash ((el_str_t){ (const char *)&addr, (size_t)len }));
-  gt_door_json (
+  gt_api_reply_json (
       req, 200,
       json_pack ("{s:o,s:i}", "hosts", hosts, "keep_s", ENTRY_TTL_S));
 }
--- a/gate/hold.c
+++ b/gate/deferred.c
@@ -11,10 +11,10 @@
    request. */
 typedef struct request_guard
 {
-  gt_hold_t *deferred;
+  gt_deferred_t *deferred;
 } request_guard_t;
 
-struct gt_hold
+struct gt_deferred
 {
   h2o_req_t *req;
   request_guard_t *guard;
@@ -30,10 +30,10 @@
 }
 
 /** Defers the answer to REQ, which h2o may free at any time. */
-gt_hold_t *
-gt_hold_new (h2o_req_t *req)
+gt_deferred_t *
+gt_deferred_new (h2o_req_t *req)
 {
-  gt_hold_t *deferred = el_alloc (sizeof *deferred);
+  gt_deferred_t *deferred = el_alloc (sizeof *deferred);
 
   deferred->req = req;
   deferred->guard = h2o_mem_alloc_shared (&req->pool, sizeof *deferred->guard,
@@ -44,7 +44,7 @@
 
 /** Frees DEFERRED. Returns the request, or NULL if the caller disconnected. */
 h2o_req_t *
-gt_hold_release (gt_hold_t *deferred)
+gt_deferred_finish (gt_deferred_t *deferred)
 {
   h2o_req_t *req = deferred->req;
 
--- a/gate/gate.c
+++ b/gate/gate.c
@@ -391,7 +391,7 @@
 json_t *
 gt_gate_dump (gt_gate_t *gate)
 {
-  const gt_relay_talk_t *relay_hooks = &gate->relay_hooks;
+  const gt_relay_hooks_t *relay_hooks = &gate->relay_hooks;
 
   return json_pack (
       "{s:s,s:s,s:b,s:I,s:I,s:I,s:I,s:o,s:o,s:o,s:o}", "version", EL_VERSION,
@@ -439,14 +439,14 @@
 
 /** Number of live hosts, including this one. */
 size_t
-gt_gate_hosts (const gt_gate_t *gate)
+gt_gate_live_hosts (const gt_gate_t *gate)
 {
   return pr_peers_live (gate->peers);
 }
 
 /** Number of live hosts in this host's hall, including this one. */
 size_t
-gt_gate_hall_hosts (const gt_gate_t *gate)
+gt_gate_hall_live_hosts (const gt_gate_t *gate)
 {
   return pr_peers_hall_live (gate->peers);
 }
@@ -454,7 +454,7 @@
 /** Whether this host comes first among the live hosts that are not draining.
     Hosts with the same view of the membership agree on it. */
 int
-gt_gate_preferred (const gt_gate_t *gate)
+gt_gate_is_preferred (const gt_gate_t *gate)
 {
   return !gate->draining && pr_peers_preferred (gate->peers);
 }
@@ -462,7 +462,7 @@
 /** Appends the entry addresses for callers in HALL to LIST: hosts of that hall
     if enough of them are available, else of all halls. */
 void
-gt_gate_entries (gt_gate_t *gate, el_str_t hall, json_t *list)
+gt_gate_entry_addresses (gt_gate_t *gate, el_str_t hall, json_t *list)
 {
   pr_peers_addresses (gate->peers, hall, list);
 }
@@ -470,7 +470,7 @@
 /** Sets the follower whose store changes are passed on to other hosts that ask
     for them. */
 void
-gt_gate_follow (gt_gate_t *gate, gt_follow_t *store_follower)
+gt_gate_set_follower (gt_gate_t *gate, gt_follow_t *store_follower)
 {
   gate->store_follower = store_follower;
 }
@@ -478,7 +478,7 @@
 /** Answers the hosts that wait for news: the follower has heard from the
    store, or this host has polled its hall's engines. */
 void
-gt_gate_heard (gt_gate_t *gate)
+gt_gate_news_available (gt_gate_t *gate)
 {
   pr_peers_heard (gate->peers);
 }
@@ -486,7 +486,7 @@
 /** The host that was last asked for store changes could not give them although
     the store is reachable: asks other hosts for a while. */
 void
-gt_gate_blame_news (gt_gate_t *gate)
+gt_gate_avoid_news_source (gt_gate_t *gate)
 {
   pr_peers_blame_news (gate->peers);
 }
@@ -494,28 +494,28 @@
 /** Sets the callbacks that exchange the state of engines and requests with
     other hosts. */
 void
-gt_gate_talk (gt_gate_t *gate, const gt_relay_talk_t *relay_hooks)
+gt_gate_set_relay_hooks (gt_gate_t *gate, const gt_relay_hooks_t *relay_hooks)
 {
   gate->relay_hooks = *relay_hooks;
 }
 
 /** Spreads BODY, identified by ID, to all hosts, which keep it for HOLD. */
 void
-gt_gate_tell (gt_gate_t *gate, uint64_t id, el_time_t hold, el_str_t body)
+gt_gate_gossip (gt_gate_t *gate, uint64_t id, el_time_t hold, el_str_t body)
 {
   pr_peers_tell (gate->peers, id, hold, body);
 }
 
 /** Whether this host has received the rumors known to another host. */
 int
-gt_gate_rumors_known (const gt_gate_t *gate)
+gt_gate_rumors_received (const gt_gate_t *gate)
 {
   return pr_peers_rumors_known (gate->peers);
 }
 
 /** A number that identifies this incarnation of the host; never 0. */
 uint64_t
-gt_gate_witness (const gt_gate_t *gate)
+gt_gate_incarnation_number (const gt_gate_t *gate)
 {
   uint64_t witness;
 
@@ -526,7 +526,7 @@
 /** Whether this host is the leader of its hall, which does the work that one
     host does for the hall. */
 int
-gt_gate_leads (const gt_gate_t *gate)
+gt_gate_is_hall_leader (const gt_gate_t *gate)
 {
   return !gate->draining && pr_peers_leads (gate->peers);
 }
@@ -535,8 +535,8 @@
     consecutive answers that were out of date. Returns 0 if this host should
     ask the store itself. */
 int
-gt_gate_ask_news (gt_gate_t *gate, pr_position_t after, unsigned old,
-                  pr_news_cb done, void *arg)
+gt_gate_request_news (gt_gate_t *gate, pr_position_t after, unsigned old,
+                      pr_news_cb done, void *arg)
 {
   return !gate->draining
          && pr_peers_ask_news (gate->peers, after, old, done, arg);
--- a/gate/gate.h
+++ b/gate/gate.h
@@ -59,13 +59,13 @@
 /** Callbacks into the relay: the state of engines and relayed requests that
     is exchanged with other hosts and shown to operators. Any of them may be
     NULL. */
-typedef struct gt_relay_talk
+typedef struct gt_relay_hooks
 {
   /** Returns the state of engines known here, for other hosts. The caller
       frees the list but not its strings. */
-  size_t (*tell) (void *arg, pr_engine_t **out);
+  size_t (*list_engines) (void *arg, pr_engine_t **out);
   /** Another host sent the state of its engines. */
-  void (*hear) (void *arg, const pr_engine_t *news, size_t n);
+  void (*engines_received) (void *arg, const pr_engine_t *news, size_t n);
   /** A rumor that was not known here arrived from another host. */
   void (*rumor) (void *arg, const co_rumor_t *rumor);
   /** Requests that are suspected of ending endpoints or blocked. */
@@ -75,7 +75,7 @@
   /** Unblocks a request; returns 0 if it is unknown. */
   int (*unblock) (void *arg, rt_digest_t digest);
   void *arg;
-} gt_relay_talk_t;
+} gt_relay_hooks_t;
 
 gt_gate_t *gt_gate_new (const gt_options_t *options, el_err_t *err);
 void gt_gate_drain (gt_gate_t *gate, gt_drained_cb done, void *arg);
@@ -83,21 +83,21 @@
 net_clock_t *gt_gate_clock (gt_gate_t *gate);
 net_client_t *gt_gate_client (gt_gate_t *gate);
 el_metrics_t *gt_gate_metrics (gt_gate_t *gate);
-void gt_gate_follow (gt_gate_t *gate, gt_follow_t *follow);
-void gt_gate_heard (gt_gate_t *gate);
-void gt_gate_blame_news (gt_gate_t *gate);
-void gt_gate_talk (gt_gate_t *gate, const gt_relay_talk_t *talk);
-void gt_gate_tell (gt_gate_t *gate, uint64_t id, el_time_t hold,
-                   el_str_t body);
-int gt_gate_rumors_known (const gt_gate_t *gate);
-uint64_t gt_gate_witness (const gt_gate_t *gate);
-int gt_gate_leads (const gt_gate_t *gate);
-int gt_gate_ask_news (gt_gate_t *gate, pr_position_t after, unsigned old,
-                      pr_news_cb done, void *arg);
+void gt_gate_set_follower (gt_gate_t *gate, gt_follow_t *follow);
+void gt_gate_news_available (gt_gate_t *gate);
+void gt_gate_avoid_news_source (gt_gate_t *gate);
+void gt_gate_set_relay_hooks (gt_gate_t *gate, const gt_relay_hooks_t *talk);
+void gt_gate_gossip (gt_gate_t *gate, uint64_t id, el_time_t hold,
+                     el_str_t body);
+int gt_gate_rumors_received (const gt_gate_t *gate);
+uint64_t gt_gate_incarnation_number (const gt_gate_t *gate);
+int gt_gate_is_hall_leader (const gt_gate_t *gate);
+int gt_gate_request_news (gt_gate_t *gate, pr_position_t after, unsigned old,
+                          pr_news_cb done, void *arg);
 void gt_gate_withdraw (gt_gate_t *gate, int withdrawn);
-size_t gt_gate_hosts (const gt_gate_t *gate);
-size_t gt_gate_hall_hosts (const gt_gate_t *gate);
-int gt_gate_preferred (const gt_gate_t *gate);
-void gt_gate_entries (gt_gate_t *gate, el_str_t hall, json_t *list);
+size_t gt_gate_live_hosts (const gt_gate_t *gate);
+size_t gt_gate_hall_live_hosts (const gt_gate_t *gate);
+int gt_gate_is_preferred (const gt_gate_t *gate);
+void gt_gate_entry_addresses (gt_gate_t *gate, el_str_t hall, json_t *list);
 
 #endif
--- a/gate/libgate.h
+++ b/gate/libgate.h
@@ -173,7 +173,7 @@
   pr_peers_t *peers;
   gt_follow_t *store_follower; /* source of store changes for other hosts; may
                                   be NULL */
-  gt_relay_talk_t relay_hooks;
+  gt_relay_hooks_t relay_hooks;
   gt_platform_t *platform;
   gt_counts_t counts;
   el_metrics_t metrics;
@@ -209,7 +209,7 @@
 void gt_answer_finish (gt_answer_t *answer, const gt_outcome_t *outcome);
 size_t gt_answer_bytes (const gt_answer_t *answer);
 void gt_answer_flush (gt_gate_t *gate);
-int gt_header_passes (el_str_t name);
+int gt_header_is_forwarded (el_str_t name);
 
 /* Requests in flight. */
 gt_answer_t *gt_request_submit (gt_gate_t *gate, const gt_request_t *request,
@@ -261,10 +261,10 @@
 
 /* Requests that are answered after an asynchronous operation; the caller may
    disconnect before it completes. */
-typedef struct gt_hold gt_hold_t;
+typedef struct gt_deferred gt_deferred_t;
 
-gt_hold_t *gt_hold_new (h2o_req_t *req);
-h2o_req_t *gt_hold_release (gt_hold_t *deferred);
+gt_deferred_t *gt_deferred_new (h2o_req_t *req);
+h2o_req_t *gt_deferred_finish (gt_deferred_t *deferred);
 
 /* The HTTP API. */
 void gt_api_handle (void *arg, h2o_req_t *req);
@@ -273,7 +273,7 @@
 int gt_api_deadline (gt_gate_t *gate, h2o_req_t *req, el_time_t *deadline);
 void gt_api_error (gt_gate_t *gate, h2o_req_t *req, int status,
                    const char *code, const char *message);
-void gt_door_json (h2o_req_t *req, int status, json_t *json);
+void gt_api_reply_json (h2o_req_t *req, int status, json_t *json);
 void gt_api_chat (gt_gate_t *gate, h2o_req_t *req, el_str_t rest);
 void gt_api_call (gt_gate_t *gate, h2o_req_t *req, el_str_t rest);
 void gt_api_session_open (gt_gate_t *gate, h2o_req_t *req, el_str_t rest);
--- a/gate/relay_response.c
+++ b/gate/relay_response.c
@@ -40,7 +40,7 @@
   relay->req->res.status = result->status;
   relay->req->res.reason = net_status_reason (result->status);
   for (i = 0; i < result->nheaders; i++)
-    if (gt_header_passes (result->headers[i].name))
+    if (gt_header_is_forwarded (result->headers[i].name))
       net_req_add_header (relay->req, result->headers[i].name,
                           result->headers[i].value);
 }
--- a/gate/session_peer.c
+++ b/gate/session_peer.c
@@ -125,9 +125,9 @@
 {
   gt_gate_t *gate = arg;
 
-  if (!gate->relay_hooks.tell)
+  if (!gate->relay_hooks.list_engines)
     return 0;
-  return gate->relay_hooks.tell (gate->relay_hooks.arg, out);
+  return gate->relay_hooks.list_engines (gate->relay_hooks.arg, out);
 }
 
 static void
@@ -135,8 +135,8 @@
 {
   gt_gate_t *gate = arg;
 
-  if (gate->relay_hooks.hear)
-    gate->relay_hooks.hear (gate->relay_hooks.arg, engines, n);
+  if (gate->relay_hooks.engines_received)
+    gate->relay_hooks.engines_received (gate->relay_hooks.arg, engines, n);
 }
 
 static void
--- a/standin/main.c
+++ b/standin/main.c
@@ -63,7 +63,7 @@
 typedef struct later
 {
   sn_process_t *process;
-  gt_hold_t *hold;
+  gt_deferred_t *hold;
   json_t *answer;
   sn_later_fn fn;
   el_timer_t timer;
@@ -73,7 +73,7 @@
 later_fire (void *arg, el_time_t now)
 {
   later_t *later = arg;
-  h2o_req_t *req = gt_hold_release (later->hold);
+  h2o_req_t *req = gt_deferred_finish (later->hold);
 
   (void)now;
   if (req)
@@ -90,7 +90,7 @@
   later_t *later = el_alloc (sizeof *later);
 
   later->process = process;
-  later->hold = gt_hold_new (req);
+  later->hold = gt_deferred_new (req);
   later->answer = answer;
   later->fn = fn;
   later->timer.cb = later_fire;
@@ -147,7 +147,7 @@
 void
 sn_json (h2o_req_t *req, int status, json_t *json)
 {
-  gt_door_json (req, status, json);
+  gt_api_reply_json (req, status, json);
 }
 
 json_t *
--- a/standin/member.c
+++ b/standin/member.c
@@ -562,7 +562,7 @@
   if (member_dies (member, req) || fault == SN_HANG)
     {
       sn_rest_held (member->rest, req);
-      gt_hold_new (req);
+      gt_deferred_new (req);
       return;
     }
   sn_later (process, req,
@@ -620,7 +620,7 @@
 
   if (member->mute)
     {
-      gt_hold_new (req);
+      gt_deferred_new (req);
       return;
     }
   for (i = 0; i < sizeof calls / sizeof *calls; i++)
--- a/standin/platform.c
+++ b/standin/platform.c
@@ -36,7 +36,7 @@
 typedef struct kv_watch
 {
   struct platform *platform;
-  gt_hold_t *hold;
+  gt_deferred_t *hold;
   char prefix[KEY_MAX];
   uint64_t after;
   el_timer_t timer;
@@ -94,7 +94,7 @@
 watch_end (kv_watch_t *watch)
 {
   platform_t *platform = watch->platform;
-  h2o_req_t *req = gt_hold_release (watch->hold);
+  h2o_req_t *req = gt_deferred_finish (watch->hold);
 
   net_clock_cancel (&platform->process->clock, &watch->timer);
   DL_DELETE (platform->watches, watch);
@@ -157,7 +157,7 @@
   json_t *now;
 
   watch->platform = platform;
-  watch->hold = gt_hold_new (req);
+  watch->hold = gt_deferred_new (req);
   watch->after = query_number (req, "after");
   query_text (req, "prefix", watch->prefix, sizeof watch->prefix);
   watch->timer.cb = watch_over;
--- a/standin/store.c
+++ b/standin/store.c
@@ -40,7 +40,7 @@
 typedef struct store_watch
 {
   struct store *store;
-  gt_hold_t *hold;
+  gt_deferred_t *hold;
   char *prefix;
   uint64_t since;
   el_timer_t over;
@@ -106,7 +106,7 @@
 watch_end (store_watch_t *watch)
 {
   store_t *store = watch->store;
-  h2o_req_t *req = gt_hold_release (watch->hold);
+  h2o_req_t *req = gt_deferred_finish (watch->hold);
 
   net_clock_cancel (&store->process->clock, &watch->over);
   DL_DELETE (store->watches, watch);
@@ -294,7 +294,7 @@
   watch->store = store;
   watch->prefix = query_text (req, "PathPrefix");
   watch->since = strtoull (since, NULL, 10);
-  watch->hold = gt_hold_new (req);
+  watch->hold = gt_deferred_new (req);
   watch->over.cb = watch_over;
   watch->over.arg = watch;
   DL_APPEND (store->watches, watch);
@@ -304,7 +304,7 @@
   free (wait);
   if (watch->since < store->forgotten || watch->since > store->revision)
     {
-      req = gt_hold_release (watch->hold);
+      req = gt_deferred_finish (watch->hold);
       net_clock_cancel (&store->process->clock, &watch->over);
       DL_DELETE (store->watches, watch);
       free (watch->prefix);
@@ -524,7 +524,7 @@
 
       net_clock_cancel (&store->process->clock, &watch->over);
       DL_DELETE (store->watches, watch);
-      req = gt_hold_release (watch->hold);
+      req = gt_deferred_finish (watch->hold);
       if (req)
         net_req_reply (req, 503, EL_STR (""), EL_STR (""));
       free (watch->prefix);
@@ -622,7 +622,7 @@
     }
   if (store->mute)
     {
-      gt_hold_new (req); /* never answered */
+      gt_deferred_new (req); /* never answered */
       return;
     }
   for (i = 0; i < sizeof calls / sizeof *calls; i++)
--- a/tests/t_check.c
+++ b/tests/t_check.c
@@ -41,7 +41,7 @@
 
   asked->requests++;
   if (asked->mute)
-    gt_hold_new (req);
+    gt_deferred_new (req);
   else
     net_req_reply (req, 200, EL_STR ("application/json"), EL_STR (REPORT));
 }
