--- a/peer/libpeer.h
+++ b/peer/libpeer.h
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Internals of the parts that speak with other hosts.
+ * Declarations shared by the source files of the peer library.
  */
 #ifndef ELMARCH_LIBPEER_H
 #define ELMARCH_LIBPEER_H
@@ -11,25 +11,27 @@
 #include "map.h"
 #include "peer.h"
 
-/* When a sign that an endpoint leaves was last passed on. */
-typedef struct peer_sign
+/* When this host last announced that an endpoint is shutting down; limits how
+   often the announcement is repeated. */
+typedef struct peer_leaving_notice
 {
   char endpoint[CO_NAME_MAX + 1];
   el_time_t at;
   UT_hash_handle hh;
-} peer_sign_t;
+} peer_leaving_notice_t;
 
 typedef struct peer_handover peer_handover_t;
 
-/* A host whose news failed while the store answered. */
-typedef struct peer_blame
+/* A host whose store updates failed or were stale while the store itself
+   answered; it is not asked again before UNTIL. */
+typedef struct peer_failed_source
 {
   co_incarnation_t incarnation;
   el_time_t until;
-} peer_blame_t;
+} peer_failed_source_t;
 
-/* Most hosts that are blamed at once; further ones take the oldest's place. */
-#define PEER_BLAMES 8
+/* Failed sources remembered at once; a further one overwrites the oldest. */
+#define PEER_FAILED_SOURCES_MAX 8
 
 struct pr_peers
 {
@@ -37,57 +39,57 @@
   net_rpc_t *rpc;
   co_members_t *members;
   co_rumors_t *rumors;
-  el_timer_t rumors_tick;
-  int rumors_known; /* another host has told those that it knows */
+  el_timer_t rumors_timer;
+  int rumors_known; /* another host's rumors are all known here */
   pr_counts_t counts;
-  el_timer_t tick;
-  uint64_t random; /* of el_random */
-  size_t live;     /* as the holder was last told */
+  el_timer_t members_timer;
+  uint64_t random;      /* state of el_random */
+  size_t live_reported; /* live hosts, as last passed to ops->hosts */
   int fetching;
-  struct peer_asker *askers;
-  co_incarnation_t asked; /* whom this host asked last */
-  peer_blame_t blames[PEER_BLAMES];
-  unsigned next_blame;
-  peer_sign_t *signs;
+  struct peer_pending_request *pending_requests;
+  co_incarnation_t last_source; /* host last asked for store updates */
+  peer_failed_source_t failed_sources[PEER_FAILED_SOURCES_MAX];
+  unsigned next_failed_source;
+  peer_leaving_notice_t *leaving_notices;
   peer_handover_t *handover;
   pr_place_t successor;
-  int handed; /* the successor may have taken something over */
+  int handover_started; /* the successor may have received a session */
 };
 
 struct pr_config
 {
   co_config_t *config;
-  int ready;         /* there is a configuration to serve with */
-  uint64_t history;  /* all removals after this revision are known */
-  pr_peers_t *peers; /* told what was seen */
+  int ready;               /* a configuration was received */
+  uint64_t complete_since; /* all removals after this revision are known */
+  pr_peers_t *peers;       /* announce the revision seen; may be NULL */
   pr_config_counts_t counts;
 };
 
 typedef void (*peer_serve_fn) (pr_peers_t *peers, net_rpc_req_t *req,
                                el_str_t body);
 
-/* XDR of one value, to and from bytes. */
-void peer_xdr_write (xdrproc_t proc, void *value, el_buf_t *out);
-int peer_xdr_read (xdrproc_t proc, el_str_t body, void *value);
+/* Encode and decode one XDR value. */
+void peer_xdr_encode (xdrproc_t proc, void *value, el_buf_t *out);
+int peer_xdr_decode (xdrproc_t proc, el_str_t body, void *value);
 
 /* peer_gossip.c */
-void peer_gossip_write (pr_peers_t *peers, const co_incarnation_t *to,
-                        el_buf_t *out);
+void peer_gossip_encode (pr_peers_t *peers, const co_incarnation_t *to,
+                         el_buf_t *out);
 void peer_probe (void *arg, uint64_t id, el_str_t address, el_str_t via);
 void peer_serve_gossip (pr_peers_t *peers, net_rpc_req_t *req, el_str_t body);
 void peer_serve_relay (pr_peers_t *peers, net_rpc_req_t *req, el_str_t body);
-void peer_ticked (pr_peers_t *peers);
-void peer_member_write (const co_member_t *from, peer_member *to);
-int peer_member_read (const peer_member *from, co_member_t *to);
-void peer_change_write (const co_change_t *from, peer_member_change *to);
-int peer_change_read (const peer_member_change *from, co_change_t *to);
+void peer_members_refresh (pr_peers_t *peers);
+void peer_member_encode (const co_member_t *from, peer_member *to);
+int peer_member_decode (const peer_member *from, co_member_t *to);
+void peer_change_encode (const co_change_t *from, peer_member_change *to);
+int peer_change_decode (const peer_member_change *from, co_change_t *to);
 
 /* peer_sync.c */
-void peer_sync (void *arg, el_str_t address);
+void peer_sync_members (void *arg, el_str_t address);
 void peer_serve_members (pr_peers_t *peers, net_rpc_req_t *req, el_str_t body);
 
 /* peer.c */
-void peer_seen (pr_peers_t *peers, uint64_t revision);
+void peer_set_config_revision (pr_peers_t *peers, uint64_t revision);
 
 /* peer_fetch.c */
 void peer_fetch (pr_peers_t *peers, const co_member_t *from);
@@ -100,8 +102,8 @@
 void peer_serve_news (pr_peers_t *peers, net_rpc_req_t *req, el_str_t body);
 
 /* peer_rumor.c */
-void peer_rumors_open (pr_peers_t *peers);
-void peer_rumors_armed (pr_peers_t *peers);
+void peer_rumors_init (pr_peers_t *peers);
+void peer_rumors_schedule (pr_peers_t *peers);
 void peer_rumors_compare (pr_peers_t *peers, el_str_t address,
                           uint64_t digest);
 void peer_serve_rumors (pr_peers_t *peers, net_rpc_req_t *req, el_str_t body);
--- a/peer/peer.c
+++ b/peer/peer.c
@@ -3,31 +3,33 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * The other hosts: the members, and which procedure serves which message.
+ * Set-up of the peer library, dispatch of messages from other hosts, and
+ * queries of the membership.
  */
 #include <stdlib.h>
 #include <string.h>
 
 #include "libpeer.h"
 
-#define PROBE_EVERY (500 * EL_MSEC)
+#define PROBE_INTERVAL (500 * EL_MSEC)
 #define PROBE_TIMEOUT (200 * EL_MSEC)
-#define FORGET_AFTER (600 * EL_SEC)
+#define MEMBER_FORGET_DELAY (600 * EL_SEC)
 #define NO_DELAY 0
 
 static const struct
 {
   uint32_t proc;
   peer_serve_fn serve;
-} procs[] = {
+} procedures[] = {
   { PEER_GOSSIP, peer_serve_gossip },     { PEER_FORWARD, peer_serve_forward },
   { PEER_RELAY, peer_serve_relay },       { PEER_FETCH, peer_serve_fetch },
   { PEER_HANDOVER, peer_serve_handover }, { PEER_NEWS, peer_serve_news },
   { PEER_MEMBERS, peer_serve_members },   { PEER_RUMORS, peer_serve_rumors },
 };
 
+/** Encode a value and append it to OUT. */
 void
-peer_xdr_write (xdrproc_t proc, void *value, el_buf_t *out)
+peer_xdr_encode (xdrproc_t proc, void *value, el_buf_t *out)
 {
   u_int size = (u_int)xdr_sizeof (proc, value);
   char *bytes = el_alloc (size);
@@ -40,10 +42,10 @@
   free (bytes);
 }
 
-/** Read a value that fills BODY to its end. What was allocated for it is
-    released by xdr_free, also after a failure. */
+/** Decode a value that takes up all of BODY. The caller releases it with
+    xdr_free, also after a failure. */
 int
-peer_xdr_read (xdrproc_t proc, el_str_t body, void *value)
+peer_xdr_decode (xdrproc_t proc, el_str_t body, void *value)
 {
   XDR xdr;
   int ok;
@@ -56,15 +58,15 @@
 }
 
 static void
-peers_serve (void *arg, net_rpc_req_t *req, uint32_t proc, el_str_t body)
+request_serve (void *arg, net_rpc_req_t *req, uint32_t proc, el_str_t body)
 {
   pr_peers_t *peers = arg;
   size_t i;
 
-  for (i = 0; i < sizeof procs / sizeof *procs; i++)
-    if (procs[i].proc == proc)
+  for (i = 0; i < sizeof procedures / sizeof *procedures; i++)
+    if (procedures[i].proc == proc)
       {
-        procs[i].serve (peers, req, body);
+        procedures[i].serve (peers, req, body);
         return;
       }
   peers->counts.refused++;
@@ -87,9 +89,9 @@
           EL_FN ("live", co_members_live (peers->members)));
 }
 
-/* Another host saw that an endpoint leaves. */
+/* Another host announced that an endpoint is shutting down. */
 static void
-member_leaving (void *arg, el_str_t endpoint)
+endpoint_leaving (void *arg, el_str_t endpoint)
 {
   pr_peers_t *peers = arg;
 
@@ -98,34 +100,35 @@
   peers->options.ops->leaving (peers->options.arg, endpoint);
 }
 
-/** Tell the holder how many hosts are live, and have the clock ask again. */
+/** Re-arm the membership timer, and report the number of live hosts if it
+    changed. */
 void
-peer_ticked (pr_peers_t *peers)
+peer_members_refresh (pr_peers_t *peers)
 {
   el_time_t now = net_clock_now (peers->options.clock);
   el_time_t due = co_members_next (peers->members);
   size_t live = co_members_live (peers->members);
 
-  net_clock_set (peers->options.clock, &peers->tick,
+  net_clock_set (peers->options.clock, &peers->members_timer,
                  due > now ? due - now : NO_DELAY);
-  if (live == peers->live)
+  if (live == peers->live_reported)
     return;
-  peers->live = live;
+  peers->live_reported = live;
   peers->options.ops->hosts (peers->options.arg, live);
 }
 
 static void
-peers_tick (void *arg, el_time_t now)
+members_timer_fired (void *arg, el_time_t now)
 {
   pr_peers_t *peers = arg;
 
   co_members_tick (peers->members, now);
-  peer_ticked (peers);
+  peer_members_refresh (peers);
 }
 
-/* The member that this host is. */
+/* Fill in this host's own entry of the member list. */
 static void
-member_self (const pr_options_t *o, co_member_t *out)
+self_describe (const pr_options_t *o, co_member_t *out)
 {
   out->incarnation = o->incarnation;
   out->peer = o->listen;
@@ -134,8 +137,8 @@
   out->capacity = o->capacity;
 }
 
-/** Listen for other hosts and find them; NULL, with the reason in ERR, when
-    the address can't be had. */
+/** Listen for other hosts and start to probe them. Returns NULL with the
+    reason in ERR when the listen address can't be bound. */
 pr_peers_t *
 pr_peers_new (const pr_options_t *options, el_err_t *err)
 {
@@ -143,21 +146,21 @@
   net_rpc_options_t rpc = { .clock = options->clock,
                             .listen = options->listen,
                             .key = options->key,
-                            .serve = peers_serve,
+                            .serve = request_serve,
                             .arg = peers,
                             .refused = &peers->counts.refused,
                             .messages = &peers->counts.messages,
                             .bytes = &peers->counts.bytes };
   co_members_options_t members = { .seeds = options->seeds,
                                    .seed = options->seed,
-                                   .period = PROBE_EVERY,
+                                   .period = PROBE_INTERVAL,
                                    .timeout = PROBE_TIMEOUT,
-                                   .forget = FORGET_AFTER,
+                                   .forget = MEMBER_FORGET_DELAY,
                                    .leaving_hold = options->leave_hold,
                                    .probe = peer_probe,
-                                   .sync = peer_sync,
+                                   .sync = peer_sync_members,
                                    .changed = member_changed,
-                                   .leaving = member_leaving,
+                                   .leaving = endpoint_leaving,
                                    .arg = peers };
 
   peers->options = *options;
@@ -168,31 +171,32 @@
       free (peers);
       return NULL;
     }
-  member_self (options, &members.self);
+  self_describe (options, &members.self);
   peers->members = co_members_new (&members);
-  peer_rumors_open (peers);
+  peer_rumors_init (peers);
   options->config->peers = peers;
-  peers->tick.cb = peers_tick;
-  peers->tick.arg = peers;
-  net_clock_set (options->clock, &peers->tick, NO_DELAY);
+  peers->members_timer.cb = members_timer_fired;
+  peers->members_timer.arg = peers;
+  net_clock_set (options->clock, &peers->members_timer, NO_DELAY);
   return peers;
 }
 
-/** What was exchanged so far. */
+/** Counters of messages exchanged with other hosts. */
 const pr_counts_t *
 pr_peers_counts (const pr_peers_t *peers)
 {
   return &peers->counts;
 }
 
-/** This host takes no new work. */
+/** Announce that this host is draining and takes no new work. */
 void
 pr_peers_drain (pr_peers_t *peers)
 {
   co_members_drain (peers->members, CO_MBR_ALIVE);
 }
 
-/** Callers should not be sent here for now, or may be again. */
+/** Announce that callers should not be directed to this host, or that they may
+    be again. */
 void
 pr_peers_withdraw (pr_peers_t *peers, int withdrawn)
 {
@@ -202,111 +206,114 @@
 void
 pr_peers_stop (pr_peers_t *peers)
 {
-  net_clock_cancel (peers->options.clock, &peers->tick);
-  net_clock_cancel (peers->options.clock, &peers->rumors_tick);
+  net_clock_cancel (peers->options.clock, &peers->members_timer);
+  net_clock_cancel (peers->options.clock, &peers->rumors_timer);
   net_rpc_stop (peers->rpc);
 }
 
-/** This host has seen all changes of configuration up to REVISION. */
+/** Announce that this host has seen all configuration changes up to REVISION.
+ */
 void
-peer_seen (pr_peers_t *peers, uint64_t revision)
+peer_set_config_revision (pr_peers_t *peers, uint64_t revision)
 {
   co_members_seen (peers->members, revision);
 }
 
-/** Whether this host is one of the few of its hall that ask the platform. */
+/** Whether this host is among the first MOST hosts of its hall; only these
+    poll the platform. */
 int
 pr_peers_chosen (const pr_peers_t *peers, size_t most)
 {
   return co_members_chosen (peers->members, most);
 }
 
-/** A sign that an endpoint leaves was seen here: tell the other hosts, not
-    more often than half the time for which it counts. */
+/** Announce to the other hosts that an endpoint is shutting down, at most once
+    per half of the time for which such an announcement is valid. */
 void
 pr_peers_endpoint_leaves (pr_peers_t *peers, el_str_t endpoint)
 {
   el_time_t now = net_clock_now (peers->options.clock);
-  peer_sign_t *sign;
+  peer_leaving_notice_t *notice;
 
   if (endpoint.len > CO_NAME_MAX)
     return;
-  HASH_FIND (hh, peers->signs, endpoint.ptr, (unsigned)endpoint.len, sign);
-  if (sign && now < sign->at + peers->options.leave_hold / 2)
+  HASH_FIND (hh, peers->leaving_notices, endpoint.ptr, (unsigned)endpoint.len,
+             notice);
+  if (notice && now < notice->at + peers->options.leave_hold / 2)
     return;
-  if (!sign)
+  if (!notice)
     {
-      sign = el_alloc (sizeof *sign);
-      memcpy (sign->endpoint, endpoint.ptr, endpoint.len);
-      HASH_ADD_KEYPTR (hh, peers->signs, sign->endpoint,
-                       (unsigned)endpoint.len, sign);
+      notice = el_alloc (sizeof *notice);
+      memcpy (notice->endpoint, endpoint.ptr, endpoint.len);
+      HASH_ADD_KEYPTR (hh, peers->leaving_notices, notice->endpoint,
+                       (unsigned)endpoint.len, notice);
     }
-  sign->at = now;
+  notice->at = now;
   co_members_endpoint (peers->members, now, endpoint);
 }
 
-/** Live hosts, this one included. */
+/** Number of live hosts, including this one. */
 size_t
 pr_peers_live (const pr_peers_t *peers)
 {
   return co_members_live (peers->members);
 }
 
-typedef struct force_arg
+typedef struct in_force_arg
 {
   uint64_t revision;
   size_t n;
-} force_arg_t;
+} in_force_arg_t;
 
 static void
-force_visit (void *arg, const co_member_t *member)
+in_force_visit (void *arg, const co_member_t *member)
 {
-  force_arg_t *force = arg;
+  in_force_arg_t *in_force = arg;
 
-  force->n += member->state <= CO_MBR_SUSPECT
-              && member->revision >= force->revision;
+  in_force->n += member->state <= CO_MBR_SUSPECT
+                 && member->revision >= in_force->revision;
 }
 
-/** Live hosts that have seen all changes up to REVISION, as far as this host
-    knows. */
+/** Number of live hosts known to have seen all configuration changes up to
+    REVISION. */
 size_t
 pr_peers_in_force (const pr_peers_t *peers, uint64_t revision)
 {
-  force_arg_t force = { revision, 0 };
+  in_force_arg_t in_force = { revision, 0 };
 
-  co_members_visit (peers->members, force_visit, &force);
-  return force.n;
+  co_members_visit (peers->members, in_force_visit, &in_force);
+  return in_force.n;
 }
 
-typedef struct prefer_arg
+typedef struct preferred_arg
 {
   const co_member_t *self;
   int first;
-} prefer_arg_t;
+} preferred_arg_t;
 
 static void
-prefer_visit (void *arg, const co_member_t *member)
+preferred_visit (void *arg, const co_member_t *member)
 {
-  prefer_arg_t *prefer = arg;
+  preferred_arg_t *preferred = arg;
 
   if (member->state != CO_MBR_ALIVE || member->offer == CO_MBR_DRAINING)
     return;
-  if (member->offer < prefer->self->offer
-      || (member->offer == prefer->self->offer
-          && co_member_before (member, prefer->self)))
-    prefer->first = 0;
+  if (member->offer < preferred->self->offer
+      || (member->offer == preferred->self->offer
+          && co_member_before (member, preferred->self)))
+    preferred->first = 0;
 }
 
-/** Whether no live host that stays comes before this one; those that are
-    withdrawn come after those that are not. */
+/** Whether this host comes first among the live hosts that are not draining.
+    Withdrawn hosts come after the others. */
 int
 pr_peers_preferred (const pr_peers_t *peers)
 {
-  prefer_arg_t prefer
+  preferred_arg_t preferred
       = { co_members_find (peers->members, &peers->options.incarnation), 1 };
 
-  co_members_visit (peers->members, prefer_visit, &prefer);
-  return prefer.first;
+  co_members_visit (peers->members, preferred_visit, &preferred);
+  return preferred.first;
 }
 
 typedef struct hall_arg
@@ -324,7 +331,7 @@
       += member->state == CO_MBR_ALIVE && el_str_eq (member->hall, hall->hall);
 }
 
-/** Live hosts of this host's hall, this one included. */
+/** Number of live hosts in this host's hall, including this one. */
 size_t
 pr_peers_hall_live (const pr_peers_t *peers)
 {
--- a/peer/peer.h
+++ b/peer/peer.h
@@ -3,10 +3,10 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * What hosts say to each other: who is there, the configuration, news of the
- * store and of engines, requests for sessions of other hosts. It knows the
- * network, the coordination parts and itself; what else it needs, it asks by
- * the table that it is given when it is made.
+ * Communication between hosts: membership, configuration, store updates,
+ * engine reports, and requests for sessions of other hosts. The library
+ * depends on the network and coordination libraries only; the rest of the host
+ * is reached through the callbacks in pr_ops_t.
  */
 #ifndef ELMARCH_PEER_H
 #define ELMARCH_PEER_H
@@ -18,7 +18,8 @@
 #include "peer_proto.h"
 #include "rpc.h"
 
-/** The bytes of a message's field, whose memory stays with its owner. */
+/** Set or get a variable-length field of an XDR message. The bytes are not
+    copied. */
 #define PEER_BYTES_SET(at, field, s)                                          \
   ((at).field##_val = (char *)(uintptr_t)(s).ptr,                             \
    (at).field##_len = (u_int)(s).len)
@@ -29,7 +30,7 @@
 
 typedef void (*pr_done_cb) (void *arg);
 
-/* The configuration in force, as the platform and other hosts tell of it. */
+/* Configuration received from the platform and from other hosts. */
 
 typedef struct pr_config pr_config_t;
 typedef struct pr_sync pr_sync_t;
@@ -37,7 +38,7 @@
 typedef struct pr_config_counts
 {
   uint64_t applied;
-  uint64_t stale; /**< changes that came after a newer one */
+  uint64_t stale; /**< changes not applied, as a newer one was in force */
 } pr_config_counts_t;
 
 pr_config_t *pr_config_new (co_config_t *config);
@@ -49,11 +50,11 @@
 void pr_sync_end (pr_sync_t *sync, uint64_t revision, int whole);
 void pr_sync_drop (pr_sync_t *sync);
 
-/* News of the store and of engines. */
+/* Store updates and engine reports. */
 
-/** A place in the history of the store. A store that goes on from an older
-   copy begins an epoch and gives revisions out again: a revision has an order
-    within its epoch only. */
+/** A position in the history of the store. A store restored from an older copy
+    starts a new epoch and reuses revision numbers, so revisions are ordered
+    within one epoch only. */
 typedef struct pr_position
 {
   uint64_t epoch;
@@ -62,44 +63,45 @@
 
 int pr_position_cmp (pr_position_t a, pr_position_t b);
 
-/** A key as the store has it. */
+/** A key of the store, with its value or its removal. */
 typedef struct pr_item
 {
   el_str_t key;
   el_str_t value;
-  uint64_t revision; /**< of its last change, in the epoch of its list */
-  int gone;          /**< the change removed it */
+  uint64_t
+      revision; /**< of its last change, in the epoch of the list it is in */
+  int gone;     /**< the last change removed the key */
 } pr_item_t;
 
-/** What one who follows the store was told: changes, or all there is when
-    WHOLE. */
+/** Contents of the store: the keys changed since a position, or, when WHOLE is
+    set, all keys. */
 typedef struct pr_news
 {
   pr_item_t *items;
   size_t n;
   int whole;
-  pr_position_t at; /**< changes up to it were told */
-  el_time_t as_of;  /**< by this host's clock */
+  pr_position_t at; /**< the list includes all changes up to it */
+  el_time_t as_of;  /**< when the list was current, by this host's clock */
 } pr_news_t;
 
-/** NEWS is NULL when nobody answered, or one that knows nothing itself. */
+/** NEWS is NULL when the host did not answer or had no data itself. */
 typedef void (*pr_news_cb) (void *arg, const pr_news_t *news);
 
-/** How an engine does, as one host tells another. */
+/** State of an engine, as one host reports it to another. */
 typedef struct pr_engine
 {
   el_str_t id;
-  uint64_t born; /**< of the start that told; 0: not known */
-  double fill;   /**< share of its memory beside the layers in use */
+  uint64_t born; /**< identifies the engine's start; 0: not known */
+  double fill;   /**< share in use of the memory that the layers leave free */
   double pace;   /**< how much slower than its kind it runs */
-  double taken;  /**< requests there, against its slots */
-  el_time_t age; /**< of all three */
-  int silent;    /**< it gives no sign of life */
+  double taken;  /**< requests on the engine, divided by its slots */
+  el_time_t age; /**< of the three values above */
+  int silent;    /**< the engine does not answer health checks */
 } pr_engine_t;
 
 /* Requests for sessions of other hosts. */
 
-/** Where a session is at home. */
+/** The host that keeps a session: its home. */
 typedef struct pr_place
 {
   co_incarnation_t incarnation;
@@ -107,16 +109,16 @@
   el_str_t http;
 } pr_place_t;
 
-/** A call to a service that another host is to run. */
+/** A service request forwarded to the home of its session. */
 typedef struct pr_call
 {
   co_token_t token;
-  pr_place_t where; /**< the host */
+  pr_place_t where; /**< home of the session */
   uint64_t sequence;
   uint64_t digest;
   el_time_t deadline; /**< on this host's clock */
   int repeatable;
-  unsigned hops; /**< hosts that forwarded it so far */
+  unsigned hops; /**< times it was forwarded so far */
   el_str_t target;
   el_str_t method;
   el_str_t path;
@@ -125,7 +127,7 @@
   el_str_t body;
 } pr_call_t;
 
-/** The outcome of a forwarded call. */
+/** The outcome of a forwarded request. */
 typedef struct pr_called
 {
   int answered; /**< 0: the home did not answer */
@@ -140,61 +142,64 @@
 
 typedef enum pr_home
 {
-  PR_HOME_LIVE,   /**< the home's incarnation answers */
-  PR_HOME_GONE,   /**< another incarnation is at its address */
-  PR_HOME_UNKNOWN /**< it can't be reached now */
+  PR_HOME_LIVE,   /**< the expected incarnation answered */
+  PR_HOME_GONE,   /**< another incarnation answered at its address */
+  PR_HOME_UNKNOWN /**< no answer */
 } pr_home_t;
 
 typedef void (*pr_home_cb) (void *arg, pr_home_t state);
 
-/** What the peers need of the rest of a host. */
+/** Callbacks into the rest of the host. */
 typedef struct pr_ops
 {
-  /** So many hosts are live. */
+  /** The number of live hosts changed. */
   void (*hosts) (void *arg, size_t live);
-  /** An endpoint leaves, as another host has seen. */
+  /** Another host announced that an endpoint is shutting down. */
   void (*leaving) (void *arg, el_str_t endpoint);
-  /** Give what was seen of the store after a position; gives 0 when this host
-      does not follow it, or lags behind that epoch. The list is freed by the
-      caller, the strings stay. */
+  /** Get the store's changes after a position. Returns 0 when this host does
+      not follow the store, or has not reached that epoch. The caller frees the
+      list but not the strings. */
   int (*news) (void *arg, pr_position_t after, pr_news_t *out);
-  /** Up to where this host has seen the store's changes. */
+  /** The position up to which this host has seen the store's changes. */
   pr_position_t (*position) (void *arg);
-  /** Another host knows of an epoch of the store. */
+  /** Another host has seen this epoch of the store. */
   void (*epoch) (void *arg, uint64_t epoch);
-  /** All changes of the store before this time are known here; 0: none. */
+  /** The time up to which all changes of the store are known here; 0: no data
+      yet. */
   el_time_t (*known) (void *arg);
-  /** Give a list of engines, which the caller frees; the strings stay. */
+  /** Get the engine reports of this host. The caller frees the list but not
+      the strings. */
   size_t (*engines) (void *arg, pr_engine_t **out);
-  /** Another host told of engines. */
+  /** Another host sent engine reports. */
   void (*engines_heard) (void *arg, const pr_engine_t *engines, size_t n);
-  /** Another host told a rumor that was not known here. */
+  /** Another host sent a rumor that was not known here. */
   void (*rumor) (void *arg, const co_rumor_t *rumor);
-  /** Run a call for another host and answer REQ by pr_call_answer; CALL is
-      NULL when its session is not at home here. */
+  /** Run a request forwarded by another host and reply to REQ with
+      pr_call_answer. CALL is NULL when the request is invalid or this host is
+      not the home of its session. */
   void (*call) (void *arg, net_rpc_req_t *req, const pr_call_t *call);
-  /** Put an answer that the ledger keeps into a message, which then owns what
-      it points to but for strings. */
+  /** Encode an answer stored in the ledger. The message then owns all that it
+      points to except strings. */
   void (*answer_write) (void *arg, const void *answer, peer_answer *out);
-  /** Make an answer of a message; gives its size, too. */
+  /** Decode an answer to be stored in the ledger, and return its size. */
   void *(*answer_read) (void *arg, const peer_answer *from, size_t *bytes);
-  /** All sessions of a message were taken over. */
+  /** A handover message of another host was processed. */
   void (*taken_over) (void *arg);
 } pr_ops_t;
 
 typedef struct pr_options
 {
   net_clock_t *clock;
-  el_str_t listen; /**< other hosts, ip:port */
-  el_str_t seeds;  /**< other hosts' addresses, with commas */
-  el_str_t http;   /**< where this host's callers connect, ip:port */
+  el_str_t listen; /**< address for other hosts, ip:port */
+  el_str_t seeds;  /**< addresses of other hosts, comma-separated */
+  el_str_t http;   /**< address for callers, ip:port */
   el_str_t hall;
-  el_str_t key;                 /**< shared by the hosts */
+  el_str_t key;                 /**< shared by all hosts */
   co_incarnation_t incarnation; /**< of this host */
   uint64_t capacity;            /**< see co_member_t */
-  uint64_t store_followers;     /**< hosts of a hall that follow the store */
-  el_time_t leave_hold; /**< a sign that an endpoint leaves counts so long */
-  uint64_t seed;        /**< hosts should differ in it */
+  uint64_t store_followers;     /**< hosts per hall that poll the store */
+  el_time_t leave_hold; /**< lifetime of a report that an endpoint leaves */
+  uint64_t seed;        /**< of the random numbers; differs between hosts */
   pr_config_t *config;
   co_ledger_t *ledger;
   const pr_ops_t *ops;
@@ -203,7 +208,7 @@
 
 typedef struct pr_counts
 {
-  uint64_t refused; /**< messages that are not from a host of ours */
+  uint64_t refused; /**< invalid or unauthenticated messages */
   uint64_t messages;
   uint64_t bytes;
 } pr_counts_t;
@@ -215,7 +220,7 @@
 void pr_peers_withdraw (pr_peers_t *peers, int withdrawn);
 void pr_peers_endpoint_leaves (pr_peers_t *peers, el_str_t endpoint);
 
-/* Who is there. */
+/* Membership. */
 int pr_peers_chosen (const pr_peers_t *peers, size_t most);
 int pr_peers_leads (const pr_peers_t *peers);
 int pr_peers_preferred (const pr_peers_t *peers);
@@ -227,7 +232,7 @@
 void pr_peers_addresses (pr_peers_t *peers, el_str_t hall, json_t *list);
 json_t *pr_peers_dump (const pr_peers_t *peers);
 
-/* News. */
+/* Store updates. */
 void pr_peers_heard (pr_peers_t *peers);
 void pr_peers_blame_news (pr_peers_t *peers);
 int pr_peers_ask_news (pr_peers_t *peers, pr_position_t after, unsigned old,
--- a/peer/peer_config.c
+++ b/peer/peer_config.c
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Puts what the platform or another host tells of the configuration in force.
+ * Applies configuration changes received from the platform or another host.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -15,17 +15,17 @@
 struct pr_sync
 {
   pr_config_t *config;
-  json_t *seen; /* keys that were told of */
+  json_t *listed; /* keys received in this update */
 };
 
-/* Resources that a whole configuration no longer holds. */
+/* Finds the resources that a complete configuration no longer contains. */
 typedef struct prune_arg
 {
-  json_t *seen;
-  json_t *gone;
+  json_t *listed;
+  json_t *removed;
 } prune_arg_t;
 
-/** A configuration in force that other hosts may be told of. */
+/** Wrap CONFIG so that it can be updated from, and served to, other hosts. */
 pr_config_t *
 pr_config_new (co_config_t *config)
 {
@@ -35,28 +35,28 @@
   return out;
 }
 
-/** Whether there is a configuration to serve with. */
+/** Whether a configuration was received. */
 int
 pr_config_ready (const pr_config_t *config)
 {
   return config->ready;
 }
 
-/** What came of the changes told so far. */
+/** Counters of applied and stale changes. */
 const pr_config_counts_t *
 pr_config_counts (const pr_config_t *config)
 {
   return &config->counts;
 }
 
-/** Changes are about to be told. */
+/** Start an update. */
 pr_sync_t *
 pr_sync_begin (pr_config_t *config)
 {
   pr_sync_t *sync = el_alloc (sizeof *sync);
 
   sync->config = config;
-  sync->seen = json_object ();
+  sync->listed = json_object ();
   return sync;
 }
 
@@ -67,7 +67,8 @@
             name.ptr);
 }
 
-/** Put one change in force unless a newer one is: SPEC, or a removal. */
+/** Apply one change unless a newer one is in force. A NULL SPEC removes the
+    resource. */
 void
 pr_sync_item (pr_sync_t *sync, co_kind_t kind, el_str_t name,
               uint64_t revision, json_t *spec)
@@ -79,7 +80,7 @@
   el_err_t err;
 
   sync_key (key, kind, name);
-  json_object_set_new (sync->seen, key, json_true ());
+  json_object_set_new (sync->listed, key, json_true ());
   if (!spec)
     status = co_config_remove (config->config, kind, name, revision, &err);
   else
@@ -107,16 +108,16 @@
   char key[KEY_MAX];
 
   sync_key (key, res->kind, res->name);
-  if (!json_object_get (prune->seen, key))
-    json_object_set_new (prune->gone, key, json_true ());
+  if (!json_object_get (prune->listed, key))
+    json_object_set_new (prune->removed, key, json_true ());
 }
 
-/* What a whole configuration does not hold was removed. A resource with a
-   later revision came after it and stays. */
+/* Remove the resources that a complete configuration does not contain. A
+   resource with a later revision was added after it and stays. */
 static void
 sync_prune (pr_sync_t *sync, uint64_t revision)
 {
-  prune_arg_t prune = { sync->seen, json_object () };
+  prune_arg_t prune = { sync->listed, json_object () };
   const co_resource_t *res;
   const char *key;
   json_t *value;
@@ -124,7 +125,7 @@
   co_kind_t kind;
 
   co_config_visit (sync->config->config, prune_visit, &prune);
-  json_object_foreach (prune.gone, key, value)
+  json_object_foreach (prune.removed, key, value)
   {
     rest = el_str (key);
     if (!co_kind_parse (el_str_cut (&rest, '/'), &kind))
@@ -133,11 +134,12 @@
     if (res && res->revision < revision)
       co_config_remove (sync->config->config, kind, rest, revision, NULL);
   }
-  json_decref (prune.gone);
+  json_decref (prune.removed);
 }
 
-/** All changes up to REVISION were told, by one that has a configuration.
-    WHOLE: what was not told of is not there. */
+/** Finish an update that included all changes up to REVISION. WHOLE says that
+    it was a complete configuration: resources that were not in it are removed.
+ */
 void
 pr_sync_end (pr_sync_t *sync, uint64_t revision, int whole)
 {
@@ -147,21 +149,23 @@
     {
       sync_prune (sync, revision);
       if (!config->ready || revision > co_config_revision (config->config))
-        config->history = revision;
+        config->complete_since = revision;
       EL_LOG (EL_LOG_INFO, "config_whole", EL_FN ("revision", revision),
               EL_FN ("resources", co_config_count (config->config)));
     }
   co_config_advance (config->config, revision);
   config->ready = 1;
   if (config->peers)
-    peer_seen (config->peers, co_config_revision (config->config));
+    peer_set_config_revision (config->peers,
+                              co_config_revision (config->config));
   pr_sync_drop (sync);
 }
 
-/** Nothing more is told, and nothing is known of what was not told of. */
+/** End an update without a revision: what was applied stays, nothing is
+    concluded about other resources. */
 void
 pr_sync_drop (pr_sync_t *sync)
 {
-  json_decref (sync->seen);
+  json_decref (sync->listed);
   free (sync);
 }
--- a/peer/peer_entry.c
+++ b/peer/peer_entry.c
@@ -3,22 +3,23 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Where callers are sent: hosts that live and are offered.
+ * Lists of the hosts that callers are directed to.
  */
 #include "libpeer.h"
 
-/* Hosts of a caller's own hall are told alone when there are this many: one
-   alone would have callers wait for the next look-up if it dies. */
-#define OWN_HALL_ENOUGH 2
-/* Most addresses that a look-up is answered with: the platform's callers take
-   no more. */
+/* Callers get only hosts of their own hall if it offers at least this many.
+   With a single host, its failure would leave callers without an address until
+   their next look-up. */
+#define OWN_HALL_MIN 2
+/* Maximum number of addresses in a look-up reply; the platform's callers
+   accept no more. */
 #define ADDRESSES_MAX 64
 
-/* Which members are collected. */
+/* Filter for members, and the members that matched. */
 typedef struct entry_list
 {
-  el_str_t hall;        /* empty takes all */
-  co_mbr_offer_t worst; /* that is taken */
+  el_str_t hall;        /* empty: all halls */
+  co_mbr_offer_t worst; /* members beyond this value are left out */
   const co_member_t **list;
   size_t n;
 } entry_list_t;
@@ -46,8 +47,8 @@
   co_members_visit (peers->members, entry_visit, entries);
 }
 
-/** Append at most MOST hosts that are offered to HOSTS, in an order that
-    SPREAD picks. */
+/** Append at most MOST of the offered hosts to HOSTS, starting at an index
+    given by SPREAD. */
 void
 pr_peers_entries (const pr_peers_t *peers, json_t *hosts, size_t most,
                   uint64_t spread)
@@ -68,9 +69,9 @@
   free (entries.list);
 }
 
-/* Those that callers of HALL are told: hosts of their own hall while enough of
-   them are offered, else all that are, else, as all are as good then, those
-   that are withdrawn, and at last those that end. */
+/* Collect the hosts for callers of HALL: the offered hosts of that hall if
+   there are enough, else all offered hosts. If no host is offered, fall back
+   to withdrawn and finally to draining hosts. */
 static void
 addresses_collect (const pr_peers_t *peers, el_str_t hall,
                    entry_list_t *entries)
@@ -78,7 +79,7 @@
   co_mbr_offer_t worst;
 
   entries_collect (peers, entries, hall, CO_MBR_OFFERED);
-  if (entries->n >= OWN_HALL_ENOUGH)
+  if (entries->n >= OWN_HALL_MIN)
     return;
   for (worst = CO_MBR_OFFERED; worst <= CO_MBR_DRAINING; worst++)
     {
@@ -88,8 +89,8 @@
     }
 }
 
-/** Append the addresses for callers of HALL to LIST; where there are too many
-    for an answer, others each time. */
+/** Append the addresses for callers of HALL to LIST. When they do not all fit
+    into a reply, each call selects others at random. */
 void
 pr_peers_addresses (pr_peers_t *peers, el_str_t hall, json_t *list)
 {
--- a/peer/peer_fetch.c
+++ b/peer/peer_fetch.c
@@ -3,8 +3,9 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Configuration from another host: the changes after what was seen here, or
- * all of it when the other host does not know of every removal since then.
+ * Fetches configuration from another host: the changes after the revision seen
+ * here, or the complete configuration when the other host does not know all
+ * removals since that revision.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -13,7 +14,7 @@
 
 #define FETCH_TIMEOUT (5 * EL_SEC)
 
-/* Changes on their way into a message. */
+/* Changes collected for a reply. */
 typedef struct fetch_list
 {
   peer_change *list;
@@ -42,7 +43,7 @@
   PEER_BYTES_SET (change->spec, spec, spec);
 }
 
-/** Tell another host what it has not seen. */
+/** Reply with the configuration changes that the other host has not seen. */
 void
 peer_serve_fetch (pr_peers_t *peers, net_rpc_req_t *req, el_str_t body)
 {
@@ -54,18 +55,18 @@
   size_t i;
 
   memset (&res, 0, sizeof res);
-  if (peer_xdr_read ((xdrproc_t)xdr_peer_fetch_args, body, &args)
+  if (peer_xdr_decode ((xdrproc_t)xdr_peer_fetch_args, body, &args)
       && config->ready)
     {
       res.ready = 1;
-      res.whole = args.after < config->history;
+      res.whole = args.after < config->complete_since;
       res.revision = co_config_revision (config->config);
       co_config_since (config->config, res.whole ? 0 : args.after, change_add,
                        &changes);
     }
   res.changes.changes_val = changes.list;
   res.changes.changes_len = (u_int)changes.len;
-  peer_xdr_write ((xdrproc_t)xdr_peer_fetch_res, &res, &out);
+  peer_xdr_encode ((xdrproc_t)xdr_peer_fetch_res, &res, &out);
   net_rpc_reply (req, el_buf_str (&out));
   for (i = 0; i < changes.len; i++)
     free (changes.list[i].spec.spec_val);
@@ -104,14 +105,14 @@
   (void)sent;
   peers->fetching = 0;
   memset (&res, 0, sizeof res);
-  if (ok && peer_xdr_read ((xdrproc_t)xdr_peer_fetch_res, body, &res)
+  if (ok && peer_xdr_decode ((xdrproc_t)xdr_peer_fetch_res, body, &res)
       && res.ready)
     fetch_apply (peers, &res);
   xdr_free ((xdrproc_t)xdr_peer_fetch_res, (char *)&res);
 }
 
-/** Ask FROM for what it has seen and this host has not; one such call at a
-    time. */
+/** Request the configuration changes that this host has not seen from FROM;
+    does nothing while another such request is pending. */
 void
 peer_fetch (pr_peers_t *peers, const co_member_t *from)
 {
@@ -122,7 +123,7 @@
   if (peers->fetching)
     return;
   peers->fetching = 1;
-  peer_xdr_write ((xdrproc_t)xdr_peer_fetch_args, &args, &body);
+  peer_xdr_encode ((xdrproc_t)xdr_peer_fetch_args, &args, &body);
   net_rpc_call (peers->rpc, from->peer, PEER_FETCH, el_buf_str (&body),
                 FETCH_TIMEOUT, fetch_done, peers);
   el_buf_free (&body);
--- a/peer/peer_forward.c
+++ b/peer/peer_forward.c
@@ -3,25 +3,26 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Requests for sessions whose home is another host.
+ * Forwards requests of sessions whose home is another host.
  */
 #include <stdlib.h>
 #include <string.h>
 
 #include "libpeer.h"
 
-#define HOME_TIMEOUT (500 * EL_MSEC)
-/* Hosts that took a session over one after another. */
+#define HOME_CHECK_TIMEOUT (500 * EL_MSEC)
+/* Longest chain of successors followed to find a session's home. */
 #define SUCCESSORS_MAX 16
 
-/* Waits for the home's answer. */
-typedef struct home_wait
+/* Check of whether a home is live, pending its reply. */
+typedef struct home_check
 {
   co_incarnation_t home;
   pr_home_cb done;
   void *arg;
-} home_wait_t;
+} home_check_t;
 
+/* A forwarded request, pending the home's reply. */
 typedef struct forward_wait
 {
   pr_called_cb done;
@@ -29,16 +30,16 @@
 } forward_wait_t;
 
 static void
-home_done (void *arg, int ok, int sent, el_str_t body)
+home_check_done (void *arg, int ok, int sent, el_str_t body)
 {
-  home_wait_t *wait = arg;
+  home_check_t *wait = arg;
   pr_home_t state = PR_HOME_UNKNOWN;
   co_incarnation_t there;
   peer_gossip res;
 
   (void)sent;
   memset (&res, 0, sizeof res);
-  if (ok && peer_xdr_read ((xdrproc_t)xdr_peer_gossip, body, &res))
+  if (ok && peer_xdr_decode ((xdrproc_t)xdr_peer_gossip, body, &res))
     {
       memcpy (there.byte, res.self.incarnation, CO_INCARNATION_BYTES);
       state = co_incarnation_eq (&there, &wait->home) ? PR_HOME_LIVE
@@ -49,8 +50,9 @@
   free (wait);
 }
 
-/** Whether a session is at home elsewhere, and where: at the host that its
-    token names, or at the last of those that took its sessions over. */
+/** Whether a session's home is another host, returned in OUT: the host named
+    in its token or, after handovers, the last live host of the chain of
+    successors. */
 int
 pr_peers_where (pr_peers_t *peers, const co_token_t *token, pr_place_t *out)
 {
@@ -75,24 +77,25 @@
   return 1;
 }
 
-/** Ask whether the incarnation that is expected at a place is still there. */
+/** Check whether the expected incarnation still answers at a home's address.
+ */
 void
 pr_peers_ask_home (pr_peers_t *peers, const pr_place_t *where, pr_home_cb done,
                    void *arg)
 {
-  home_wait_t *wait = el_alloc (sizeof *wait);
+  home_check_t *wait = el_alloc (sizeof *wait);
   el_buf_t body = { NULL, 0, 0 };
 
   wait->home = where->incarnation;
   wait->done = done;
   wait->arg = arg;
-  peer_gossip_write (peers, &where->incarnation, &body);
+  peer_gossip_encode (peers, &where->incarnation, &body);
   net_rpc_call (peers->rpc, where->peer, PEER_GOSSIP, el_buf_str (&body),
-                HOME_TIMEOUT, home_done, wait);
+                HOME_CHECK_TIMEOUT, home_check_done, wait);
   el_buf_free (&body);
 }
 
-/** Headers as they came; they point into LIST. */
+/** Decode headers; the strings point into LIST. */
 net_header_t *
 pr_headers_read (const peer_header *list, u_int n)
 {
@@ -109,7 +112,7 @@
   return headers;
 }
 
-/** Headers on their way; they point into HEADERS. */
+/** Encode headers; the strings point into HEADERS. */
 peer_header *
 pr_headers_write (const net_header_t *headers, size_t n)
 {
@@ -136,7 +139,7 @@
 
   (void)sent;
   memset (&res, 0, sizeof res);
-  if (ok && peer_xdr_read ((xdrproc_t)xdr_peer_forward_res, body, &res))
+  if (ok && peer_xdr_decode ((xdrproc_t)xdr_peer_forward_res, body, &res))
     {
       headers
           = pr_headers_read (res.headers.headers_val, res.headers.headers_len);
@@ -153,9 +156,9 @@
   free (wait);
 }
 
-/** Hand a call to its session's home and bring the answer back. Nothing is
-    known of a call that the home does not answer: an earlier arrival of it
-    may have run there. */
+/** Forward a request to its session's home and return the reply. If the home
+    does not reply, it is unknown whether the request ran: an earlier copy of
+    it may have run there. */
 void
 pr_peers_forward (pr_peers_t *peers, const pr_call_t *call, pr_called_cb done,
                   void *arg)
@@ -182,7 +185,7 @@
   PEER_BYTES_SET (args.body, body, call->body);
   args.headers.headers_val = pr_headers_write (call->headers, call->nheaders);
   args.headers.headers_len = (u_int)call->nheaders;
-  peer_xdr_write ((xdrproc_t)xdr_peer_forward_args, &args, &body);
+  peer_xdr_encode ((xdrproc_t)xdr_peer_forward_args, &args, &body);
   net_rpc_call (peers->rpc, call->where.peer, PEER_FORWARD, el_buf_str (&body),
                 args.deadline_us + EL_SEC, forward_done, wait);
   free (args.headers.headers_val);
@@ -190,7 +193,7 @@
   el_buf_free (&body);
 }
 
-/** Answer another host's call. */
+/** Reply to a request that another host forwarded. */
 void
 pr_call_answer (net_rpc_req_t *req, const pr_called_t *called)
 {
@@ -204,13 +207,13 @@
       = pr_headers_write (called->headers, called->nheaders);
   res.headers.headers_len = (u_int)called->nheaders;
   PEER_BYTES_SET (res.body, body, called->body);
-  peer_xdr_write ((xdrproc_t)xdr_peer_forward_res, &res, &out);
+  peer_xdr_encode ((xdrproc_t)xdr_peer_forward_res, &res, &out);
   net_rpc_reply (req, el_buf_str (&out));
   free (res.headers.headers_val);
   el_buf_free (&out);
 }
 
-/** Run a call for a session whose home is here. */
+/** Run a forwarded request of a session whose home is this host. */
 void
 peer_serve_forward (pr_peers_t *peers, net_rpc_req_t *req, el_str_t body)
 {
@@ -221,7 +224,7 @@
   el_err_t err;
 
   memset (&args, 0, sizeof args);
-  if (!peer_xdr_read ((xdrproc_t)xdr_peer_forward_args, body, &args)
+  if (!peer_xdr_decode ((xdrproc_t)xdr_peer_forward_args, body, &args)
       || co_token_read (PEER_BYTES_GET (args.token, token), o->key,
                         &call.token, &err)
       || pr_peers_where (peers, &call.token, &call.where))
--- a/peer/peer_gossip.c
+++ b/peer/peer_gossip.c
@@ -3,32 +3,32 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Probes between hosts: the members' messages, in datagrams.
+ * Membership probes between hosts: gossip messages in datagrams.
  */
 #include <stdlib.h>
 #include <string.h>
 
 #include "libpeer.h"
 
-#define PROBE_WAIT EL_SEC
+#define PROBE_RPC_TIMEOUT EL_SEC
 
-/* Waits for the answer to a probe. */
+/* A probe of this host, pending its reply. */
 typedef struct probe_wait
 {
   pr_peers_t *peers;
   uint64_t id;
 } probe_wait_t;
 
-/* Waits for an answer that another host asked for. */
+/* A probe sent on behalf of another host, pending its reply. */
 typedef struct relay_wait
 {
   pr_peers_t *peers;
   net_rpc_req_t *req;
 } relay_wait_t;
 
-/** Put a member into a message; its strings are not copied. */
+/** Encode a member; its strings are not copied. */
 void
-peer_member_write (const co_member_t *from, peer_member *to)
+peer_member_encode (const co_member_t *from, peer_member *to)
 {
   memcpy (to->incarnation, from->incarnation.byte, CO_INCARNATION_BYTES);
   PEER_BYTES_SET (to->peer, peer, from->peer);
@@ -42,9 +42,10 @@
   to->offer = from->offer;
 }
 
-/** Read a member whose strings point into FROM; gives 0 when it is none. */
+/** Decode a member; its strings point into FROM. Returns 0 when its state or
+    offer is invalid. */
 int
-peer_member_read (const peer_member *from, co_member_t *to)
+peer_member_decode (const peer_member *from, co_member_t *to)
 {
   memcpy (to->incarnation.byte, from->incarnation, CO_INCARNATION_BYTES);
   to->peer = PEER_BYTES_GET (from->peer, peer);
@@ -60,9 +61,9 @@
          && from->offer >= CO_MBR_OFFERED && from->offer <= CO_MBR_DRAINING;
 }
 
-/** Put how a member is into a message. */
+/** Encode a change of a member's state. */
 void
-peer_change_write (const co_change_t *from, peer_member_change *to)
+peer_change_encode (const co_change_t *from, peer_member_change *to)
 {
   memcpy (to->incarnation, from->incarnation.byte, CO_INCARNATION_BYTES);
   to->counter = from->counter;
@@ -70,9 +71,10 @@
   to->offer = from->offer;
 }
 
-/** Read how a member is; gives 0 when that is nothing known. */
+/** Decode a change of a member's state. Returns 0 when its state or offer is
+    invalid. */
 int
-peer_change_read (const peer_member_change *from, co_change_t *to)
+peer_change_decode (const peer_member_change *from, co_change_t *to)
 {
   memcpy (to->incarnation.byte, from->incarnation, CO_INCARNATION_BYTES);
   to->counter = from->counter;
@@ -82,10 +84,11 @@
          && from->offer >= CO_MBR_OFFERED && from->offer <= CO_MBR_DRAINING;
 }
 
-/** Append this host's message to the member TO. */
+/** Append this host's gossip message for the member TO to OUT. TO is NULL when
+    the receiver's incarnation is not known. */
 void
-peer_gossip_write (pr_peers_t *peers, const co_incarnation_t *to,
-                   el_buf_t *out)
+peer_gossip_encode (pr_peers_t *peers, const co_incarnation_t *to,
+                    el_buf_t *out)
 {
   peer_member members[CO_NEWS_MEMBERS];
   peer_member_change changes[CO_NEWS_CHANGES];
@@ -95,11 +98,11 @@
   size_t i;
 
   co_members_speak (peers->members, to, &gossip);
-  peer_member_write (&gossip.self, &message.self);
+  peer_member_encode (&gossip.self, &message.self);
   for (i = 0; i < gossip.nmembers; i++)
-    peer_member_write (&gossip.members[i], &members[i]);
+    peer_member_encode (&gossip.members[i], &members[i]);
   for (i = 0; i < gossip.nchanges; i++)
-    peer_change_write (&gossip.changes[i], &changes[i]);
+    peer_change_encode (&gossip.changes[i], &changes[i]);
   for (i = 0; i < gossip.nleaving; i++)
     {
       leaving[i].id = gossip.leaving[i].id;
@@ -114,15 +117,16 @@
   message.changes.changes_len = (u_int)gossip.nchanges;
   message.leaving.leaving_val = leaving;
   message.leaving.leaving_len = (u_int)gossip.nleaving;
-  peer_xdr_write ((xdrproc_t)xdr_peer_gossip, &message, out);
+  peer_xdr_encode ((xdrproc_t)xdr_peer_gossip, &message, out);
 }
 
-/* The strings of OUT point into FROM. */
+/* Decode a gossip message; the strings of OUT point into FROM. Returns 0 when
+   it is invalid. */
 static int
-gossip_read (const peer_gossip *from, co_gossip_t *out)
+gossip_decode (const peer_gossip *from, co_gossip_t *out)
 {
   size_t i;
-  int ok = peer_member_read (&from->self, &out->self);
+  int ok = peer_member_decode (&from->self, &out->self);
 
   ok = ok && from->members.members_len <= CO_NEWS_MEMBERS
        && from->changes.changes_len <= CO_NEWS_CHANGES
@@ -133,11 +137,13 @@
   out->nchanges = from->changes.changes_len;
   for (i = 0; i < out->nchanges; i++)
     ok = ok
-         && peer_change_read (&from->changes.changes_val[i], &out->changes[i]);
+         && peer_change_decode (&from->changes.changes_val[i],
+                                &out->changes[i]);
   out->nmembers = from->members.members_len;
   for (i = 0; i < out->nmembers; i++)
     ok = ok
-         && peer_member_read (&from->members.members_val[i], &out->members[i]);
+         && peer_member_decode (&from->members.members_val[i],
+                                &out->members[i]);
   out->nleaving = from->leaving.leaving_len;
   for (i = 0; i < out->nleaving; i++)
     {
@@ -148,16 +154,16 @@
   return ok;
 }
 
-/* A host that has seen more of the configuration is asked for it, one that
-   knows other rumors for those. */
+/* Fetch from the sender what this host lacks: newer configuration, and rumors
+   if the digests of the two hosts differ. */
 static void
-gossip_heard (pr_peers_t *peers, const co_gossip_t *gossip, uint64_t rumors)
+gossip_received (pr_peers_t *peers, const co_gossip_t *gossip, uint64_t rumors)
 {
   peer_rumors_compare (peers, gossip->self.peer, rumors);
   if (gossip->self.revision
       > co_config_revision (peers->options.config->config))
     peer_fetch (peers, &gossip->self);
-  peer_ticked (peers);
+  peer_members_refresh (peers);
 }
 
 static void
@@ -170,17 +176,17 @@
 
   (void)sent;
   memset (&message, 0, sizeof message);
-  ok = ok && peer_xdr_read ((xdrproc_t)xdr_peer_gossip, body, &message)
-       && gossip_read (&message, &gossip);
+  ok = ok && peer_xdr_decode ((xdrproc_t)xdr_peer_gossip, body, &message)
+       && gossip_decode (&message, &gossip);
   co_members_answer (peers->members, net_clock_now (peers->options.clock),
                      wait->id, ok, &gossip);
   if (ok)
-    gossip_heard (peers, &gossip, message.rumors);
+    gossip_received (peers, &gossip, message.rumors);
   xdr_free ((xdrproc_t)xdr_peer_gossip, (char *)&message);
   free (wait);
 }
 
-/** Probe a host, by way of another when VIA is given. */
+/** Probe a host, directly or through the host VIA. */
 void
 peer_probe (void *arg, uint64_t id, el_str_t address, el_str_t via)
 {
@@ -192,26 +198,26 @@
 
   wait->peers = peers;
   wait->id = id;
-  peer_gossip_write (peers, NULL, &body);
+  peer_gossip_encode (peers, NULL, &body);
   if (via.len == 0)
     net_rpc_send (peers->rpc, address, PEER_GOSSIP, el_buf_str (&body),
-                  PROBE_WAIT, probe_done, wait);
+                  PROBE_RPC_TIMEOUT, probe_done, wait);
   else
     {
       memset (&relay, 0, sizeof relay);
       PEER_BYTES_SET (relay.target, target, address);
-      if (peer_xdr_read ((xdrproc_t)xdr_peer_gossip, el_buf_str (&body),
-                         &relay.gossip))
-        peer_xdr_write ((xdrproc_t)xdr_peer_relay, &relay, &relayed);
+      if (peer_xdr_decode ((xdrproc_t)xdr_peer_gossip, el_buf_str (&body),
+                           &relay.gossip))
+        peer_xdr_encode ((xdrproc_t)xdr_peer_relay, &relay, &relayed);
       xdr_free ((xdrproc_t)xdr_peer_gossip, (char *)&relay.gossip);
       net_rpc_send (peers->rpc, via, PEER_RELAY, el_buf_str (&relayed),
-                    PROBE_WAIT, probe_done, wait);
+                    PROBE_RPC_TIMEOUT, probe_done, wait);
       el_buf_free (&relayed);
     }
   el_buf_free (&body);
 }
 
-/** Answer a probe. */
+/** Reply to a probe. */
 void
 peer_serve_gossip (pr_peers_t *peers, net_rpc_req_t *req, el_str_t body)
 {
@@ -220,13 +226,13 @@
   co_gossip_t gossip;
 
   memset (&message, 0, sizeof message);
-  if (peer_xdr_read ((xdrproc_t)xdr_peer_gossip, body, &message)
-      && gossip_read (&message, &gossip))
+  if (peer_xdr_decode ((xdrproc_t)xdr_peer_gossip, body, &message)
+      && gossip_decode (&message, &gossip))
     {
       co_members_hear (peers->members, net_clock_now (peers->options.clock),
                        &gossip);
-      gossip_heard (peers, &gossip, message.rumors);
-      peer_gossip_write (peers, &gossip.self.incarnation, &out);
+      gossip_received (peers, &gossip, message.rumors);
+      peer_gossip_encode (peers, &gossip.self.incarnation, &out);
     }
   else
     peers->counts.refused++;
@@ -235,8 +241,8 @@
   el_buf_free (&out);
 }
 
-/* Hand the target's own answer on; without one the asker waits in vain, as it
-   would for the target. */
+/* Pass on the target's reply. If there was none, the requester ignores the
+   empty reply, and its probe times out as a direct one would. */
 static void
 relay_done (void *arg, int ok, int sent, el_str_t body)
 {
@@ -256,7 +262,7 @@
   peer_relay relay;
 
   memset (&relay, 0, sizeof relay);
-  if (!peer_xdr_read ((xdrproc_t)xdr_peer_relay, body, &relay))
+  if (!peer_xdr_decode ((xdrproc_t)xdr_peer_relay, body, &relay))
     {
       peers->counts.refused++;
       net_rpc_reply (req, (el_str_t){ NULL, 0 });
@@ -266,10 +272,10 @@
       wait = el_alloc (sizeof *wait);
       wait->peers = peers;
       wait->req = req;
-      peer_xdr_write ((xdrproc_t)xdr_peer_gossip, &relay.gossip, &out);
+      peer_xdr_encode ((xdrproc_t)xdr_peer_gossip, &relay.gossip, &out);
       net_rpc_send (peers->rpc, PEER_BYTES_GET (relay.target, target),
-                    PEER_GOSSIP, el_buf_str (&out), PROBE_WAIT, relay_done,
-                    wait);
+                    PEER_GOSSIP, el_buf_str (&out), PROBE_RPC_TIMEOUT,
+                    relay_done, wait);
     }
   xdr_free ((xdrproc_t)xdr_peer_relay, (char *)&relay);
   el_buf_free (&out);
--- a/peer/peer_handover.c
+++ b/peer/peer_handover.c
@@ -3,10 +3,11 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * A planned stop hands the sessions and what the ledger knows of them to one
- * successor. The ledger is sealed before the first message leaves, so in doubt
- * a request runs at the successor or nowhere. Once a message may have arrived,
- * no other successor is tried: two could run the same request.
+ * Handover at a planned stop: the sessions and their ledger entries move to
+ * one successor. The ledger is sealed before the first message is sent, so a
+ * request of unclear state runs at the successor or not at all. Once a message
+ * may have arrived, no other successor is tried, since both could run the same
+ * request.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -15,10 +16,10 @@
 
 #define BATCH_BYTES (1U << 20)
 #define HANDOVER_TIMEOUT (2 * EL_SEC)
-#define HANDOVER_TRIES 5
-#define HANDOVER_WAIT (200 * EL_MSEC)
+#define HANDOVER_ATTEMPTS_MAX 5
+#define HANDOVER_RETRY_DELAY (200 * EL_MSEC)
 
-/* Sessions that travel in one message. */
+/* The sessions of one message. */
 typedef struct batch
 {
   el_buf_t body;
@@ -30,14 +31,14 @@
 struct peer_handover
 {
   pr_peers_t *peers;
-  batch_t *batches; /* still to be sent */
+  batch_t *batches; /* not yet acknowledged */
   batch_t **tail;
-  /* The batch that is filled. */
+  /* The batch being filled. */
   peer_session *sessions;
   co_session_t *keys;
   size_t nsessions;
   size_t bytes;
-  int tries;
+  int attempts;
   el_timer_t retry;
   pr_done_cb done;
   void *arg;
@@ -63,7 +64,7 @@
   free (session->entries.entries_val);
 }
 
-/* Close the batch that is filled. */
+/* Encode the batch being filled and queue it. */
 static void
 batch_close (peer_handover_t *handover)
 {
@@ -76,7 +77,7 @@
   batch = el_alloc (sizeof *batch);
   args.sessions.sessions_val = handover->sessions;
   args.sessions.sessions_len = (u_int)handover->nsessions;
-  peer_xdr_write ((xdrproc_t)xdr_peer_handover_args, &args, &batch->body);
+  peer_xdr_encode ((xdrproc_t)xdr_peer_handover_args, &args, &batch->body);
   batch->keys = handover->keys;
   batch->nkeys = handover->nsessions;
   *handover->tail = batch;
@@ -91,7 +92,7 @@
 }
 
 static void
-session_add (void *arg, const co_led_session_t *from)
+session_export (void *arg, const co_led_session_t *from)
 {
   peer_handover_t *handover = arg;
   const pr_options_t *o = &handover->peers->options;
@@ -136,9 +137,9 @@
   free (batch);
 }
 
-/* All that could be handed over is. */
+/* End the handover. WHOLE says that all batches were acknowledged. */
 static void
-handover_end (peer_handover_t *handover, int whole)
+handover_finish (peer_handover_t *handover, int whole)
 {
   pr_peers_t *peers = handover->peers;
   batch_t *batch;
@@ -158,7 +159,7 @@
 }
 
 static int
-successor_pick (pr_peers_t *peers)
+successor_select (pr_peers_t *peers)
 {
   const co_member_t *member = co_members_pick (peers->members);
 
@@ -172,11 +173,11 @@
   return 1;
 }
 
-/* What was taken runs at the successor from now on; what it refused, and all
-   when nothing was sent, stays sealed here. */
+/* Mark the sessions that the successor accepted as moved. Those it refused,
+   and all when nothing was sent, stay sealed on this host. */
 static void
-batch_mark (peer_handover_t *handover, const batch_t *batch,
-            const peer_handover_res *res)
+batch_mark_moved (peer_handover_t *handover, const batch_t *batch,
+                  const peer_handover_res *res)
 {
   size_t i;
 
@@ -195,27 +196,28 @@
   peer_handover_res res;
 
   memset (&res, 0, sizeof res);
-  if (ok && peer_xdr_read ((xdrproc_t)xdr_peer_handover_res, body, &res))
+  if (ok && peer_xdr_decode ((xdrproc_t)xdr_peer_handover_res, body, &res))
     {
-      batch_mark (handover, batch, &res);
-      peers->handed = 1;
-      handover->tries = 0;
+      batch_mark_moved (handover, batch, &res);
+      peers->handover_started = 1;
+      handover->attempts = 0;
       handover->batches = batch->next;
       batch_free (batch);
       batch_send (handover, 0);
     }
-  else if (++handover->tries >= HANDOVER_TRIES)
-    handover_end (handover, 0);
+  else if (++handover->attempts >= HANDOVER_ATTEMPTS_MAX)
+    handover_finish (handover, 0);
   else
     {
       if (sent)
-        peers->handed = 1;
-      else if (!peers->handed)
+        peers->handover_started = 1;
+      else if (!peers->handover_started)
         {
-          batch_mark (handover, batch, NULL);
-          successor_pick (peers);
+          batch_mark_moved (handover, batch, NULL);
+          successor_select (peers);
         }
-      net_clock_set (peers->options.clock, &handover->retry, HANDOVER_WAIT);
+      net_clock_set (peers->options.clock, &handover->retry,
+                     HANDOVER_RETRY_DELAY);
     }
   xdr_free ((xdrproc_t)xdr_peer_handover_res, (char *)&res);
 }
@@ -230,7 +232,7 @@
   (void)now;
   if (!batch || !handover->peers->successor.peer.len)
     {
-      handover_end (handover, !batch);
+      handover_finish (handover, !batch);
       return;
     }
   for (i = 0; i < batch->nkeys; i++)
@@ -240,8 +242,9 @@
                 batch_done, handover);
 }
 
-/** Hand the sessions to another host; again to the same one, to tell it what
-    ended since. DONE is called once. The ledger is sealed. */
+/** Hand the sessions over to another host. A second call updates the same host
+    with the requests that ended since. DONE is called once. The ledger must be
+    sealed. */
 void
 pr_peers_hand_over (pr_peers_t *peers, pr_done_cb done, void *arg)
 {
@@ -254,68 +257,70 @@
   handover->retry.cb = batch_send;
   handover->retry.arg = handover;
   peers->handover = handover;
-  co_ledger_export (peers->options.ledger, session_add, handover);
+  co_ledger_export (peers->options.ledger, session_export, handover);
   batch_close (handover);
-  if (!peers->handed)
-    successor_pick (peers);
+  if (!peers->handover_started)
+    successor_select (peers);
   net_clock_set (peers->options.clock, &handover->retry, 0);
 }
 
-/* The last messages of a host that stops. */
-typedef struct farewell
+/* The last handover of a stopping host, after which it announces its
+   successor. */
+typedef struct final_handover
 {
   pr_peers_t *peers;
   pr_done_cb done;
   void *arg;
-} farewell_t;
+} final_handover_t;
 
 static void
-farewell_answered (void *arg, int ok, int sent, el_str_t body)
+final_gossip_done (void *arg, int ok, int sent, el_str_t body)
 {
-  farewell_t *farewell = arg;
+  final_handover_t *final_handover = arg;
 
   (void)ok;
   (void)sent;
   (void)body;
-  farewell->done (farewell->arg);
-  free (farewell);
+  final_handover->done (final_handover->arg);
+  free (final_handover);
 }
 
-/* Tell the successor that it is one; it tells the others. */
+/* Tell the successor that it is the successor; it gossips that to the other
+   hosts. */
 static void
-farewell_tell (void *arg)
+final_gossip_send (void *arg)
 {
-  farewell_t *farewell = arg;
-  pr_peers_t *peers = farewell->peers;
+  final_handover_t *final_handover = arg;
+  pr_peers_t *peers = final_handover->peers;
   el_buf_t body = { NULL, 0, 0 };
 
-  peer_gossip_write (peers, &peers->successor.incarnation, &body);
+  peer_gossip_encode (peers, &peers->successor.incarnation, &body);
   net_rpc_call (peers->rpc, peers->successor.peer, PEER_GOSSIP,
-                el_buf_str (&body), HANDOVER_TIMEOUT, farewell_answered,
-                farewell);
+                el_buf_str (&body), HANDOVER_TIMEOUT, final_gossip_done,
+                final_handover);
   el_buf_free (&body);
 }
 
-/** Nothing runs here any more: tell the successor what ended since the
-    sessions were handed over, then call DONE. */
+/** Send the successor the requests that ended since the sessions were handed
+    over, then call DONE. Called when no request runs on this host any more. */
 void
 pr_peers_farewell (pr_peers_t *peers, pr_done_cb done, void *arg)
 {
-  farewell_t *farewell;
+  final_handover_t *final_handover;
 
-  if (!peers->handed)
+  if (!peers->handover_started)
     {
       done (arg);
       return;
     }
-  farewell = el_alloc (sizeof *farewell);
-  farewell->peers = peers;
-  farewell->done = done;
-  farewell->arg = arg;
-  pr_peers_hand_over (peers, farewell_tell, farewell);
+  final_handover = el_alloc (sizeof *final_handover);
+  final_handover->peers = peers;
+  final_handover->done = done;
+  final_handover->arg = arg;
+  pr_peers_hand_over (peers, final_gossip_send, final_handover);
 }
 
-/** The host that this host's sessions were handed to. */
+/** The host to which this host's sessions were handed over. */
 const pr_place_t *
 pr_peers_successor (const pr_peers_t *peers)
 {
@@ -323,7 +328,7 @@
 }
 
 static int
-session_take (pr_peers_t *peers, const peer_session *from)
+session_import (pr_peers_t *peers, const peer_session *from)
 {
   const pr_options_t *o = &peers->options;
   co_led_session_t session;
@@ -359,7 +364,7 @@
   return status == EL_OK;
 }
 
-/** Take over the sessions of a host that stops. */
+/** Accept the sessions of a stopping host. */
 void
 peer_serve_handover (pr_peers_t *peers, net_rpc_req_t *req, el_str_t body)
 {
@@ -370,17 +375,17 @@
 
   memset (&args, 0, sizeof args);
   memset (&res, 0, sizeof res);
-  if (peer_xdr_read ((xdrproc_t)xdr_peer_handover_args, body, &args))
+  if (peer_xdr_decode ((xdrproc_t)xdr_peer_handover_args, body, &args))
     {
       res.taken.taken_len = args.sessions.sessions_len;
       res.taken.taken_val
           = el_alloc ((args.sessions.sessions_len + 1) * sizeof (bool_t));
       for (i = 0; i < args.sessions.sessions_len; i++)
         res.taken.taken_val[i]
-            = session_take (peers, &args.sessions.sessions_val[i]);
+            = session_import (peers, &args.sessions.sessions_val[i]);
       EL_LOG (EL_LOG_INFO, "taken_over",
               EL_FN ("sessions", args.sessions.sessions_len));
-      peer_xdr_write ((xdrproc_t)xdr_peer_handover_res, &res, &out);
+      peer_xdr_encode ((xdrproc_t)xdr_peer_handover_res, &res, &out);
     }
   else
     peers->counts.refused++;
--- a/peer/peer_news.c
+++ b/peer/peer_news.c
@@ -3,47 +3,49 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * News of the store between hosts of a hall: one or a few follow the store,
- * the others ask the first of them. A question waits until the host that is
- * asked has heard of the store again, so that the news are fresh.
+ * Store updates between the hosts of a hall: one or a few hosts poll the
+ * store, the others ask the first of these. A request stays pending until the
+ * host that received it has heard from the store again, so that the reply is
+ * up to date.
  */
 #include <stdlib.h>
 #include <string.h>
 
 #include "libpeer.h"
 
-/* A host that follows the store hears of it, or of its hall's engines, several
-   times in this. */
-#define NEWS_TIMEOUT (1300 * EL_MSEC)
-/* A host is not asked for this long after its news failed. */
-#define BLAME_HOLD (5 * EL_SEC)
-/* So many hosts of a hall are asked by turns while news are old. */
-#define NEWS_SOURCES 3
-/* What is newer than the asker's by less than this is not told at once: both
-   may have it from the same host. */
-#define NEWER_LEAST (50 * EL_MSEC)
+/* Several times as long as a host that follows the store goes without hearing
+   from it or from the engines of its hall. */
+#define UPDATE_TIMEOUT (1300 * EL_MSEC)
+/* A host whose updates failed is not asked again for this long. */
+#define FAILED_SOURCE_HOLD (5 * EL_SEC)
+/* Hosts of a hall that are asked in turn while updates are stale. */
+#define SOURCES_MAX 3
+/* Data that is newer than the requester's by less than this does not trigger
+   an immediate reply: both may have it from the same host. */
+#define NEWER_MIN (50 * EL_MSEC)
 #define PERMILLE 1000
 #define PERCENT 100
 
-/* A question that waits. */
-typedef struct peer_asker
+/* A request of another host that waits for a reply. */
+typedef struct peer_pending_request
 {
   net_rpc_req_t *req;
   pr_position_t after;
-  el_time_t came;
-  struct peer_asker *next;
-} peer_asker_t;
+  el_time_t received_at;
+  struct peer_pending_request *next;
+} peer_pending_request_t;
 
-/* A question of this host's own. */
-typedef struct peer_question
+/* A request of this host. */
+typedef struct peer_update_request
 {
   pr_peers_t *peers;
   el_time_t sent;
   pr_news_cb done;
   void *arg;
-} peer_question_t;
+} peer_update_request_t;
 
-/** Below, at or above 0 where A lies before, at or behind B. */
+/** Returns a value below, equal to or above 0 when A is before, at or after B.
+ */
 int
 pr_position_cmp (pr_position_t a, pr_position_t b)
 {
@@ -52,9 +54,10 @@
   return (a.revision > b.revision) - (a.revision < b.revision);
 }
 
-/* Put what is known of engines into an answer; gives the list to free. */
+/* Encode this host's engine reports into a reply; returns the list that their
+   strings point into, for the caller to free. */
 static pr_engine_t *
-engines_write (const pr_peers_t *peers, peer_news_res *res)
+engines_encode (const pr_peers_t *peers, peer_news_res *res)
 {
   pr_engine_t *list = NULL;
   size_t n = peers->options.ops->engines (peers->options.arg, &list);
@@ -78,7 +81,7 @@
 }
 
 static void
-engines_read (const pr_peers_t *peers, const peer_news_res *res)
+engines_decode (const pr_peers_t *peers, const peer_news_res *res)
 {
   pr_engine_t *list;
   u_int i;
@@ -106,7 +109,7 @@
 }
 
 static void
-items_write (const pr_news_t *news, peer_news_res *res)
+items_encode (const pr_news_t *news, peer_news_res *res)
 {
   size_t i;
 
@@ -123,10 +126,9 @@
     }
 }
 
-/* Tell a host that waits what this one has seen of the store, and its engines.
- */
+/* Reply to a pending request with store updates and engine reports. */
 static void
-news_answer (pr_peers_t *peers, const peer_asker_t *asker)
+update_reply (pr_peers_t *peers, const peer_pending_request_t *pending)
 {
   pr_engine_t *engines;
   el_buf_t out = { NULL, 0, 0 };
@@ -135,16 +137,16 @@
 
   memset (&res, 0, sizeof res);
   res.ready
-      = peers->options.ops->news (peers->options.arg, asker->after, &news)
+      = peers->options.ops->news (peers->options.arg, pending->after, &news)
         && news.as_of != 0;
   res.whole = news.whole;
   res.epoch = news.at.epoch;
   res.revision = news.at.revision;
-  res.known_after = (int64_t)news.as_of - (int64_t)asker->came;
-  items_write (&news, &res);
-  engines = engines_write (peers, &res);
-  peer_xdr_write ((xdrproc_t)xdr_peer_news_res, &res, &out);
-  net_rpc_reply (asker->req, el_buf_str (&out));
+  res.known_after = (int64_t)news.as_of - (int64_t)pending->received_at;
+  items_encode (&news, &res);
+  engines = engines_encode (peers, &res);
+  peer_xdr_encode ((xdrproc_t)xdr_peer_news_res, &res, &out);
+  net_rpc_reply (pending->req, el_buf_str (&out));
   free (res.engines.engines_val);
   free (engines);
   free (res.items.items_val);
@@ -152,67 +154,69 @@
   el_buf_free (&out);
 }
 
-/* Whether a question is answered at once: this host knows something newer, or
-   lags behind the asker's epoch and has nothing to tell. */
+/* Whether a request is replied to at once: this host has newer data, or is in
+   an earlier epoch than the requester and has nothing to offer. */
 static int
-news_due (pr_peers_t *peers, const peer_asker_t *asker, uint64_t known_ago)
+update_reply_now (pr_peers_t *peers, const peer_pending_request_t *pending,
+                  uint64_t known_ago)
 {
   const pr_ops_t *ops = peers->options.ops;
   uint64_t epoch = ops->position (peers->options.arg).epoch;
 
-  if (asker->after.epoch > epoch)
-    ops->epoch (peers->options.arg, asker->after.epoch);
-  return asker->after.epoch != epoch
+  if (pending->after.epoch > epoch)
+    ops->epoch (peers->options.arg, pending->after.epoch);
+  return pending->after.epoch != epoch
          || ops->known (peers->options.arg) + known_ago
-                > asker->came + NEWER_LEAST;
+                > pending->received_at + NEWER_MIN;
 }
 
-/** Another host asks for news. */
+/** Reply to a request for store updates, or leave it pending. */
 void
 peer_serve_news (pr_peers_t *peers, net_rpc_req_t *req, el_str_t body)
 {
   peer_news_args args = { 0 };
-  peer_asker_t *asker;
+  peer_pending_request_t *pending;
 
-  if (!peer_xdr_read ((xdrproc_t)xdr_peer_news_args, body, &args))
+  if (!peer_xdr_decode ((xdrproc_t)xdr_peer_news_args, body, &args))
     {
       net_rpc_reply (req, (el_str_t){ NULL, 0 });
       return;
     }
-  asker = el_alloc (sizeof *asker);
-  asker->req = req;
-  asker->after = (pr_position_t){ args.epoch, args.after };
-  asker->came = net_clock_now (peers->options.clock);
-  if (news_due (peers, asker, args.known_ago))
+  pending = el_alloc (sizeof *pending);
+  pending->req = req;
+  pending->after = (pr_position_t){ args.epoch, args.after };
+  pending->received_at = net_clock_now (peers->options.clock);
+  if (update_reply_now (peers, pending, args.known_ago))
     {
-      news_answer (peers, asker);
-      free (asker);
+      update_reply (peers, pending);
+      free (pending);
       return;
     }
-  LL_PREPEND (peers->askers, asker);
+  LL_PREPEND (peers->pending_requests, pending);
 }
 
-/** This host has heard of the store: answer those who wait. */
+/** Reply to all pending requests; called when this host has heard from the
+    store or has polled the engines. */
 void
 pr_peers_heard (pr_peers_t *peers)
 {
-  peer_asker_t *asker;
+  peer_pending_request_t *pending;
 
-  while ((asker = peers->askers))
+  while ((pending = peers->pending_requests))
     {
-      LL_DELETE (peers->askers, asker);
-      news_answer (peers, asker);
-      free (asker);
+      LL_DELETE (peers->pending_requests, pending);
+      update_reply (peers, pending);
+      free (pending);
     }
 }
 
 static void
-news_read (const peer_question_t *question, const peer_news_res *res)
+update_decode (const peer_update_request_t *request, const peer_news_res *res)
 {
   pr_news_t news
       = { .whole = res->whole,
           .at = { res->epoch, res->revision },
-          .as_of = (el_time_t)((int64_t)question->sent + res->known_after) };
+          .as_of = (el_time_t)((int64_t)request->sent + res->known_after) };
   u_int i;
 
   news.items = el_alloc ((res->items.items_len + 1) * sizeof *news.items);
@@ -226,80 +230,83 @@
                          .revision = item->revision,
                          .gone = item->gone };
     }
-  engines_read (question->peers, res);
-  question->done (question->arg, &news);
+  engines_decode (request->peers, res);
+  request->done (request->arg, &news);
   free (news.items);
 }
 
 static void
-news_done (void *arg, int ok, int sent, el_str_t body)
+update_done (void *arg, int ok, int sent, el_str_t body)
 {
-  peer_question_t *question = arg;
+  peer_update_request_t *request = arg;
   peer_news_res res;
 
   (void)sent;
   memset (&res, 0, sizeof res);
-  if (ok && peer_xdr_read ((xdrproc_t)xdr_peer_news_res, body, &res)
+  if (ok && peer_xdr_decode ((xdrproc_t)xdr_peer_news_res, body, &res)
       && res.ready)
-    news_read (question, &res);
+    update_decode (request, &res);
   else
-    question->done (question->arg, NULL);
+    request->done (request->arg, NULL);
   xdr_free ((xdrproc_t)xdr_peer_news_res, (char *)&res);
-  free (question);
+  free (request);
 }
 
-/* Whether the news of a host failed lately. */
+/* Whether the updates of a host failed within the last FAILED_SOURCE_HOLD. */
 static int
-news_blamed (void *arg, const co_member_t *member)
+source_failed_lately (void *arg, const co_member_t *member)
 {
   const pr_peers_t *peers = arg;
   el_time_t now = net_clock_now (peers->options.clock);
   size_t i;
 
-  for (i = 0; i < PEER_BLAMES; i++)
-    if (now < peers->blames[i].until
-        && co_incarnation_eq (&peers->blames[i].incarnation,
+  for (i = 0; i < PEER_FAILED_SOURCES_MAX; i++)
+    if (now < peers->failed_sources[i].until
+        && co_incarnation_eq (&peers->failed_sources[i].incarnation,
                               &member->incarnation))
       return 1;
   return 0;
 }
 
 static int
-news_skip_none (void *arg, const co_member_t *member)
+source_skip_none (void *arg, const co_member_t *member)
 {
   (void)arg;
   (void)member;
   return 0;
 }
 
-/** The host that was asked last could not tell, though the store answers. */
+/** Avoid the host asked last for a while: it had no usable updates although
+    the store answers. */
 void
 pr_peers_blame_news (pr_peers_t *peers)
 {
-  peer_blame_t *blame = &peers->blames[peers->next_blame++ % PEER_BLAMES];
+  peer_failed_source_t *source
+      = &peers->failed_sources[peers->next_failed_source++
+                               % PEER_FAILED_SOURCES_MAX];
 
-  blame->incarnation = peers->asked;
-  blame->until = net_clock_now (peers->options.clock) + BLAME_HOLD;
+  source->incarnation = peers->last_source;
+  source->until = net_clock_now (peers->options.clock) + FAILED_SOURCE_HOLD;
 }
 
-/** Whether this host comes first in its hall. */
+/** Whether this host is the first of its hall. */
 int
 pr_peers_leads (const pr_peers_t *peers)
 {
   const co_member_t *first
-      = co_members_first (peers->members, NULL, news_skip_none, NULL);
+      = co_members_first (peers->members, NULL, source_skip_none, NULL);
 
   return first
          && co_incarnation_eq (&first->incarnation,
                                &peers->options.incarnation);
 }
 
-/* The host of this hall to ask; NULL when this one should ask the store. One
-   that is asked need not follow the store: it passes on what it is told. Where
-   news were OLD so many times in a row, the next ones are asked by turns: they
-   may have asked the store. */
+/* The host of this hall to ask for updates; NULL when this host should ask the
+   store itself. The host asked need not follow the store: it passes on what it
+   receives. After OLD stale replies in a row, the next hosts are asked in
+   turn, as they may have asked the store. */
 static const co_member_t *
-news_source (pr_peers_t *peers, unsigned old)
+source_select (pr_peers_t *peers, unsigned old)
 {
   const co_member_t *self
       = co_members_find (peers->members, &peers->options.incarnation);
@@ -309,18 +316,19 @@
 
   if (co_members_chosen (peers->members, peers->options.store_followers))
     return NULL;
-  first = co_members_first (peers->members, NULL, news_blamed, peers);
+  first = co_members_first (peers->members, NULL, source_failed_lately, peers);
   if (!first || first == self)
     return NULL;
   from = first;
-  for (i = 0; from && i < old % NEWS_SOURCES; i++)
-    from = co_members_first (peers->members, from, news_blamed, peers);
+  for (i = 0; from && i < old % SOURCES_MAX; i++)
+    from
+        = co_members_first (peers->members, from, source_failed_lately, peers);
   return from && from != self ? from : first;
 }
 
-/** Ask a host of this hall that follows the store, where OLD such questions in
-    a row had old answers; gives 0 when this host follows it itself, or knows
-    none. */
+/** Request store updates from another host of this hall. OLD is the number of
+    consecutive stale replies. Returns 0 when this host should ask the store
+    itself or no other host is known. */
 int
 pr_peers_ask_news (pr_peers_t *peers, pr_position_t after, unsigned old,
                    pr_news_cb done, void *arg)
@@ -328,21 +336,21 @@
   peer_news_args args = { .epoch = after.epoch, .after = after.revision };
   el_time_t now = net_clock_now (peers->options.clock);
   el_buf_t body = { NULL, 0, 0 };
-  peer_question_t *question;
-  const co_member_t *from = news_source (peers, old);
+  peer_update_request_t *request;
+  const co_member_t *from = source_select (peers, old);
 
   if (!from)
     return 0;
-  peers->asked = from->incarnation;
-  question = el_alloc (sizeof *question);
-  question->peers = peers;
-  question->sent = now;
+  peers->last_source = from->incarnation;
+  request = el_alloc (sizeof *request);
+  request->peers = peers;
+  request->sent = now;
   args.known_ago = now - peers->options.ops->known (peers->options.arg);
-  question->done = done;
-  question->arg = arg;
-  peer_xdr_write ((xdrproc_t)xdr_peer_news_args, &args, &body);
+  request->done = done;
+  request->arg = arg;
+  peer_xdr_encode ((xdrproc_t)xdr_peer_news_args, &args, &body);
   net_rpc_call (peers->rpc, from->peer, PEER_NEWS, el_buf_str (&body),
-                NEWS_TIMEOUT, news_done, question);
+                UPDATE_TIMEOUT, update_done, request);
   el_buf_free (&body);
   return 1;
 }
--- a/peer/peer_rumor.c
+++ b/peer/peer_rumor.c
@@ -3,39 +3,39 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Rumors between hosts: passed on in datagrams of their own, ahead of what
- * waits for the next probe; a host that has just started, or missed some, asks
- * another one for all that it knows.
+ * Distribution of rumors between hosts. Rumors are sent at once in datagrams
+ * of their own instead of with the next probe. A host that has just started or
+ * has missed some fetches all rumors from another host.
  */
 #include <stdlib.h>
 #include <string.h>
 
 #include "libpeer.h"
 
-/* Hosts that each host passes a rumor on to; one that nobody passed it on to
-   learns it by its next probe. */
-#define FANOUT 6
-/* A datagram that was not answered is sent once more. */
-#define RUMOR_WAIT (200 * EL_MSEC)
-#define RUMOR_TRIES 2
-#define ASK_WAIT EL_SEC
-/* Rumors that come within this are passed on together. */
-#define RUMOR_GATHER (5 * EL_MSEC)
-/* Rumors remembered, of at most CO_RUMOR_BODY_MAX bytes. */
-#define RUMORS_MOST 1024
-
-/* A message that may have to be sent again. */
+/* Number of hosts to which each host forwards a rumor. A host that was not
+   reached finds out by the digest in its next probe. */
+#define RUMOR_FANOUT 6
+/* An unacknowledged datagram is sent a second time. */
+#define RUMOR_SEND_TIMEOUT (200 * EL_MSEC)
+#define RUMOR_ATTEMPTS_MAX 2
+#define RUMOR_FETCH_TIMEOUT EL_SEC
+/* Rumors that arrive within this time are forwarded in one message. */
+#define RUMOR_BATCH_DELAY (5 * EL_MSEC)
+/* Rumors kept, each of at most CO_RUMOR_BODY_MAX bytes. */
+#define RUMORS_MAX 1024
+
+/* A datagram that may have to be sent again. */
 typedef struct rumor_send
 {
   pr_peers_t *peers;
   el_str_t address;
   el_buf_t body;
-  unsigned tries;
+  unsigned attempts;
 } rumor_send_t;
 
-static void rumor_send_on (rumor_send_t *send);
+static void rumor_send_attempt (rumor_send_t *send);
 
-/* Rumors on their way into a message. */
+/* Rumors collected for a message. */
 typedef struct rumor_list
 {
   el_time_t now;
@@ -60,19 +60,19 @@
 }
 
 static void
-list_write (rumor_list_t *rumors, int ask, el_buf_t *out)
+list_encode (rumor_list_t *rumors, int ask, el_buf_t *out)
 {
   peer_rumors message = { .ask = ask };
 
   message.rumors.rumors_val = rumors->list;
   message.rumors.rumors_len = rumors->len;
-  peer_xdr_write ((xdrproc_t)xdr_peer_rumors, &message, out);
+  peer_xdr_encode ((xdrproc_t)xdr_peer_rumors, &message, out);
   free (rumors->list);
 }
 
-/* Take in a message's rumors; gives how many were new. */
+/* Store the rumors of a message; returns how many were new. */
 static size_t
-list_take (pr_peers_t *peers, const peer_rumors *message)
+list_merge (pr_peers_t *peers, const peer_rumors *message)
 {
   el_time_t now = net_clock_now (peers->options.clock);
   size_t news = 0;
@@ -89,28 +89,28 @@
 
       news += (size_t)co_rumors_hear (peers->rumors, now, &rumor);
     }
-  peer_rumors_armed (peers);
+  peer_rumors_schedule (peers);
   return news;
 }
 
 static void
-rumors_tick (void *arg, el_time_t now)
+rumors_timer_fired (void *arg, el_time_t now)
 {
   pr_peers_t *peers = arg;
 
   co_rumors_tick (peers->rumors, now);
-  peer_rumors_armed (peers);
+  peer_rumors_schedule (peers);
 }
 
-/** Have the clock call when rumors are to be passed on. */
+/** Arm the timer for the next rumors to be forwarded. */
 void
-peer_rumors_armed (pr_peers_t *peers)
+peer_rumors_schedule (pr_peers_t *peers)
 {
   el_time_t now = net_clock_now (peers->options.clock);
   el_time_t due = co_rumors_next (peers->rumors);
 
   if (due != EL_TIME_NEVER)
-    net_clock_set (peers->options.clock, &peers->rumors_tick,
+    net_clock_set (peers->options.clock, &peers->rumors_timer,
                    due > now ? due - now : 0);
 }
 
@@ -121,9 +121,9 @@
 
   (void)sent;
   (void)body;
-  if (!ok && send->tries < RUMOR_TRIES)
+  if (!ok && send->attempts < RUMOR_ATTEMPTS_MAX)
     {
-      rumor_send_on (send);
+      rumor_send_attempt (send);
       return;
     }
   el_str_free (&send->address);
@@ -132,20 +132,20 @@
 }
 
 static void
-rumor_send_on (rumor_send_t *send)
+rumor_send_attempt (rumor_send_t *send)
 {
-  send->tries++;
+  send->attempts++;
   net_rpc_send (send->peers->rpc, send->address, PEER_RUMORS,
-                el_buf_str (&send->body), RUMOR_WAIT, send_done, send);
+                el_buf_str (&send->body), RUMOR_SEND_TIMEOUT, send_done, send);
 }
 
-/* Pass rumors on to a few hosts. */
+/* Forward rumors to RUMOR_FANOUT hosts. */
 static void
 rumors_send (void *arg, const co_rumor_t *list, size_t n)
 {
   pr_peers_t *peers = arg;
-  const co_member_t *to[FANOUT];
-  size_t hosts = co_members_some (peers->members, to, FANOUT);
+  const co_member_t *to[RUMOR_FANOUT];
+  size_t hosts = co_members_some (peers->members, to, RUMOR_FANOUT);
   rumor_list_t rumors = { .now = net_clock_now (peers->options.clock) };
   el_buf_t body = { NULL, 0, 0 };
   rumor_send_t *send;
@@ -153,27 +153,28 @@
 
   for (i = 0; i < n; i++)
     list_add (&rumors, &list[i]);
-  list_write (&rumors, 0, &body);
+  list_encode (&rumors, 0, &body);
   for (i = 0; i < hosts; i++)
     {
       send = el_alloc (sizeof *send);
       send->peers = peers;
       send->address = el_str_dup (to[i]->peer);
       el_buf_add (&send->body, el_buf_str (&body));
-      rumor_send_on (send);
+      rumor_send_attempt (send);
     }
   el_buf_free (&body);
 }
 
 static void
-rumor_heard (void *arg, const co_rumor_t *rumor)
+rumor_received (void *arg, const co_rumor_t *rumor)
 {
   const pr_peers_t *peers = arg;
 
   peers->options.ops->rumor (peers->options.arg, rumor);
 }
 
-/** Another host passes rumors on, or asks for all. */
+/** Process rumors sent by another host, and reply with all known rumors if
+    asked for. */
 void
 peer_serve_rumors (pr_peers_t *peers, net_rpc_req_t *req, el_str_t body)
 {
@@ -182,12 +183,12 @@
   peer_rumors message;
 
   memset (&message, 0, sizeof message);
-  if (peer_xdr_read ((xdrproc_t)xdr_peer_rumors, body, &message))
+  if (peer_xdr_decode ((xdrproc_t)xdr_peer_rumors, body, &message))
     {
       if (message.ask)
         co_rumors_visit (peers->rumors, list_add, &rumors);
-      list_write (&rumors, 0, &out);
-      list_take (peers, &message);
+      list_encode (&rumors, 0, &out);
+      list_merge (peers, &message);
     }
   else
     peers->counts.refused++;
@@ -197,22 +198,23 @@
 }
 
 static void
-ask_done (void *arg, int ok, int sent, el_str_t body)
+rumors_fetch_done (void *arg, int ok, int sent, el_str_t body)
 {
   pr_peers_t *peers = arg;
   peer_rumors message;
 
   (void)sent;
   memset (&message, 0, sizeof message);
-  if (ok && peer_xdr_read ((xdrproc_t)xdr_peer_rumors, body, &message))
+  if (ok && peer_xdr_decode ((xdrproc_t)xdr_peer_rumors, body, &message))
     {
-      co_rumors_asked (peers->rumors, list_take (peers, &message));
+      co_rumors_asked (peers->rumors, list_merge (peers, &message));
       peers->rumors_known = 1;
     }
   xdr_free ((xdrproc_t)xdr_peer_rumors, (char *)&message);
 }
 
-/** The host at ADDRESS knows the rumors that DIGEST names. */
+/** Compare the digest of the rumors known to the host at ADDRESS with this
+    host's, and fetch its rumors if this host lacks some. */
 void
 peer_rumors_compare (pr_peers_t *peers, el_str_t address, uint64_t digest)
 {
@@ -224,28 +226,29 @@
     peers->rumors_known = 1;
   if (!co_rumors_behind (peers->rumors, now, digest))
     return;
-  list_write (&none, 1, &body);
-  net_rpc_call (peers->rpc, address, PEER_RUMORS, el_buf_str (&body), ASK_WAIT,
-                ask_done, peers);
+  list_encode (&none, 1, &body);
+  net_rpc_call (peers->rpc, address, PEER_RUMORS, el_buf_str (&body),
+                RUMOR_FETCH_TIMEOUT, rumors_fetch_done, peers);
   el_buf_free (&body);
 }
 
-/** Know no rumors yet. */
+/** Start with an empty set of rumors. */
 void
-peer_rumors_open (pr_peers_t *peers)
+peer_rumors_init (pr_peers_t *peers)
 {
-  const co_rumors_options_t options = { .most = RUMORS_MOST,
-                                        .gather = RUMOR_GATHER,
+  const co_rumors_options_t options = { .most = RUMORS_MAX,
+                                        .gather = RUMOR_BATCH_DELAY,
                                         .send = rumors_send,
-                                        .heard = rumor_heard,
+                                        .heard = rumor_received,
                                         .arg = peers };
 
   peers->rumors = co_rumors_new (&options);
-  peers->rumors_tick.cb = rumors_tick;
-  peers->rumors_tick.arg = peers;
+  peers->rumors_timer.cb = rumors_timer_fired;
+  peers->rumors_timer.arg = peers;
 }
 
-/** Have all hosts know BODY, named by ID, and remember it for HOLD. */
+/** Distribute a rumor with the given ID and BODY to all hosts, which keep it
+    for HOLD. */
 void
 pr_peers_tell (pr_peers_t *peers, uint64_t id, el_time_t hold, el_str_t body)
 {
@@ -254,10 +257,11 @@
       = { .id = id, .at = now, .until = now + hold, .body = body };
 
   co_rumors_tell (peers->rumors, now, &rumor);
-  peer_rumors_armed (peers);
+  peer_rumors_schedule (peers);
 }
 
-/** Whether another host has told this one the rumors that it knows. */
+/** Whether this host's rumors were fetched from, or are the same as, those of
+    another host. */
 int
 pr_peers_rumors_known (const pr_peers_t *peers)
 {
--- a/peer/peer_sync.c
+++ b/peer/peer_sync.c
@@ -3,7 +3,8 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * All members at once, for hosts that have just started or missed news.
+ * Exchange of the complete member list, for hosts that have just started or
+ * have missed gossip.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -12,7 +13,7 @@
 
 #define SYNC_TIMEOUT (1 * EL_SEC)
 
-/* Members on their way into a message. */
+/* Members collected for a reply. */
 typedef struct sync_list
 {
   peer_member *list;
@@ -33,7 +34,7 @@
     return;
   members->others = el_grow (members->others, members->nothers + 1,
                              sizeof *members->others);
-  peer_change_write (&change, &members->others[members->nothers++]);
+  peer_change_encode (&change, &members->others[members->nothers++]);
 }
 
 static void
@@ -50,10 +51,11 @@
     return;
   members->list
       = el_grow (members->list, members->len + 1, sizeof *members->list);
-  peer_member_write (member, &members->list[members->len++]);
+  peer_member_encode (member, &members->list[members->len++]);
 }
 
-/** Tell another host all members that this one knows. */
+/** Reply with all members that this host knows: live ones in full, the others
+    as state changes. */
 void
 peer_serve_members (pr_peers_t *peers, net_rpc_req_t *req, el_str_t body)
 {
@@ -67,7 +69,7 @@
   res.members.members_len = members.len;
   res.changes.changes_val = members.others;
   res.changes.changes_len = members.nothers;
-  peer_xdr_write ((xdrproc_t)xdr_peer_members, &res, &out);
+  peer_xdr_encode ((xdrproc_t)xdr_peer_members, &res, &out);
   net_rpc_reply (req, el_buf_str (&out));
   free (members.list);
   free (members.others);
@@ -75,7 +77,7 @@
 }
 
 static void
-sync_take (pr_peers_t *peers, const peer_members *res)
+sync_merge (pr_peers_t *peers, const peer_members *res)
 {
   el_time_t now = net_clock_now (peers->options.clock);
   co_member_t member;
@@ -83,10 +85,10 @@
   u_int i;
 
   for (i = 0; i < res->members.members_len; i++)
-    if (peer_member_read (&res->members.members_val[i], &member))
+    if (peer_member_decode (&res->members.members_val[i], &member))
       co_members_take (peers->members, now, &member);
   for (i = 0; i < res->changes.changes_len; i++)
-    if (peer_change_read (&res->changes.changes_val[i], &change))
+    if (peer_change_decode (&res->changes.changes_val[i], &change))
       co_members_take_change (peers->members, now, &change);
 }
 
@@ -98,15 +100,15 @@
 
   (void)sent;
   memset (&res, 0, sizeof res);
-  if (ok && peer_xdr_read ((xdrproc_t)xdr_peer_members, body, &res))
-    sync_take (peers, &res);
+  if (ok && peer_xdr_decode ((xdrproc_t)xdr_peer_members, body, &res))
+    sync_merge (peers, &res);
   xdr_free ((xdrproc_t)xdr_peer_members, (char *)&res);
-  peer_ticked (peers);
+  peer_members_refresh (peers);
 }
 
-/** Ask the host at ADDRESS for all members that it knows. */
+/** Request all members known to the host at ADDRESS. */
 void
-peer_sync (void *arg, el_str_t address)
+peer_sync_members (void *arg, el_str_t address)
 {
   pr_peers_t *peers = arg;
 
