--- a/elmarchctl/main.c
+++ b/elmarchctl/main.c
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * elmarchctl: the operators' command. Each command is one exchange with a
- * host, or, for apply and watch, a row of them.
+ * elmarchctl: the command-line client for operators. Most commands send one
+ * HTTP request to a host; apply, watch and drain send several.
  */
 #include <inttypes.h>
 #include <stdio.h>
@@ -15,10 +15,10 @@
 
 #include "net.h"
 
-#define EXCHANGE_TIMEOUT (15 * EL_SEC)
-#define WATCH_EVERY_MS 500
-#define HTTP_OK_FIRST 200
-#define HTTP_OK_LAST 299
+#define REQUEST_TIMEOUT (15 * EL_SEC)
+#define WATCH_INTERVAL_MS 500
+#define HTTP_SUCCESS_MIN 200
+#define HTTP_SUCCESS_MAX 299
 
 typedef struct ctl_settings
 {
@@ -35,8 +35,8 @@
   net_clock_t clock;
   net_client_t *client;
   const char **args;
-  int ended;
-  int status; /* of the last answer; 0 without one */
+  int response_done;
+  int status; /* HTTP status of the last response; 0 if none */
   json_t *json;
   el_buf_t text;
 } ctl_t;
@@ -71,21 +71,21 @@
 
 static const el_set_t table[] = {
   { "host", EL_SET_STRING, AT (host), "127.0.0.1:8080", 9, 21, 0, "IP:PORT",
-    "an entry host" },
+    "address of an entry host" },
   { "operator-key", EL_SET_STRING, AT (operator_key), NULL, 16, 256, 1, "KEY",
-    "the operators' key; best given as a variable" },
+    "key that authenticates operators; best set as a variable" },
   { "output", EL_SET_STRING, AT (output), "table", 4, 5, 0, "FORM",
     "table or json" },
   { "wait-s", EL_SET_U64, AT (wait_s), "20", 0, 3600, 0, "S",
-    "how long apply waits until a change is in force everywhere" },
+    "longest time that apply waits for a change to be in force on all hosts" },
 };
 
 static void
-ctl_done (void *arg, const net_result_t *result)
+response_received (void *arg, const net_result_t *result)
 {
   ctl_t *ctl = arg;
 
-  ctl->ended = 1;
+  ctl->response_done = 1;
   if (result->net != NET_OK)
     {
       fprintf (stderr, "elmarchctl: %s: no answer (%s)\n", ctl->set.host,
@@ -98,9 +98,10 @@
                           result->body.len, 0, NULL);
 }
 
-/* One exchange; gives the status of the answer, 0 without one. */
+/* Send a request and wait for the response. Returns its HTTP status, or 0 if
+   there was no response. */
 static int
-ctl_exchange (ctl_t *ctl, const char *method, el_str_t path, el_str_t body)
+ctl_request (ctl_t *ctl, const char *method, el_str_t path, el_str_t body)
 {
   el_buf_t bearer = { NULL, 0, 0 };
   net_header_t header = { EL_STR ("authorization"), { NULL, 0 } };
@@ -110,8 +111,8 @@
                       .headers = &header,
                       .nheaders = 1,
                       .body = body,
-                      .timeout = EXCHANGE_TIMEOUT,
-                      .done = ctl_done,
+                      .timeout = REQUEST_TIMEOUT,
+                      .done = response_received,
                       .arg = ctl };
 
   el_buf_printf (&bearer, "Bearer %s", ctl->set.operator_key);
@@ -119,23 +120,23 @@
   json_decref (ctl->json);
   ctl->json = NULL;
   ctl->status = 0;
-  ctl->ended = 0;
+  ctl->response_done = 0;
   el_buf_reset (&ctl->text);
   net_client_send (ctl->client, &send);
-  while (!ctl->ended)
+  while (!ctl->response_done)
     uv_run (&ctl->loop, UV_RUN_ONCE);
   el_buf_free (&bearer);
   return ctl->status;
 }
 
 static int
-status_ok (int status)
+status_is_success (int status)
 {
-  return status >= HTTP_OK_FIRST && status <= HTTP_OK_LAST;
+  return status >= HTTP_SUCCESS_MIN && status <= HTTP_SUCCESS_MAX;
 }
 
 static int
-ctl_fail (const ctl_t *ctl)
+ctl_print_error (const ctl_t *ctl)
 {
   const json_t *error = json_object_get (ctl->json, "error");
   const json_t *own = json_object_get (ctl->json, "elmarch");
@@ -149,7 +150,7 @@
 }
 
 static void
-row_print (const json_t *res)
+resource_print (const json_t *res)
 {
   json_t *status = json_object_get (res, "status");
   char *spec = json_dumps (json_object_get (res, "spec"), JSON_COMPACT);
@@ -177,8 +178,8 @@
     }
   printf ("%-24s %10s %7s %s\n", "NAME", "VERSION", "HOSTS", "SPEC");
   if (!items)
-    row_print (ctl->json);
-  json_array_foreach (items, i, item) row_print (item);
+    resource_print (ctl->json);
+  json_array_foreach (items, i, item) resource_print (item);
 }
 
 static int
@@ -189,10 +190,10 @@
 
   el_buf_printf (&path, "/admin/v1/%s%s%s", args[0], args[1] ? "/" : "",
                  args[1] ? args[1] : "");
-  status = ctl_exchange (ctl, "GET", el_buf_str (&path), EL_STR (""));
+  status = ctl_request (ctl, "GET", el_buf_str (&path), EL_STR (""));
   el_buf_free (&path);
-  if (!status_ok (status))
-    return ctl_fail (ctl);
+  if (!status_is_success (status))
+    return ctl_print_error (ctl);
   ctl_print (ctl);
   return EXIT_SUCCESS;
 }
@@ -204,19 +205,19 @@
   int status;
 
   el_buf_printf (&path, "/admin/v1/%s/%s", args[0], args[1]);
-  status = ctl_exchange (ctl, "DELETE", el_buf_str (&path), EL_STR (""));
+  status = ctl_request (ctl, "DELETE", el_buf_str (&path), EL_STR (""));
   el_buf_free (&path);
-  if (!status_ok (status))
-    return ctl_fail (ctl);
+  if (!status_is_success (status))
+    return ctl_print_error (ctl);
   printf ("%s/%s deleted\n", args[0], args[1]);
   return EXIT_SUCCESS;
 }
 
 static void
-ctl_pause (ctl_t *ctl)
+apply_pause (ctl_t *ctl)
 {
   (void)ctl;
-  uv_sleep (WATCH_EVERY_MS / 10);
+  uv_sleep (WATCH_INTERVAL_MS / 10);
 }
 
 /* Wait until the resource, at VERSION or later, is in force on all hosts. */
@@ -231,8 +232,8 @@
   el_buf_printf (&path, "/admin/v1/%s/%s", kind, name);
   while (!in_force && net_clock_now (&ctl->clock) < until)
     {
-      if (status_ok (
-              ctl_exchange (ctl, "GET", el_buf_str (&path), EL_STR (""))))
+      if (status_is_success (
+              ctl_request (ctl, "GET", el_buf_str (&path), EL_STR (""))))
         {
           status = json_object_get (ctl->json, "status");
           in_force
@@ -244,7 +245,7 @@
                            json_object_get (status, "hosts"));
         }
       if (!in_force)
-        ctl_pause (ctl);
+        apply_pause (ctl);
     }
   el_buf_free (&path);
   return in_force;
@@ -271,12 +272,12 @@
   body = json_pack ("{s:O}", "spec", spec);
   text = json_dumps (body, JSON_COMPACT);
   el_buf_printf (&path, "/admin/v1/%s/%s", kind, name);
-  status = ctl_exchange (ctl, "PUT", el_buf_str (&path), el_str (text));
+  status = ctl_request (ctl, "PUT", el_buf_str (&path), el_str (text));
   el_buf_free (&path);
   free (text);
   json_decref (body);
-  if (!status_ok (status))
-    return ctl_fail (ctl);
+  if (!status_is_success (status))
+    return ctl_print_error (ctl);
   printf ("%s/%s accepted\n", kind, name);
   return EXIT_SUCCESS;
 }
@@ -298,7 +299,7 @@
   if (!json_is_array (list))
     {
       fprintf (stderr, "elmarchctl: %s:%d: %s\n", args[0], error.line,
-               list ? "takes a list of resources" : error.text);
+               list ? "expected a list of resources" : error.text);
       json_decref (list);
       return EL_EXIT_USAGE;
     }
@@ -339,9 +340,9 @@
       el_buf_t path = { NULL, 0, 0 };
 
       el_buf_printf (&path, "/admin/v1/%s", args[0]);
-      if (!status_ok (
-              ctl_exchange (ctl, "GET", el_buf_str (&path), EL_STR (""))))
-        rc = ctl_fail (ctl);
+      if (!status_is_success (
+              ctl_request (ctl, "GET", el_buf_str (&path), EL_STR (""))))
+        rc = ctl_print_error (ctl);
       el_buf_free (&path);
       revision = json_integer_value (json_object_get (ctl->json, "revision"));
       if (!rc && revision != seen)
@@ -350,13 +351,14 @@
           fflush (stdout);
         }
       seen = revision;
-      uv_sleep (WATCH_EVERY_MS);
+      uv_sleep (WATCH_INTERVAL_MS);
     }
   return rc;
 }
 
-/* Ask that an endpoint gets no new work: its spec with draining set, in place
-   of the very version that was read. */
+/* Ask that an endpoint gets no new work, by setting draining in its spec. The
+   update names the version that was read, so it fails if the endpoint was
+   changed in between. */
 static int
 ctl_drain (ctl_t *ctl, const char **args)
 {
@@ -366,11 +368,11 @@
   int status;
 
   el_buf_printf (&path, "/admin/v1/endpoints/%s", args[0]);
-  status = ctl_exchange (ctl, "GET", el_buf_str (&path), EL_STR (""));
-  if (!status_ok (status))
+  status = ctl_request (ctl, "GET", el_buf_str (&path), EL_STR (""));
+  if (!status_is_success (status))
     {
       el_buf_free (&path);
-      return ctl_fail (ctl);
+      return ctl_print_error (ctl);
     }
   body = json_pack ("{s:O,s:O}", "spec", json_object_get (ctl->json, "spec"),
                     "resourceVersion",
@@ -378,23 +380,23 @@
   json_object_set_new (json_object_get (body, "spec"), "draining",
                        json_true ());
   text = json_dumps (body, JSON_COMPACT);
-  status = ctl_exchange (ctl, "PUT", el_buf_str (&path), el_str (text));
+  status = ctl_request (ctl, "PUT", el_buf_str (&path), el_str (text));
   el_buf_free (&path);
   free (text);
   json_decref (body);
-  if (!status_ok (status))
-    return ctl_fail (ctl);
+  if (!status_is_success (status))
+    return ctl_print_error (ctl);
   printf ("endpoints/%s draining\n", args[0]);
   return EXIT_SUCCESS;
 }
 
 static int
-ctl_text (ctl_t *ctl, el_str_t path)
+ctl_print_path (ctl_t *ctl, el_str_t path)
 {
   char *text;
 
-  if (!status_ok (ctl_exchange (ctl, "GET", path, EL_STR (""))))
-    return ctl_fail (ctl);
+  if (!status_is_success (ctl_request (ctl, "GET", path, EL_STR (""))))
+    return ctl_print_error (ctl);
   text = json_dumps (ctl->json, JSON_INDENT (2));
   printf ("%s\n", text);
   free (text);
@@ -405,21 +407,21 @@
 ctl_dump (ctl_t *ctl, const char **args)
 {
   (void)args;
-  return ctl_text (ctl, EL_STR ("/admin/v1/dump"));
+  return ctl_print_path (ctl, EL_STR ("/admin/v1/dump"));
 }
 
 static int
 ctl_hosts (ctl_t *ctl, const char **args)
 {
   (void)args;
-  return ctl_text (ctl, EL_STR ("/v1/entry-hosts"));
+  return ctl_print_path (ctl, EL_STR ("/v1/entry-hosts"));
 }
 
 static int
 ctl_blocked (ctl_t *ctl, const char **args)
 {
   (void)args;
-  return ctl_text (ctl, EL_STR ("/admin/v1/blocked"));
+  return ctl_print_path (ctl, EL_STR ("/admin/v1/blocked"));
 }
 
 static int
@@ -429,11 +431,11 @@
   int status;
 
   el_buf_printf (&path, "/admin/v1/blocked/%s", args[0]);
-  status = ctl_exchange (ctl, "DELETE", el_buf_str (&path), EL_STR (""));
+  status = ctl_request (ctl, "DELETE", el_buf_str (&path), EL_STR (""));
   el_buf_free (&path);
-  if (!status_ok (status))
-    return ctl_fail (ctl);
-  printf ("%s let in again\n", args[0]);
+  if (!status_is_success (status))
+    return ctl_print_error (ctl);
+  printf ("%s unblocked\n", args[0]);
   return EXIT_SUCCESS;
 }
 
--- a/elmarchd/main.c
+++ b/elmarchd/main.c
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * elmarchd: settings, wiring, signals.
+ * Main program of elmarchd: settings, start-up and signals.
  */
 #include <signal.h>
 #include <stdio.h>
@@ -14,10 +14,11 @@
 
 #define KEY_MIN 16
 #define KEY_MAX 256
-/* Hosts' capacities are compared to this part of one. */
-#define CAPACITY_UNIT 1000
+/* --capacity is a decimal number; hosts compare it as an integer in
+   thousandths. */
+#define CAPACITY_SCALE 1000
 
-/** The settings as they are read; see elmarchd(8). */
+/** Settings from options and environment variables; see elmarchd(8). */
 typedef struct daemon_settings
 {
   const char *listen;
@@ -65,8 +66,8 @@
 {
   uv_loop_t loop;
   gt_gate_t *gate;
-  site_t *site;      /* NULL without relayed requests */
-  unsigned stopping; /* parts that are not yet stopped */
+  frontend_t *frontend; /* NULL when --entry is not set */
+  unsigned stopping;    /* components that have yet to stop */
   uv_signal_t term;
   uv_signal_t interrupt;
   uv_signal_t dump;
@@ -77,87 +78,87 @@
 
 static const el_set_t table[] = {
   { "listen", EL_SET_STRING, AT (listen), "127.0.0.1:8080", 9, 21, 0,
-    "IP:PORT", "where callers and operators connect" },
+    "IP:PORT", "address for callers and operators" },
   { "peer-listen", EL_SET_STRING, AT (peer_listen), "127.0.0.1:8081", 9, 21, 0,
-    "IP:PORT", "where the other hosts connect" },
+    "IP:PORT", "address for other hosts" },
   { "peers", EL_SET_STRING, AT (peers), "", 0, 32768, 0, "IP:PORT,...",
-    "the other hosts' peer addresses" },
+    "peer addresses of other hosts" },
   { "hall", EL_SET_STRING, AT (hall), NULL, 1, 63, 1, "NAME",
-    "the hall that this host stands in" },
+    "hall of this host" },
   { "platform", EL_SET_STRING, AT (platform), "", 0, 21, 0, "IP:PORT",
-    "the platform's key-value service; needed without --entry" },
+    "the platform's key-value service; required without --entry" },
   { "entry", EL_SET_STRING, AT (entry), "", 0, 21, 0, "IP:PORT",
-    "where callers of relayed requests connect; empty: none" },
+    "address for callers of relayed requests; empty: disabled" },
   { "ready", EL_SET_STRING, AT (ready), "127.0.0.1:8082", 9, 21, 0, "IP:PORT",
-    "tells whether this host takes relayed requests" },
+    "address for readiness checks of relayed requests" },
   { "directory", EL_SET_STRING, AT (directory), "", 0, 21, 0, "IP:PORT",
-    "tells callers the entry addresses" },
+    "address for look-ups of entry addresses; empty: disabled" },
   { "store", EL_SET_STRING, AT (store), "", 0, 21, 0, "IP:PORT",
-    "the store that holds rules and endpoints of relayed requests" },
+    "the store of rules and endpoints for relayed requests" },
   { "store-followers", EL_SET_U64, AT (store_followers), "1", 1, 1000, 0, "N",
-    "hosts of a hall that ask the store; the others ask them" },
+    "hosts per hall that poll the store; the others ask them" },
   { "capacity", EL_SET_NUMBER, AT (capacity), "0", 0, 1000000000, 0, "NUMBER",
-    "how much this host can carry beside others; the largest of a hall does "
-    "what one host does for all" },
+    "capacity relative to other hosts; the host with the largest does the "
+    "work that one host of a hall does for all" },
   { "name", EL_SET_STRING, AT (name), "elmarchd", 1, 200, 0, "NAME",
-    "of this host, as leases show it" },
+    "name of this host in leases" },
   { "entry-ttl-s", EL_SET_U64, AT (entry_ttl_s), "2", 1, 3600, 0, "S",
-    "callers keep the entry addresses this long" },
+    "time for which callers cache entry addresses" },
   { "repeat-ratio", EL_SET_NUMBER, AT (repeat_ratio), "0.2", 0, 1000, 0,
-    "RATIO", "repeats for each relayed request, over all hosts" },
+    "RATIO", "repeats allowed per relayed request, over all hosts" },
   { "repeat-slack", EL_SET_NUMBER, AT (repeat_slack), "20", 0, 1000000, 0, "N",
-    "repeats besides in each window, over all hosts" },
+    "additional repeats allowed per window, over all hosts" },
   { "repeat-window-s", EL_SET_NUMBER, AT (repeat_window_s), "10", 1, 3600, 0,
-    "S", "the window that repeats are counted in" },
+    "S", "window in which repeats are counted" },
   { "keys-limit-ms", EL_SET_NUMBER, AT (keys_limit_ms), "5000", 0, 3600000, 0,
-    "MS", "keys are refused when the rules were last known so long ago" },
+    "MS", "refuse keys when the rules are older than this" },
   { "change-limit-ms", EL_SET_NUMBER, AT (change_limit_ms), "2000", 100,
-    3600000, 0, "MS", "a change of the rules must be in force after this" },
+    3600000, 0, "MS", "time within which a rule change must be in force" },
   { "lease-ms", EL_SET_U64, AT (lease_ms), "2000", 1000, 600000, 0, "MS",
-    "time to live of the planner's lease" },
+    "time to live of the planner lease" },
   { "stop-least-ms", EL_SET_U64, AT (stop_least_ms), "2500", 0, 3600000, 0,
-    "MS", "a stop takes relayed requests this long" },
+    "MS", "a stopping host still accepts relayed requests for this long" },
   { "stop-most-ms", EL_SET_U64, AT (stop_most_ms), "7500", 0, 3600000, 0, "MS",
-    "a stop waits this long for relayed requests" },
+    "longest time that a stop waits for relayed requests" },
   { "cluster-key", EL_SET_STRING, AT (cluster_key), NULL, KEY_MIN, KEY_MAX, 1,
-    "KEY", "shared by the hosts; best given as a variable" },
+    "KEY", "key shared by all hosts; best set as a variable" },
   { "operator-key", EL_SET_STRING, AT (operator_key), NULL, KEY_MIN, KEY_MAX,
-    1, "KEY", "proves operators; best given as a variable" },
+    1, "KEY", "key that authenticates operators; best set as a variable" },
   { "log-level", EL_SET_STRING, AT (log_level), "info", 4, 5, 0, "LEVEL",
     "error, warn, info or debug" },
   { "max-active", EL_SET_U64, AT (max_active), "512", 1, 100000, 0, "N",
-    "requests that run at once" },
+    "maximum number of running requests" },
   { "max-queue", EL_SET_U64, AT (max_queue), "1024", 0, 100000, 0, "N",
-    "requests that wait at once" },
+    "maximum number of queued requests" },
   { "max-body", EL_SET_U64, AT (max_body), "1048576", 1024, 8388608, 0,
-    "BYTES", "longest body of a request" },
+    "BYTES", "maximum size of a request body" },
   { "max-sessions", EL_SET_U64, AT (max_sessions), "8192", 1, 1000000, 0, "N",
     "sessions at home here" },
   { "max-entries", EL_SET_U64, AT (max_entries), "64", 1, 4096, 0, "N",
-    "requests remembered for a session" },
+    "requests remembered per session" },
   { "max-answers-mb", EL_SET_U64, AT (max_answers_mb), "24", 1, 65536, 0, "MB",
-    "memory for the answers of sessions' requests" },
+    "memory for stored answers of session requests" },
   { "deadline-ms", EL_SET_U64, AT (deadline_ms), "60000", 1, 3600000, 0, "MS",
-    "time for a request that names none" },
+    "deadline of requests that set none" },
   { "call-limit-ms", EL_SET_U64, AT (call_limit_ms), "5000", 10, 600000, 0,
-    "MS", "longest wait for one stage" },
+    "MS", "timeout of a call to one stage" },
   { "session-idle-s", EL_SET_U64, AT (session_idle_s), "3600", 1, 604800, 0,
-    "S", "an unused session is dropped after this" },
+    "S", "unused sessions are closed after this" },
   { "session-hold-s", EL_SET_U64, AT (session_hold_s), "30", 0, 3600, 0, "S",
-    "a session's stream goes on unread this long" },
+    "a session's stream continues without a reader for this long" },
   { "leave-hold-s", EL_SET_U64, AT (leave_hold_s), "10", 1, 3600, 0, "S",
-    "an endpoint's word that it leaves counts this long" },
+    "an endpoint's notice that it is leaving is valid for this long" },
   { "drain-limit-s", EL_SET_U64, AT (drain_limit_s), "3600", 1, 604800, 0, "S",
-    "a stop waits this long for what runs" },
+    "longest time that a stop waits for running requests" },
   { "trace-fd", EL_SET_U64, AT (trace_fd), "2", 1, 1023, 0, "FD",
-    "open descriptor that --trace writes to" },
+    "open file descriptor that --trace writes to" },
   { "trace", EL_SET_FLAG, AT (trace), "0", 0, 1, 0, NULL,
     "write a trace of events and actions" },
   { "check", EL_SET_FLAG, AT (check), "0", 0, 1, 0, NULL,
     "check the settings and exit" },
 };
 
-/* What the table of settings can't say of a valid value. */
+/* Check what the table of settings can't express. */
 static el_status_t
 settings_check (const daemon_settings_t *set, el_log_level_t *level,
                 el_err_t *err)
@@ -207,7 +208,7 @@
     .cluster_key = el_str (set->cluster_key),
     .operator_key = el_str (set->operator_key),
     .store_followers = set->store_followers,
-    .capacity = (uint64_t)(set->capacity * CAPACITY_UNIT),
+    .capacity = (uint64_t)(set->capacity * CAPACITY_SCALE),
     .max_active = set->max_active,
     .max_queue = set->max_queue,
     .max_body = set->max_body,
@@ -225,9 +226,9 @@
 }
 
 static void
-settings_site (const daemon_settings_t *set, site_options_t *out)
+settings_frontend (const daemon_settings_t *set, frontend_options_t *out)
 {
-  *out = (site_options_t){
+  *out = (frontend_options_t){
     .entry = el_str (set->entry),
     .ready = el_str (set->ready),
     .directory = el_str (set->directory),
@@ -247,10 +248,10 @@
   };
 }
 
-/* The signals stay taken: another SIGTERM must not break off the last steps.
- */
+/* One component has stopped. The signal handlers stay installed, so that a
+   second SIGTERM does not interrupt the last steps. */
 static void
-on_drained (void *arg)
+part_stopped (void *arg)
 {
   daemon_process_t *process = arg;
 
@@ -259,31 +260,32 @@
 }
 
 static void
-on_term (uv_signal_t *signal, int number)
+stop_signal (uv_signal_t *signal, int number)
 {
   daemon_process_t *process = signal->data;
 
   (void)number;
   if (process->stopping)
     return;
-  process->stopping = process->site ? 2 : 1;
-  if (process->site)
-    site_stop (process->site, on_drained, process);
-  gt_gate_drain (process->gate, on_drained, process);
+  process->stopping = process->frontend ? 2 : 1;
+  if (process->frontend)
+    frontend_stop (process->frontend, part_stopped, process);
+  gt_gate_drain (process->gate, part_stopped, process);
 }
 
-/* Settings are flags and variables, which a process can't read anew. */
+/* Settings come from options and the environment, which a running process
+   can't reload. */
 static void
-on_reload (uv_signal_t *signal, int number)
+reload_signal (uv_signal_t *signal, int number)
 {
   (void)signal;
   (void)number;
   EL_LOG (EL_LOG_INFO, "reload",
-          EL_FC ("outcome", "settings count from the next start"));
+          EL_FC ("outcome", "settings can only be changed by a restart"));
 }
 
 static void
-on_dump (uv_signal_t *signal, int number)
+dump_signal (uv_signal_t *signal, int number)
 {
   daemon_process_t *process = signal->data;
   json_t *dump = gt_gate_dump (process->gate);
@@ -305,17 +307,17 @@
   process->term.data = process;
   process->interrupt.data = process;
   process->dump.data = process;
-  uv_signal_start (&process->term, on_term, SIGTERM);
-  uv_signal_start (&process->interrupt, on_term, SIGINT);
-  uv_signal_start (&process->dump, on_dump, SIGUSR1);
-  uv_signal_start (&process->reload, on_reload, SIGHUP);
+  uv_signal_start (&process->term, stop_signal, SIGTERM);
+  uv_signal_start (&process->interrupt, stop_signal, SIGINT);
+  uv_signal_start (&process->dump, dump_signal, SIGUSR1);
+  uv_signal_start (&process->reload, reload_signal, SIGHUP);
   signal (SIGPIPE, SIG_IGN);
 }
 
-/* The process's memory lasts as long as the process: connections that callers
-   keep open point into it until the end. */
+/* The process state is static, as connections that callers keep open refer to
+   it until the process exits. */
 static int
-daemon_run (gt_options_t *options, site_options_t *site)
+daemon_run (gt_options_t *options, frontend_options_t *frontend)
 {
   static daemon_process_t process;
   el_err_t err;
@@ -329,10 +331,10 @@
       EL_LOG (EL_LOG_ERROR, "not_started", EL_FC ("reason", err.msg));
       return EXIT_FAILURE;
     }
-  site->seed = options->seed;
-  if (site->entry.len)
-    process.site = site_new (process.gate, site, &err);
-  if (site->entry.len && !process.site)
+  frontend->seed = options->seed;
+  if (frontend->entry.len)
+    process.frontend = frontend_new (process.gate, frontend, &err);
+  if (frontend->entry.len && !process.frontend)
     {
       EL_LOG (EL_LOG_ERROR, "not_started", EL_FC ("reason", err.msg));
       return EXIT_FAILURE;
@@ -348,13 +350,13 @@
   const el_set_options_t options
       = { .program = "elmarchd",
           .env_prefix = "ELMARCHD",
-          .usage = "[OPTION...]\nEvery option can be given as a variable: "
-                   "--max-queue is ELMARCHD_MAX_QUEUE.",
+          .usage = "[OPTION...]\nEvery option can also be set as an "
+                   "environment variable: --max-queue is ELMARCHD_MAX_QUEUE.",
           .table = table,
           .ntable = sizeof table / sizeof *table };
   daemon_settings_t set;
   gt_options_t gate;
-  site_options_t site;
+  frontend_options_t frontend;
   el_log_level_t level = EL_LOG_INFO;
   el_err_t err;
   el_set_result_t result;
@@ -371,8 +373,8 @@
   else if (result == EL_SET_RUN && el_log_open ("elmarchd", level) == 0)
     {
       settings_gate (&set, &gate);
-      settings_site (&set, &site);
-      rc = daemon_run (&gate, &site);
+      settings_frontend (&set, &frontend);
+      rc = daemon_run (&gate, &frontend);
       el_log_close ();
     }
   el_set_free (&options, &set);
--- a/elmarchd/site.c
+++ b/elmarchd/site.c
@@ -3,46 +3,48 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Relayed requests on the users' platform: wires the relays, the list of
- * endpoints, the rules and the planner to the adapter's tables.
+ * Serves relayed requests on the users' platform: connects the relays, the
+ * list of endpoints, the rules and the planner to the platform adapter.
  */
 #include "site.h"
 
 #include "platform.h"
 
-/* Longest body that is taken in before the rules name their own bound. */
-#define BODY_MAX ((size_t)4 << 20)
-/* Longest wait of a watch; with a limit on keys a fifth of it: the
-   rules are known as of the sending of the last watch that was answered, and
-   the next answer may take as long again. So a store that is lost leaves at
-   least three fifths of the limit to serve in. And 0.35 of the time within
-   which a change must be in force. */
-#define WAIT_OF_KEYS 0.2
-#define WAIT_OF_CHANGE 0.35
-/* News of another host are old after this part of the time within which a
-   change must be in force: what is left is for a call to the store. */
-#define OLD_OF_CHANGE 0.75
-/* A host whose facts are older than the news of others may be, by this much,
-   is left out of the entry addresses. */
+/* Largest request body accepted until the rules set their own limit. */
+#define DEFAULT_BODY_MAX ((size_t)4 << 20)
+/* Longest wait of a watch, as a share of --keys-limit-ms (if set) and of
+   --change-limit-ms. The rules are current as of the time when the last
+   answered watch was sent, and the next answer may take as long again. So
+   after the store is lost at least three fifths of the keys limit remain in
+   which to serve. */
+#define WATCH_KEYS_SHARE 0.2
+#define WATCH_CHANGE_SHARE 0.35
+/* Updates of another host are stale after this share of --change-limit-ms; the
+   rest is left for a call to the store. */
+#define UPDATE_AGE_SHARE 0.75
+/* A host is left out of the entry addresses when its data is older than the
+   maximum age of updates by more than this. */
 #define STALE_SLACK (1500 * EL_MSEC)
-#define LOOK_EVERY (200 * EL_MSEC)
-/* Until it serves, a host looks this often whether others have told it. */
-#define LOOK_YOUNG (10 * EL_MSEC)
-/* A host that no other one has answered for so long serves by what the store
-   keeps. */
-#define ALONE_AFTER (110 * EL_MSEC)
-/* Keys change together: at the start, when many endpoints are replaced. */
-#define STORE_GATHER (300 * EL_MSEC)
-/* Halls do not write the same at the same moment. */
-#define KEEP_SPREAD (500 * EL_MSEC)
-#define STOP_LOOK_EVERY (50 * EL_MSEC)
-/* Margin of a lease for clocks that run at different speeds. */
+#define CHECK_INTERVAL (200 * EL_MSEC)
+/* Check interval until the host has heard from the others and serves. */
+#define STARTUP_CHECK_INTERVAL (10 * EL_MSEC)
+/* A host that got no answer from another host for this long serves with the
+   data of the store alone. */
+#define PEERS_WAIT_MAX (110 * EL_MSEC)
+/* Delay to collect changes, as many keys change together at a start and when
+   many endpoints are replaced. */
+#define STORE_BATCH_DELAY (300 * EL_MSEC)
+/* Random delay that keeps the halls from writing the same key at once. */
+#define STORE_WRITE_JITTER (500 * EL_MSEC)
+#define STOP_CHECK_INTERVAL (50 * EL_MSEC)
+/* The lease is taken to expire this much earlier, as clocks run at different
+   speeds. */
 #define LEASE_MARGIN (300 * EL_MSEC)
 
-struct site
+struct frontend
 {
   gt_gate_t *gate;
-  site_options_t options;
+  frontend_options_t options;
   gt_store_t store;
   rt_fleet_t *fleet;
   gt_relays_t *relays;
@@ -51,36 +53,38 @@
   gt_follow_t *follow;
   gt_store_part_t part;
   int endpoints_known;
-  int planned; /* some host has the planner's duty, as far as is known */
+  int planner_held; /* some host is known to hold the planner lease */
   uint64_t gauge_endpoints;
   uint64_t gauge_placed;
   uint64_t gauge_leaving;
   uint64_t gauge_planner;
   int withdrawn;
-  el_timer_t look;
-  el_time_t rules_known;
-  el_time_t began;
-  int heard; /* other hosts told what they know, or there are none */
+  el_timer_t check_timer;
+  el_time_t store_as_of;
+  el_time_t started_at;
+  int peers_synced; /* rumors were fetched, or there is no other host */
   int stopping;
-  el_time_t stop_began;
-  el_timer_t stop_look;
-  gt_drained_cb stopped;
-  void *stopped_arg;
+  el_time_t stop_started_at;
+  el_timer_t stop_timer;
+  gt_drained_cb stop_done;
+  void *stop_done_arg;
 };
 
-/* How old the news of another host may be. */
+/* Maximum age of updates from another host. */
 static el_time_t
-site_news_old (const site_t *site)
+frontend_update_max_age (const frontend_t *frontend)
 {
-  return (el_time_t)((double)site->options.change_limit * OLD_OF_CHANGE);
+  return (el_time_t)((double)frontend->options.change_limit
+                     * UPDATE_AGE_SHARE);
 }
 
-/* Gives 0 for a version older than the one in force. */
+/* Apply the rules. Returns 0 when they are invalid or older than the version
+   in force. */
 static int
-rules_item (void *arg, const pr_item_t *item)
+rules_item_received (void *arg, const pr_item_t *item)
 {
-  site_t *site = arg;
-  const rt_rules_t *now = gt_relays_rules_in_force (site->relays);
+  frontend_t *frontend = arg;
+  const rt_rules_t *now = gt_relays_rules_in_force (frontend->relays);
   rt_rules_t *rules;
   el_err_t err;
 
@@ -98,48 +102,50 @@
       return 0;
     }
   else
-    gt_relays_set_rules (site->relays, rules);
+    gt_relays_set_rules (frontend->relays, rules);
   return rules != NULL;
 }
 
-/* All hosts learn the same, and the first of each hall logs it; that an
-   endpoint leaves is a bound for each host. */
+/* All hosts receive the same entries, so only the first of each hall logs them
+   at level info. Every host logs that an endpoint is leaving, as the time
+   until it stops using the endpoint is limited for each host. */
 static void
-endpoint_log (site_t *site, const rt_facts_t *facts, const char *what,
+endpoint_log (frontend_t *frontend, const rt_facts_t *facts, const char *what,
               uint64_t revision)
 {
-  int notable = facts->leaving || gt_gate_leads (site->gate);
-  el_time_t now = net_clock_now (gt_gate_clock (site->gate));
+  int notable = facts->leaving || gt_gate_leads (frontend->gate);
+  el_time_t now = net_clock_now (gt_gate_clock (frontend->gate));
 
   EL_LOG (notable ? EL_LOG_INFO : EL_LOG_DEBUG, what,
           EL_FS ("endpoint", facts->id), EL_FS ("service", facts->service),
           EL_FS ("address", facts->address), EL_FS ("hall", facts->hall),
           EL_FS ("card", facts->card), EL_FN ("leaving", facts->leaving),
           EL_FN ("first", facts->first), EL_FN ("end", facts->end),
-          EL_FN ("epoch", site->store.epoch), EL_FN ("revision", revision),
-          EL_FN ("known_age_us", now - site->rules_known));
+          EL_FN ("epoch", frontend->store.epoch), EL_FN ("revision", revision),
+          EL_FN ("known_age_us", now - frontend->store_as_of));
 }
 
-/* No endpoint is listed under the entry's key any more. */
+/* Remove the endpoint listed under the entry's key. */
 static void
-endpoint_gone (site_t *site, const pr_item_t *item, const char *what)
+endpoint_removed (frontend_t *frontend, const pr_item_t *item,
+                  const char *what)
 {
   rt_target_t *target
-      = rt_fleet_find (site->fleet, pf_endpoint_id (item->key));
+      = rt_fleet_find (frontend->fleet, pf_endpoint_id (item->key));
 
   if (!target)
     return;
-  endpoint_log (site, &target->facts, what, item->revision);
-  gt_relays_engine_gone (site->relays, target);
-  rt_fleet_remove (site->fleet, pf_endpoint_id (item->key));
+  endpoint_log (frontend, &target->facts, what, item->revision);
+  gt_relays_engine_gone (frontend->relays, target);
+  rt_fleet_remove (frontend->fleet, pf_endpoint_id (item->key));
 }
 
-/* An entry that can't be read names no endpoint, also where an earlier one
-   under its key did; the others hold. */
+/* Apply a change of the list of endpoints. An invalid entry removes the
+   endpoint that was listed under its key; other entries are not affected. */
 static void
-endpoints_item (void *arg, const pr_item_t *item)
+endpoint_item_received (void *arg, const pr_item_t *item)
 {
-  site_t *site = arg;
+  frontend_t *frontend = arg;
   rt_target_t *target;
   rt_facts_t facts;
   json_t *keep;
@@ -147,35 +153,35 @@
 
   if (item->gone)
     {
-      endpoint_gone (site, item, "endpoint_gone");
+      endpoint_removed (frontend, item, "endpoint_gone");
       return;
     }
   if (pf_facts_read (item->key, item->value, &facts, &keep, &err))
     {
-      target = rt_fleet_find (site->fleet, facts.id);
+      target = rt_fleet_find (frontend->fleet, facts.id);
       if (target && !rt_target_same_start (target, &facts))
-        endpoint_gone (site, item, "endpoint_restarted");
-      endpoint_log (site, &facts, "endpoint", item->revision);
-      target = rt_fleet_set (site->fleet, &facts);
-      target->epoch = site->store.epoch;
-      target->listed = net_clock_now (gt_gate_clock (site->gate));
-      gt_relays_engine_changed (site->relays, target);
+        endpoint_removed (frontend, item, "endpoint_restarted");
+      endpoint_log (frontend, &facts, "endpoint", item->revision);
+      target = rt_fleet_set (frontend->fleet, &facts);
+      target->epoch = frontend->store.epoch;
+      target->listed = net_clock_now (gt_gate_clock (frontend->gate));
+      gt_relays_engine_changed (frontend->relays, target);
     }
   else
     {
       EL_LOG (EL_LOG_ERROR, "endpoint_refused", EL_FS ("key", item->key),
               EL_FC ("reason", err.msg), EL_FN ("revision", item->revision));
-      endpoint_gone (site, item, "endpoint_gone");
+      endpoint_removed (frontend, item, "endpoint_gone");
     }
   json_decref (keep);
 }
 
-/* How long a watch may wait, in milliseconds. */
+/* Longest wait of a watch, in milliseconds. */
 static uint64_t
-site_watch_wait (const site_t *site)
+frontend_watch_wait_ms (const frontend_t *frontend)
 {
-  double wait = (double)site->options.change_limit * WAIT_OF_CHANGE;
-  double most = (double)site->options.keys_limit * WAIT_OF_KEYS;
+  double wait = (double)frontend->options.change_limit * WATCH_CHANGE_SHARE;
+  double most = (double)frontend->options.keys_limit * WATCH_KEYS_SHARE;
 
   if (most > 0 && most < wait)
     wait = most;
@@ -183,493 +189,508 @@
 }
 
 static int
-site_ready (void *arg)
+frontend_is_ready (void *arg)
 {
-  site_t *site = arg;
+  frontend_t *frontend = arg;
 
-  return !site->stopping && site->endpoints_known
-         && gt_relays_rules_in_force (site->relays)
-         && !gt_relays_rules_outdated (site->relays);
+  return !frontend->stopping && frontend->endpoints_known
+         && gt_relays_rules_in_force (frontend->relays)
+         && !gt_relays_rules_outdated (frontend->relays);
 }
 
-/* Bring the gauges up to date. */
+/* Update the gauges. */
 static void
-site_count (site_t *site)
+frontend_update_gauges (frontend_t *frontend)
 {
   const rt_target_t *target;
 
-  site->gauge_endpoints = rt_fleet_count (site->fleet);
-  site->gauge_placed = 0;
-  site->gauge_leaving = 0;
-  for (target = rt_fleet_first (site->fleet); target; target = target->hh.next)
+  frontend->gauge_endpoints = rt_fleet_count (frontend->fleet);
+  frontend->gauge_placed = 0;
+  frontend->gauge_leaving = 0;
+  for (target = rt_fleet_first (frontend->fleet); target;
+       target = target->hh.next)
     {
-      site->gauge_placed += target->facts.end > target->facts.first;
-      site->gauge_leaving += rt_target_leaves (target);
+      frontend->gauge_placed += target->facts.end > target->facts.first;
+      frontend->gauge_leaving += rt_target_leaves (target);
     }
 }
 
-/* A host serves once another one has told it which requests end endpoints, or
-   it seems to be alone. */
+/* Start to serve once another host has sent the list of requests that crash
+   endpoints, or once no host has answered for PEERS_WAIT_MAX. */
 static void
-site_hear_all (site_t *site, el_time_t now)
+frontend_await_peers (frontend_t *frontend, el_time_t now)
 {
-  int known = gt_gate_rumors_known (site->gate);
+  int known = gt_gate_rumors_known (frontend->gate);
 
-  if (site->heard || (!known && now < site->began + ALONE_AFTER))
+  if (frontend->peers_synced
+      || (!known && now < frontend->started_at + PEERS_WAIT_MAX))
     return;
-  site->heard = 1;
+  frontend->peers_synced = 1;
   EL_LOG (EL_LOG_INFO, "hosts_heard", EL_FN ("known", known),
-          EL_FN ("us", now - site->began));
-  gt_relays_peers_heard (site->relays);
+          EL_FN ("us", now - frontend->started_at));
+  gt_relays_peers_heard (frontend->relays);
 }
 
-/* A host that does not reach the store refuses keyed requests soon: callers
-   are sent to those that do. When none does, all are told as before. */
+/* Withdraw this host from the entry addresses while its data is stale. A host
+   that can't reach the store will soon refuse requests with keys, so callers
+   are directed to hosts that can. If no host can, all addresses are given out
+   as before. */
 static void
-site_look (void *arg, el_time_t now)
+frontend_check (void *arg, el_time_t now)
 {
-  site_t *site = arg;
-  int stale = !gt_relays_rules_in_force (site->relays)
-              || gt_relays_rules_outdated (site->relays)
-              || !site->endpoints_known
-              || now > site->rules_known + site_news_old (site) + STALE_SLACK;
+  frontend_t *frontend = arg;
+  int stale = !gt_relays_rules_in_force (frontend->relays)
+              || gt_relays_rules_outdated (frontend->relays)
+              || !frontend->endpoints_known
+              || now > frontend->store_as_of
+                           + frontend_update_max_age (frontend) + STALE_SLACK;
 
-  if (stale != site->withdrawn)
+  if (stale != frontend->withdrawn)
     EL_LOG (EL_LOG_INFO, stale ? "withdrawn" : "offered",
-            EL_FN ("config_age_us", now - site->rules_known));
-  site->withdrawn = stale;
-  site_hear_all (site, now);
-  gt_gate_withdraw (site->gate, stale);
-  site_count (site);
-  site->gauge_planner = (uint64_t)gt_duty_held (site->duty, now);
-  net_clock_set (gt_gate_clock (site->gate), &site->look,
-                 site->heard ? LOOK_EVERY : LOOK_YOUNG);
+            EL_FN ("config_age_us", now - frontend->store_as_of));
+  frontend->withdrawn = stale;
+  frontend_await_peers (frontend, now);
+  gt_gate_withdraw (frontend->gate, stale);
+  frontend_update_gauges (frontend);
+  frontend->gauge_planner = (uint64_t)gt_duty_held (frontend->duty, now);
+  net_clock_set (gt_gate_clock (frontend->gate), &frontend->check_timer,
+                 frontend->peers_synced ? CHECK_INTERVAL
+                                        : STARTUP_CHECK_INTERVAL);
 }
 
 static void
-site_addresses (void *arg, el_str_t hall, json_t *list)
+frontend_addresses (void *arg, el_str_t hall, json_t *list)
 {
-  site_t *site = arg;
+  frontend_t *frontend = arg;
 
-  gt_gate_entries (site->gate, hall, list);
+  gt_gate_entries (frontend->gate, hall, list);
 }
 
 static size_t
-site_hosts (void *arg)
+frontend_count_hosts (void *arg)
 {
-  site_t *site = arg;
+  frontend_t *frontend = arg;
 
-  return gt_gate_hosts (site->gate);
+  return gt_gate_hosts (frontend->gate);
 }
 
 static size_t
-site_hall_hosts (void *arg)
+frontend_count_hall_hosts (void *arg)
 {
-  site_t *site = arg;
+  frontend_t *frontend = arg;
 
-  return gt_gate_hall_hosts (site->gate);
+  return gt_gate_hall_hosts (frontend->gate);
 }
 
 static int
-site_preferred (void *arg)
+frontend_is_preferred (void *arg)
 {
-  site_t *site = arg;
+  frontend_t *frontend = arg;
 
-  return !site->stopping && site->endpoints_known
-         && gt_gate_preferred (site->gate);
+  return !frontend->stopping && frontend->endpoints_known
+         && gt_gate_preferred (frontend->gate);
 }
 
 static void
-planner_item (void *arg, const pr_item_t *item)
+planner_item_received (void *arg, const pr_item_t *item)
 {
-  site_t *site = arg;
+  frontend_t *frontend = arg;
 
-  site->planned = !item->gone;
+  frontend->planner_held = !item->gone;
 }
 
-/* A request that is blocked, as some host kept it for hosts that start when
-   none is left to tell them. */
+/* A blocked request, which another host stored for hosts that start when no
+   other host is left to inform them. */
 static void
-blocked_item (void *arg, const pr_item_t *item)
+blocked_item_received (void *arg, const pr_item_t *item)
 {
-  site_t *site = arg;
+  frontend_t *frontend = arg;
   rt_digest_t digest;
   unsigned holds;
 
   if (!item->gone && pf_blocked_read (item->key, &digest, &holds))
-    gt_relays_block (site->relays, digest, holds);
+    gt_relays_block (frontend->relays, digest, holds);
 }
 
 static int
-site_item (void *arg, const pr_item_t *item)
+frontend_item_received (void *arg, const pr_item_t *item)
 {
   if (el_str_starts (item->key, PF_RULES_PREFIX))
-    return rules_item (arg, item);
+    return rules_item_received (arg, item);
   if (el_str_starts (item->key, PF_ENDPOINTS_PREFIX))
-    endpoints_item (arg, item);
+    endpoint_item_received (arg, item);
   else if (el_str_eq (item->key, PF_PLANNER_KEY))
-    planner_item (arg, item);
+    planner_item_received (arg, item);
   else if (el_str_starts (item->key, PF_BLOCKED_PREFIX))
-    blocked_item (arg, item);
+    blocked_item_received (arg, item);
   return 1;
 }
 
-/* A host that tried while another one plans would call the store in vain. */
+/* Whether the planner lease seems to be free. While another host holds it, a
+   call to the store would be useless. */
 static int
-site_vacant (void *arg)
+frontend_planner_vacant (void *arg)
 {
-  site_t *site = arg;
-  el_time_t now = net_clock_now (gt_gate_clock (site->gate));
+  frontend_t *frontend = arg;
+  el_time_t now = net_clock_now (gt_gate_clock (frontend->gate));
 
-  return !site->planned && now < site->rules_known + site_news_old (site);
+  return !frontend->planner_held
+         && now < frontend->store_as_of + frontend_update_max_age (frontend);
 }
 
 static void
-site_known (void *arg, el_time_t as_of)
+frontend_store_read (void *arg, el_time_t as_of)
 {
-  site_t *site = arg;
+  frontend_t *frontend = arg;
 
-  site->endpoints_known = 1;
-  site->rules_known = as_of;
-  site_hear_all (site, net_clock_now (gt_gate_clock (site->gate)));
-  gt_relays_set_rules_as_of (site->relays, as_of);
-  gt_gate_heard (site->gate);
+  frontend->endpoints_known = 1;
+  frontend->store_as_of = as_of;
+  frontend_await_peers (frontend,
+                        net_clock_now (gt_gate_clock (frontend->gate)));
+  gt_relays_set_rules_as_of (frontend->relays, as_of);
+  gt_gate_heard (frontend->gate);
 }
 
 static int
-site_ask (void *arg, pr_position_t after, unsigned old, pr_news_cb done,
-          void *done_arg)
+frontend_request_update (void *arg, pr_position_t after, unsigned old,
+                         pr_news_cb done, void *done_arg)
 {
-  site_t *site = arg;
+  frontend_t *frontend = arg;
 
-  return gt_gate_ask_news (site->gate, after, old, done, done_arg);
+  return gt_gate_ask_news (frontend->gate, after, old, done, done_arg);
 }
 
 static void
-site_blame (void *arg)
+frontend_avoid_source (void *arg)
 {
-  site_t *site = arg;
+  frontend_t *frontend = arg;
 
-  gt_gate_blame_news (site->gate);
+  gt_gate_blame_news (frontend->gate);
 }
 
-/* The store goes on from an older copy. */
+/* The store was restored from an older copy. */
 static void
-site_epoch (void *arg)
+frontend_epoch_began (void *arg)
 {
-  site_t *site = arg;
+  frontend_t *frontend = arg;
 
-  gt_relays_store_epoch_began (site->relays);
-  gt_relays_blocked_keep (site->relays);
+  gt_relays_store_epoch_began (frontend->relays);
+  gt_relays_blocked_keep (frontend->relays);
 }
 
-/* One watch for all keys: each call to the store has its price. */
+/* Use one watch for all keys, as each call to the store has a cost. */
 static void
-site_follow (site_t *site)
+frontend_follow_store (frontend_t *frontend)
 {
-  gt_follow_options_t all = { .store = &site->store,
+  gt_follow_options_t all = { .store = &frontend->store,
                               .prefix = PF_ALL_PREFIX,
-                              .wait_ms = site_watch_wait (site),
-                              .gather = STORE_GATHER,
-                              .news_old = site_news_old (site),
-                              .item = site_item,
-                              .ask = site_ask,
-                              .blame = site_blame,
-                              .known = site_known,
-                              .arg = site };
-
-  site->part.epoch = site_epoch;
-  site->part.arg = site;
-  gt_store_join (&site->store, &site->part);
-  site->follow = gt_follow_new (&all);
-  gt_gate_follow (site->gate, site->follow);
+                              .wait_ms = frontend_watch_wait_ms (frontend),
+                              .gather = STORE_BATCH_DELAY,
+                              .news_old = frontend_update_max_age (frontend),
+                              .item = frontend_item_received,
+                              .ask = frontend_request_update,
+                              .blame = frontend_avoid_source,
+                              .known = frontend_store_read,
+                              .arg = frontend };
+
+  frontend->part.epoch = frontend_epoch_began;
+  frontend->part.arg = frontend;
+  gt_store_join (&frontend->store, &frontend->part);
+  frontend->follow = gt_follow_new (&all);
+  gt_gate_follow (frontend->gate, frontend->follow);
 }
 
 static el_time_t
-site_facts_known (void *arg)
+frontend_known_as_of (void *arg)
 {
-  const site_t *site = arg;
+  const frontend_t *frontend = arg;
 
-  return site->rules_known;
+  return frontend->store_as_of;
 }
 
 static void
-site_plan (site_t *site)
+frontend_start_planner (frontend_t *frontend)
 {
-  gt_duty_options_t duty = { .store = &site->store,
+  gt_duty_options_t duty = { .store = &frontend->store,
                              .key = PF_PLANNER_KEY,
-                             .holder = site->options.name,
-                             .ttl_ms = site->options.lease_ms,
+                             .holder = frontend->options.name,
+                             .ttl_ms = frontend->options.lease_ms,
                              .margin = LEASE_MARGIN,
-                             .vacant = site_vacant,
-                             .arg = site };
-  gt_planner_options_t planner = { .relays = site->relays,
-                                   .clock = gt_gate_clock (site->gate),
-                                   .client = gt_gate_client (site->gate),
-                                   .fleet = site->fleet,
+                             .vacant = frontend_planner_vacant,
+                             .arg = frontend };
+  gt_planner_options_t planner = { .relays = frontend->relays,
+                                   .clock = gt_gate_clock (frontend->gate),
+                                   .client = gt_gate_client (frontend->gate),
+                                   .fleet = frontend->fleet,
                                    .place = pf_place,
-                                   .preferred = site_preferred,
-                                   .known = site_facts_known,
-                                   .arg = site };
+                                   .preferred = frontend_is_preferred,
+                                   .known = frontend_known_as_of,
+                                   .arg = frontend };
 
-  site->duty = gt_duty_new (&duty);
-  planner.duty = site->duty;
-  site->planner = gt_planner_new (&planner);
+  frontend->duty = gt_duty_new (&duty);
+  planner.duty = frontend->duty;
+  frontend->planner = gt_planner_new (&planner);
 }
 
 static int
-site_polls (void *arg)
+frontend_is_poller (void *arg)
 {
-  site_t *site = arg;
+  frontend_t *frontend = arg;
 
-  return !site->stopping && gt_gate_leads (site->gate);
+  return !frontend->stopping && gt_gate_leads (frontend->gate);
 }
 
 static void
-site_polled (void *arg)
+frontend_poll_done (void *arg)
 {
-  site_t *site = arg;
+  frontend_t *frontend = arg;
 
-  gt_gate_heard (site->gate);
+  gt_gate_heard (frontend->gate);
 }
 
 static size_t
-site_tell (void *arg, pr_engine_t **out)
+frontend_engine_reports (void *arg, pr_engine_t **out)
 {
-  site_t *site = arg;
+  frontend_t *frontend = arg;
 
-  return gt_relays_engine_reports (site->relays, out);
+  return gt_relays_engine_reports (frontend->relays, out);
 }
 
 static void
-site_hear (void *arg, const pr_engine_t *news, size_t n)
+frontend_receive_reports (void *arg, const pr_engine_t *news, size_t n)
 {
-  site_t *site = arg;
+  frontend_t *frontend = arg;
 
-  gt_relays_receive_reports (site->relays, news, n);
+  gt_relays_receive_reports (frontend->relays, news, n);
 }
 
 static void
-site_rumor (void *arg, const co_rumor_t *rumor)
+frontend_receive_rumor (void *arg, const co_rumor_t *rumor)
 {
-  site_t *site = arg;
+  frontend_t *frontend = arg;
 
-  gt_relays_rumor (site->relays, rumor);
+  gt_relays_rumor (frontend->relays, rumor);
 }
 
 static json_t *
-site_suspects (void *arg)
+frontend_suspects (void *arg)
 {
-  site_t *site = arg;
+  frontend_t *frontend = arg;
 
-  return gt_relays_suspects (site->relays);
+  return gt_relays_suspects (frontend->relays);
 }
 
 static json_t *
-site_closed (void *arg)
-{
-  site_t *site = arg;
-  const gt_store_counts_t *counts = &site->store.counts;
-  pr_position_t at = gt_follow_position (site->follow);
-  json_t *json = gt_relays_closed_endpoints (site->relays);
-
-  json_object_set_new (json, "store",
-                       json_pack ("{s:I,s:I,s:I,s:I,s:I}", "epoch",
-                                  (json_int_t)site->store.epoch, "readEpoch",
-                                  (json_int_t)at.epoch, "revision",
-                                  (json_int_t)at.revision, "epochs",
-                                  (json_int_t)counts->epochs, "formerAnswers",
-                                  (json_int_t)counts->former));
+frontend_closed_endpoints (void *arg)
+{
+  frontend_t *frontend = arg;
+  const gt_store_counts_t *counts = &frontend->store.counts;
+  pr_position_t at = gt_follow_position (frontend->follow);
+  json_t *json = gt_relays_closed_endpoints (frontend->relays);
+
+  json_object_set_new (
+      json, "store",
+      json_pack ("{s:I,s:I,s:I,s:I,s:I}", "epoch",
+                 (json_int_t)frontend->store.epoch, "readEpoch",
+                 (json_int_t)at.epoch, "revision", (json_int_t)at.revision,
+                 "epochs", (json_int_t)counts->epochs, "formerAnswers",
+                 (json_int_t)counts->former));
   return json;
 }
 
 static int
-site_unblock (void *arg, rt_digest_t digest)
+frontend_unblock (void *arg, rt_digest_t digest)
 {
-  site_t *site = arg;
+  frontend_t *frontend = arg;
 
-  return gt_relays_unblock (site->relays, digest);
+  return gt_relays_unblock (frontend->relays, digest);
 }
 
 static void
-site_tell_all (void *arg, uint64_t id, el_time_t hold, el_str_t body)
+frontend_send_rumor (void *arg, uint64_t id, el_time_t hold, el_str_t body)
 {
-  site_t *site = arg;
+  frontend_t *frontend = arg;
 
-  gt_gate_tell (site->gate, id, hold, body);
+  gt_gate_tell (frontend->gate, id, hold, body);
 }
 
-/* The first host of each hall has the store keep it that a request is blocked,
-   for when all hosts are lost at once; two calls. */
+/* Record a blocked request in the store, in case all hosts are lost at once.
+   Only the first host of each hall does so; it takes two calls. */
 static void
-site_blocked (void *arg, rt_digest_t digest, unsigned holds, el_time_t left)
+frontend_store_blocked (void *arg, rt_digest_t digest, unsigned holds,
+                        el_time_t left)
 {
-  site_t *site = arg;
+  frontend_t *frontend = arg;
   el_time_t hold = left / EL_MSEC;
   el_buf_t key = { NULL, 0, 0 };
 
-  if (!gt_gate_leads (site->gate))
+  if (!gt_gate_leads (frontend->gate))
     return;
   pf_blocked_key (digest, holds, &key);
-  gt_store_keep (&site->store, el_buf_str (&key), site->options.name,
+  gt_store_keep (&frontend->store, el_buf_str (&key), frontend->options.name,
                  hold < PF_LEASE_MOST_MS ? hold : PF_LEASE_MOST_MS,
-                 el_random (&site->store.random) % KEEP_SPREAD);
+                 el_random (&frontend->store.random) % STORE_WRITE_JITTER);
   el_buf_free (&key);
 }
 
 static gt_relays_t *
-site_relays (site_t *site, el_err_t *err)
+frontend_new_relays (frontend_t *frontend, el_err_t *err)
 {
-  const site_options_t *o = &site->options;
-  gt_relay_options_t relays = { .clock = gt_gate_clock (site->gate),
-                                .client = gt_gate_client (site->gate),
-                                .fleet = site->fleet,
+  const frontend_options_t *o = &frontend->options;
+  gt_relay_options_t relays = { .clock = gt_gate_clock (frontend->gate),
+                                .client = gt_gate_client (frontend->gate),
+                                .fleet = frontend->fleet,
                                 .dialect = &pf_relay,
                                 .listen = o->entry,
                                 .hall = o->hall,
                                 .key = o->key,
-                                .max_body = BODY_MAX,
+                                .max_body = DEFAULT_BODY_MAX,
                                 .repeat_ratio = o->repeat_ratio,
                                 .repeat_slack = o->repeat_slack,
                                 .repeat_window = o->repeat_window,
                                 .keys_limit = o->keys_limit,
                                 .seed = o->seed,
-                                .hosts = site_hosts,
-                                .hall_hosts = site_hall_hosts,
-                                .is_poller = site_polls,
-                                .poll_done = site_polled,
-                                .witness = gt_gate_witness (site->gate),
-                                .tell = site_tell_all,
-                                .blocked = site_blocked,
-                                .arg = site };
+                                .hosts = frontend_count_hosts,
+                                .hall_hosts = frontend_count_hall_hosts,
+                                .is_poller = frontend_is_poller,
+                                .poll_done = frontend_poll_done,
+                                .witness = gt_gate_witness (frontend->gate),
+                                .tell = frontend_send_rumor,
+                                .blocked = frontend_store_blocked,
+                                .arg = frontend };
 
   return gt_relays_new (&relays, err);
 }
 
 static void
-site_metrics (site_t *site)
+frontend_metrics (frontend_t *frontend)
 {
   static const char *const reads[GT_STORE_READS] = {
     [GT_STORE_READ_START] = "elmarch_store_reads_start_total",
     [GT_STORE_READ_HISTORY] = "elmarch_store_reads_history_total",
     [GT_STORE_READ_EPOCH] = "elmarch_store_reads_epoch_total",
   };
-  el_metrics_t *metrics = gt_gate_metrics (site->gate);
+  el_metrics_t *metrics = gt_gate_metrics (frontend->gate);
   size_t i;
 
   el_metrics_add (metrics, "elmarch_endpoints", "endpoints listed", EL_GAUGE,
-                  &site->gauge_endpoints);
+                  &frontend->gauge_endpoints);
   el_metrics_add (metrics, "elmarch_engines_placed",
-                  "engines that hold layers", EL_GAUGE, &site->gauge_placed);
+                  "engines that hold layers", EL_GAUGE,
+                  &frontend->gauge_placed);
   el_metrics_add (metrics, "elmarch_endpoints_leaving",
                   "endpoints listed that said that they leave", EL_GAUGE,
-                  &site->gauge_leaving);
+                  &frontend->gauge_leaving);
   el_metrics_add (metrics, "elmarch_planner",
                   "1 on the host that places layers", EL_GAUGE,
-                  &site->gauge_planner);
+                  &frontend->gauge_planner);
   el_metrics_add (metrics, "elmarch_log_dropped_total",
                   "log lines that were not written", EL_COUNTER,
                   el_log_dropped ());
   el_metrics_add (metrics, "elmarch_store_calls_total", "calls to the store",
-                  EL_COUNTER, &site->store.counts.calls);
+                  EL_COUNTER, &frontend->store.counts.calls);
   el_metrics_add (metrics, "elmarch_store_failures_total", "of those, failed",
-                  EL_COUNTER, &site->store.counts.failures);
+                  EL_COUNTER, &frontend->store.counts.failures);
   el_metrics_add (metrics, "elmarch_store_rests_total",
                   "times that the store asked this host for no calls",
-                  EL_COUNTER, &site->store.counts.rests);
+                  EL_COUNTER, &frontend->store.counts.rests);
   el_metrics_add (metrics, "elmarch_store_epoch",
                   "the store's epoch: it rises when the store goes on from an "
                   "older copy",
-                  EL_GAUGE, &site->store.epoch);
+                  EL_GAUGE, &frontend->store.epoch);
   el_metrics_add (metrics, "elmarch_store_former_total",
                   "answers of the store that were given in a former epoch",
-                  EL_COUNTER, &site->store.counts.former);
+                  EL_COUNTER, &frontend->store.counts.former);
   for (i = 0; i < GT_STORE_READS; i++)
     el_metrics_add (metrics, reads[i], "times that all keys were read",
-                    EL_COUNTER, &site->store.counts.reads[i]);
+                    EL_COUNTER, &frontend->store.counts.reads[i]);
 }
 
-/** Serve relayed requests; NULL, with the reason in ERR, when an address can't
-    be had. */
-site_t *
-site_new (gt_gate_t *gate, const site_options_t *options, el_err_t *err)
+/** Start to serve relayed requests. Returns NULL with the reason in ERR when
+   an address can't be bound. */
+frontend_t *
+frontend_new (gt_gate_t *gate, const frontend_options_t *options,
+              el_err_t *err)
 {
-  site_t *site = el_alloc (sizeof *site);
+  frontend_t *frontend = el_alloc (sizeof *frontend);
   pf_entry_options_t entry = { .loop = gt_gate_clock (gate)->loop,
                                .ready_listen = options->ready,
                                .directory_listen = options->directory,
                                .ttl_s = options->entry_ttl_s,
-                               .ready = site_ready,
-                               .addresses = site_addresses,
-                               .arg = site };
-  gt_relay_talk_t talk = { .tell = site_tell,
-                           .hear = site_hear,
-                           .rumor = site_rumor,
-                           .suspects = site_suspects,
-                           .closed = site_closed,
-                           .unblock = site_unblock,
-                           .arg = site };
-
-  site->gate = gate;
-  site->options = *options;
-  site->began = net_clock_now (gt_gate_clock (gate));
-  site->store = (gt_store_t){ .clock = gt_gate_clock (gate),
-                              .client = gt_gate_client (gate),
-                              .dialect = &pf_store,
-                              .address = options->store,
-                              .random = options->seed | 1 };
-  site->fleet = rt_fleet_new (options->seed);
-  site->relays = site_relays (site, err);
-  if (!site->relays || !pf_entry_new (&entry, err))
+                               .ready = frontend_is_ready,
+                               .addresses = frontend_addresses,
+                               .arg = frontend };
+  gt_relay_talk_t talk = { .tell = frontend_engine_reports,
+                           .hear = frontend_receive_reports,
+                           .rumor = frontend_receive_rumor,
+                           .suspects = frontend_suspects,
+                           .closed = frontend_closed_endpoints,
+                           .unblock = frontend_unblock,
+                           .arg = frontend };
+
+  frontend->gate = gate;
+  frontend->options = *options;
+  frontend->started_at = net_clock_now (gt_gate_clock (gate));
+  frontend->store = (gt_store_t){ .clock = gt_gate_clock (gate),
+                                  .client = gt_gate_client (gate),
+                                  .dialect = &pf_store,
+                                  .address = options->store,
+                                  .random = options->seed | 1 };
+  frontend->fleet = rt_fleet_new (options->seed);
+  frontend->relays = frontend_new_relays (frontend, err);
+  if (!frontend->relays || !pf_entry_new (&entry, err))
     return NULL;
   gt_gate_talk (gate, &talk);
-  gt_relays_metrics (site->relays, gt_gate_metrics (gate));
-  site_metrics (site);
-  site_follow (site);
-  site_plan (site);
-  site->look.cb = site_look;
-  site->look.arg = site;
-  net_clock_set (gt_gate_clock (gate), &site->look, 0);
-  return site;
+  gt_relays_metrics (frontend->relays, gt_gate_metrics (gate));
+  frontend_metrics (frontend);
+  frontend_follow_store (frontend);
+  frontend_start_planner (frontend);
+  frontend->check_timer.cb = frontend_check;
+  frontend->check_timer.arg = frontend;
+  net_clock_set (gt_gate_clock (gate), &frontend->check_timer, 0);
+  return frontend;
 }
 
 static void
-stop_look (void *arg, el_time_t now)
+stop_check (void *arg, el_time_t now)
 {
-  site_t *site = arg;
-  el_time_t ran = now - site->stop_began;
+  frontend_t *frontend = arg;
+  el_time_t ran = now - frontend->stop_started_at;
 
-  if (ran >= site->options.stop_least)
-    gt_relays_stop (site->relays);
-  if (ran < site->options.stop_most
-      && (ran < site->options.stop_least || gt_relays_running (site->relays)))
+  if (ran >= frontend->options.stop_least)
+    gt_relays_stop (frontend->relays);
+  if (ran < frontend->options.stop_most
+      && (ran < frontend->options.stop_least
+          || gt_relays_running (frontend->relays)))
     {
-      net_clock_set (gt_gate_clock (site->gate), &site->stop_look,
-                     STOP_LOOK_EVERY);
+      net_clock_set (gt_gate_clock (frontend->gate), &frontend->stop_timer,
+                     STOP_CHECK_INTERVAL);
       return;
     }
   EL_LOG (EL_LOG_INFO, "relays_stopped",
-          EL_FN ("running", gt_relays_running (site->relays)));
-  site->stopped (site->stopped_arg);
+          EL_FN ("running", gt_relays_running (frontend->relays)));
+  frontend->stop_done (frontend->stop_done_arg);
 }
 
-/** Be out of look-ups and readiness at once, answer what still comes, and call
-    DONE when nothing runs any more. */
+/** Stop serving relayed requests. The host is removed from look-ups and
+   reports not ready at once; it still serves new requests for at least
+   stop_least. DONE is called when no request is running, or after stop_most.
+ */
 void
-site_stop (site_t *site, gt_drained_cb done, void *arg)
+frontend_stop (frontend_t *frontend, gt_drained_cb done, void *arg)
 {
-  if (site->stopping)
+  if (frontend->stopping)
     return;
-  site->stopping = 1;
-  site->stopped = done;
-  site->stopped_arg = arg;
-  site->stop_began = net_clock_now (gt_gate_clock (site->gate));
+  frontend->stopping = 1;
+  frontend->stop_done = done;
+  frontend->stop_done_arg = arg;
+  frontend->stop_started_at = net_clock_now (gt_gate_clock (frontend->gate));
   EL_LOG (EL_LOG_INFO, "relays_stopping",
-          EL_FN ("running", gt_relays_running (site->relays)));
-  gt_planner_stop (site->planner);
-  gt_relays_drain_connections (site->relays);
-  site->stop_look.cb = stop_look;
-  site->stop_look.arg = site;
-  net_clock_set (gt_gate_clock (site->gate), &site->stop_look,
-                 STOP_LOOK_EVERY);
+          EL_FN ("running", gt_relays_running (frontend->relays)));
+  gt_planner_stop (frontend->planner);
+  gt_relays_drain_connections (frontend->relays);
+  frontend->stop_timer.cb = stop_check;
+  frontend->stop_timer.arg = frontend;
+  net_clock_set (gt_gate_clock (frontend->gate), &frontend->stop_timer,
+                 STOP_CHECK_INTERVAL);
 }
--- a/elmarchd/site.h
+++ b/elmarchd/site.h
@@ -3,40 +3,40 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * The parts that serve relayed requests, wired together.
+ * The components of a host that serve relayed requests.
  */
 #ifndef ELMARCH_SITE_H
 #define ELMARCH_SITE_H
 
 #include "gate.h"
 
-typedef struct site_options
+typedef struct frontend_options
 {
-  el_str_t entry;     /**< callers, ip:port; empty: no relayed requests */
-  el_str_t ready;     /**< asks for readiness, ip:port */
-  el_str_t directory; /**< look-ups of entry addresses, ip:port */
-  el_str_t store;     /**< the platform's store, ip:port */
+  el_str_t entry;     /**< listens for callers, ip:port; empty: disabled */
+  el_str_t ready;     /**< listens for readiness checks, ip:port */
+  el_str_t directory; /**< listens for look-ups of entry addresses, ip:port */
+  el_str_t store;     /**< address of the platform's store, ip:port */
   el_str_t name;      /**< of this host */
   el_str_t hall;
-  el_str_t key; /**< shared by the hosts */
+  el_str_t key; /**< shared by all hosts */
   uint64_t entry_ttl_s;
   double repeat_ratio;
   double repeat_slack;
   el_time_t repeat_window;
   el_time_t keys_limit;
-  el_time_t change_limit; /**< a change of the rules must be in force after
-                               this */
-  uint64_t lease_ms;      /**< of the planner's duty */
-  el_time_t stop_least;   /**< a stop goes on at least this long: callers learn
-                               of it by their next look-up */
-  el_time_t stop_most;
+  el_time_t change_limit; /**< time within which a change of the rules must
+                               be in force */
+  uint64_t lease_ms;      /**< time to live of the planner lease */
+  el_time_t stop_least;   /**< shortest duration of a stop; callers learn of
+                               the stop by their next look-up */
+  el_time_t stop_most;    /**< longest duration of a stop */
   uint64_t seed;
-} site_options_t;
+} frontend_options_t;
 
-typedef struct site site_t;
+typedef struct frontend frontend_t;
 
-site_t *site_new (gt_gate_t *gate, const site_options_t *options,
-                  el_err_t *err);
-void site_stop (site_t *site, gt_drained_cb done, void *arg);
+frontend_t *frontend_new (gt_gate_t *gate, const frontend_options_t *options,
+                          el_err_t *err);
+void frontend_stop (frontend_t *frontend, gt_drained_cb done, void *arg);
 
 #endif
