--- a/examples/members.c
+++ b/examples/members.c
@@ -3,24 +3,25 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Embeds the coordination library: two members find each other, one ends and
- * is found dead, and a request runs once. The holder owns clock and network.
+ * Example of embedding the coordination library. Two members discover each
+ * other, one fails and is detected as dead, and a request that arrives twice
+ * runs once. The application provides the clock and the network.
  */
 #include <coord.h>
 #include <stdio.h>
 
 static co_members_t *hosts[2];
 static el_time_t now = EL_SEC;
-static int cut;
+static int disconnected;
 
-/* Carry a probe over and its answer back. */
+/* Deliver a probe and its reply. */
 static void
 probe (void *arg, uint64_t id, el_str_t address, el_str_t via)
 {
   int from = *(int *)arg;
   co_gossip_t gossip;
 
-  if (cut || via.len || address.ptr[0] != "ab"[!from])
+  if (disconnected || via.len || address.ptr[0] != "ab"[!from])
     return;
   co_members_speak (hosts[from], NULL, &gossip);
   co_members_hear (hosts[!from], now, &gossip);
@@ -39,27 +40,27 @@
 main (void)
 {
   static int index[] = { 0, 1 };
-  co_ledger_options_t book = { .max_sessions = 1, .max_entries = 8 };
-  co_ledger_t *ledger = co_ledger_new (&book);
+  co_ledger_options_t ledger_options = { .max_sessions = 1, .max_entries = 8 };
+  co_ledger_t *ledger = co_ledger_new (&ledger_options);
   co_session_t session = { .id = 0 };
   void *answer;
   int i;
 
   for (i = 0; i < 2; i++)
     {
-      co_members_options_t o = { .period = EL_SEC,
-                                 .timeout = EL_SEC / 4,
-                                 .forget = 60 * EL_SEC,
-                                 .probe = probe,
-                                 .changed = changed,
-                                 .arg = &index[i],
-                                 .seeds = EL_STR ("a:1,b:1") };
+      co_members_options_t options = { .period = EL_SEC,
+                                       .timeout = EL_SEC / 4,
+                                       .forget = 60 * EL_SEC,
+                                       .probe = probe,
+                                       .changed = changed,
+                                       .arg = &index[i],
+                                       .seeds = EL_STR ("a:1,b:1") };
 
-      o.self.incarnation.byte[0] = (unsigned char)(i + 1);
-      o.self.peer = i ? EL_STR ("b:1") : EL_STR ("a:1");
-      hosts[i] = co_members_new (&o);
+      options.self.incarnation.byte[0] = (unsigned char)(i + 1);
+      options.self.peer = i ? EL_STR ("b:1") : EL_STR ("a:1");
+      hosts[i] = co_members_new (&options);
     }
-  for (; now<20 * EL_SEC; now += EL_SEC / 4, cut = now> 5 * EL_SEC)
+  for (; now<20 * EL_SEC; now += EL_SEC / 4, disconnected = now> 5 * EL_SEC)
     co_members_tick (hosts[0], now);
   co_ledger_open (ledger, now, EL_STR ("customer"), &session.id, NULL);
   for (i = 0; i < 2; i++)
