--- a/Makefile
+++ b/Makefile
@@ -23,7 +23,7 @@
         route/layout.c route/course.c route/digest.c route/fall.c route/blame.c route/blame_status.c route/blame_rule.c
 
 NET = net/clock.c net/http_server.c net/http_client.c net/http_conn.c net/rpc.c net/rpc_wire.c
-PEER = peer/peer.c peer/peer_entry.c peer/peer_gossip.c peer/peer_sync.c peer/peer_config.c \
+PEER = peer/peer.c peer/peer_entry.c peer/peer_gossip.c peer/peer_members.c peer/peer_config.c \
        peer/peer_fetch.c peer/peer_news.c peer/peer_rumor.c peer/peer_forward.c \
        peer/peer_handover.c peer/peer_xdr.c
 GATE = gate/gate.c gate/answer.c \
@@ -95,7 +95,7 @@
 
 LINK = @mkdir -p $(BIN) && $(CC) $(CFLAGS) $(SAN) -o $@ $^ $(LIBS)
 
-$(BIN)/elmarchd: $(B)/elmarchd/main.o $(B)/elmarchd/site.o $(LIBA)
+$(BIN)/elmarchd: $(B)/elmarchd/main.o $(B)/elmarchd/frontend.o $(LIBA)
 	$(LINK)
 $(BIN)/elmarchctl: $(B)/elmarchctl/main.o $(LIBA)
 	$(LINK)
--- a/bench/bench_core.c
+++ b/bench/bench_core.c
@@ -228,7 +228,7 @@
 }
 
 static int
-item_none (void *arg, const pr_item_t *item)
+item_none (void *arg, const pr_store_item_t *item)
 {
   (void)arg;
   (void)item;
@@ -244,7 +244,7 @@
   gt_keys_t *keys = gt_keys_new (&options);
   char value[300];
   char name[32];
-  pr_item_t item = { .value = { value, sizeof value } };
+  pr_store_item_t item = { .value = { value, sizeof value } };
   size_t heap = bench_heap ();
   size_t bytes = 0;
   uint64_t began = 0;
@@ -263,7 +263,7 @@
           item.revision = i + 1;
           gt_keys_item (keys, epoch, &item);
         }
-      gt_keys_end (keys, (pr_position_t){ epoch, n });
+      gt_keys_end (keys, (pr_store_position_t){ epoch, n });
       if (epoch == 1)
         bytes = bench_heap () - heap;
     }
--- a/elmarchd/site.c
+++ b/elmarchd/frontend.c
@@ -6,7 +6,7 @@
  * Serves relayed requests on the users' platform: connects the relays, the
  * list of endpoints, the rules and the planner to the platform adapter.
  */
-#include "site.h"
+#include "frontend.h"
 
 #include "platform.h"
 
@@ -81,7 +81,7 @@
 /* Apply the rules. Returns 0 when they are invalid or older than the version
    in force. */
 static int
-rules_item_received (void *arg, const pr_item_t *item)
+rules_item_received (void *arg, const pr_store_item_t *item)
 {
   frontend_t *frontend = arg;
   const rt_rules_t *now = gt_relays_rules_in_force (frontend->relays);
@@ -127,7 +127,7 @@
 
 /* Remove the endpoint listed under the entry's key. */
 static void
-endpoint_removed (frontend_t *frontend, const pr_item_t *item,
+endpoint_removed (frontend_t *frontend, const pr_store_item_t *item,
                   const char *what)
 {
   rt_target_t *target
@@ -143,7 +143,7 @@
 /* Apply a change of the list of endpoints. An invalid entry removes the
    endpoint that was listed under its key; other entries are not affected. */
 static void
-endpoint_item_received (void *arg, const pr_item_t *item)
+endpoint_item_received (void *arg, const pr_store_item_t *item)
 {
   frontend_t *frontend = arg;
   rt_target_t *target;
@@ -292,7 +292,7 @@
 }
 
 static void
-planner_item_received (void *arg, const pr_item_t *item)
+planner_item_received (void *arg, const pr_store_item_t *item)
 {
   frontend_t *frontend = arg;
 
@@ -302,7 +302,7 @@
 /* A blocked request, which another host stored for hosts that start when no
    other host is left to inform them. */
 static void
-blocked_item_received (void *arg, const pr_item_t *item)
+blocked_item_received (void *arg, const pr_store_item_t *item)
 {
   frontend_t *frontend = arg;
   rt_digest_t digest;
@@ -313,7 +313,7 @@
 }
 
 static int
-frontend_item_received (void *arg, const pr_item_t *item)
+frontend_item_received (void *arg, const pr_store_item_t *item)
 {
   if (el_str_starts (item->key, PF_RULES_PREFIX))
     return rules_item_received (arg, item);
@@ -352,8 +352,8 @@
 }
 
 static int
-frontend_request_update (void *arg, pr_position_t after, unsigned old,
-                         pr_news_cb done, void *done_arg)
+frontend_request_update (void *arg, pr_store_position_t after, unsigned old,
+                         pr_store_update_cb done, void *done_arg)
 {
   frontend_t *frontend = arg;
 
@@ -449,7 +449,7 @@
 }
 
 static size_t
-frontend_engine_reports (void *arg, pr_engine_t **out)
+frontend_engine_reports (void *arg, pr_engine_report_t **out)
 {
   frontend_t *frontend = arg;
 
@@ -457,7 +457,7 @@
 }
 
 static void
-frontend_receive_reports (void *arg, const pr_engine_t *news, size_t n)
+frontend_receive_reports (void *arg, const pr_engine_report_t *news, size_t n)
 {
   frontend_t *frontend = arg;
 
@@ -485,7 +485,7 @@
 {
   frontend_t *frontend = arg;
   const gt_store_counts_t *counts = &frontend->store.counts;
-  pr_position_t at = gt_follow_position (frontend->follow);
+  pr_store_position_t at = gt_follow_position (frontend->follow);
   json_t *json = gt_relays_closed_endpoints (frontend->relays);
 
   json_object_set_new (
--- a/elmarchd/site.h
+++ b/elmarchd/frontend.h
@@ -5,8 +5,8 @@
 /** @file
  * The components of a host that serve relayed requests.
  */
-#ifndef ELMARCH_SITE_H
-#define ELMARCH_SITE_H
+#ifndef ELMARCH_FRONTEND_H
+#define ELMARCH_FRONTEND_H
 
 #include "gate.h"
 
--- a/elmarchd/main.c
+++ b/elmarchd/main.c
@@ -10,7 +10,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "site.h"
+#include "frontend.h"
 
 #define KEY_MIN 16
 #define KEY_MAX 256
--- a/gate/api.c
+++ b/gate/api.c
@@ -153,7 +153,7 @@
   char hash[2 * SHA256_BYTES + 1];
   el_str_t key = bearer_key (req);
 
-  if (!pr_config_ready (gate->sync))
+  if (!pr_config_is_ready (gate->sync))
     {
       gt_api_error (gate, req, 503, "starting",
                     "this host has no configuration yet; use another");
--- a/gate/api_admin.c
+++ b/gate/api_admin.c
@@ -66,13 +66,14 @@
 static json_t *
 resource_json (gt_gate_t *gate, const co_resource_t *res)
 {
-  size_t in_force = pr_peers_in_force (gate->peers, res->revision);
-
-  return json_pack (
-      "{s:s,s:s%,s:I,s:O,s:{s:I,s:I}}", "kind", co_kind_name (res->kind),
-      "name", res->name.ptr, res->name.len, "resourceVersion",
-      (json_int_t)res->revision, "spec", res->json, "status", "inForceOn",
-      (json_int_t)in_force, "hosts", (json_int_t)pr_peers_live (gate->peers));
+  size_t in_force = pr_peers_count_in_force (gate->peers, res->revision);
+
+  return json_pack ("{s:s,s:s%,s:I,s:O,s:{s:I,s:I}}", "kind",
+                    co_kind_name (res->kind), "name", res->name.ptr,
+                    res->name.len, "resourceVersion",
+                    (json_int_t)res->revision, "spec", res->json, "status",
+                    "inForceOn", (json_int_t)in_force, "hosts",
+                    (json_int_t)pr_peers_count_live (gate->peers));
 }
 
 typedef struct list_arg
--- a/gate/api_call.c
+++ b/gate/api_call.c
@@ -85,7 +85,7 @@
 }
 
 static void
-call_forwarded (void *arg, const pr_called_t *forwarded)
+call_forwarded (void *arg, const pr_forward_result_t *forwarded)
 {
   forwarded_call_t *call = arg;
   gt_gate_t *gate = call->gate;
@@ -159,7 +159,7 @@
     }
   request.digest = call_digest (&request);
   if (request.in_session
-      && pr_peers_where (gate->peers, &request.token, &request.owner))
+      && pr_peers_find_home (gate->peers, &request.token, &request.owner))
     {
       call_forward (gate, req, &request);
       return;
--- a/gate/api_chat.c
+++ b/gate/api_chat.c
@@ -275,7 +275,7 @@
    after the tokens that the caller has; any other may have run there and is
    refused. */
 static void
-home_answered (void *arg, pr_home_t state)
+home_answered (void *arg, pr_home_state_t state)
 {
   home_query_t *query = arg;
   gt_gate_t *gate = query->gate;
@@ -323,7 +323,7 @@
   request.repeatable = !el_str_eq (
       net_req_header (req, "x-elmarch-repeatable"), EL_STR ("no"));
   if (request.in_session
-      && pr_peers_where (gate->peers, &request.token, &request.owner))
+      && pr_peers_find_home (gate->peers, &request.token, &request.owner))
     {
       home_query_t *query = el_alloc (sizeof *query);
 
@@ -331,7 +331,7 @@
       query->deferred = gt_deferred_new (req);
       request.owner.http = pool_str (req, request.owner.http);
       query->request = request;
-      pr_peers_ask_home (gate->peers, &request.owner, home_answered, query);
+      pr_peers_check_home (gate->peers, &request.owner, home_answered, query);
       return;
     }
   chat_run (gate, req, &request);
--- a/gate/api_session.c
+++ b/gate/api_session.c
@@ -105,7 +105,7 @@
   json_t *hosts = json_array ();
 
   (void)rest;
-  pr_peers_entries (
+  pr_peers_list_entry_hosts (
       gate->peers, hosts, ENTRY_HOSTS_MAX,
       el_str_hash ((el_str_t){ (const char *)&addr, (size_t)len }));
   gt_api_reply_json (
--- a/gate/gate.c
+++ b/gate/gate.c
@@ -350,7 +350,7 @@
   else if (!idle || gate->handing_over)
     net_clock_set (&gate->clock, &gate->expire, DRAIN_POLL_INTERVAL);
   else
-    pr_peers_farewell (gate->peers, farewell_sent, gate);
+    pr_peers_final_handover (gate->peers, farewell_sent, gate);
 }
 
 static void
@@ -434,21 +434,21 @@
 gt_gate_withdraw (gt_gate_t *gate, int withdrawn)
 {
   if (!gate->draining)
-    pr_peers_withdraw (gate->peers, withdrawn);
+    pr_peers_set_withdrawn (gate->peers, withdrawn);
 }
 
 /** Number of live hosts, including this one. */
 size_t
 gt_gate_live_hosts (const gt_gate_t *gate)
 {
-  return pr_peers_live (gate->peers);
+  return pr_peers_count_live (gate->peers);
 }
 
 /** Number of live hosts in this host's hall, including this one. */
 size_t
 gt_gate_hall_live_hosts (const gt_gate_t *gate)
 {
-  return pr_peers_hall_live (gate->peers);
+  return pr_peers_count_hall_live (gate->peers);
 }
 
 /** Whether this host comes first among the live hosts that are not draining.
@@ -456,7 +456,7 @@
 int
 gt_gate_is_preferred (const gt_gate_t *gate)
 {
-  return !gate->draining && pr_peers_preferred (gate->peers);
+  return !gate->draining && pr_peers_is_preferred (gate->peers);
 }
 
 /** Appends the entry addresses for callers in HALL to LIST: hosts of that hall
@@ -464,7 +464,7 @@
 void
 gt_gate_entry_addresses (gt_gate_t *gate, el_str_t hall, json_t *list)
 {
-  pr_peers_addresses (gate->peers, hall, list);
+  pr_peers_list_addresses (gate->peers, hall, list);
 }
 
 /** Sets the follower whose store changes are passed on to other hosts that ask
@@ -480,7 +480,7 @@
 void
 gt_gate_news_available (gt_gate_t *gate)
 {
-  pr_peers_heard (gate->peers);
+  pr_peers_reply_pending (gate->peers);
 }
 
 /** The host that was last asked for store changes could not give them although
@@ -488,7 +488,7 @@
 void
 gt_gate_avoid_news_source (gt_gate_t *gate)
 {
-  pr_peers_blame_news (gate->peers);
+  pr_peers_avoid_last_source (gate->peers);
 }
 
 /** Sets the callbacks that exchange the state of engines and requests with
@@ -503,7 +503,7 @@
 void
 gt_gate_gossip (gt_gate_t *gate, uint64_t id, el_time_t hold, el_str_t body)
 {
-  pr_peers_tell (gate->peers, id, hold, body);
+  pr_peers_send_rumor (gate->peers, id, hold, body);
 }
 
 /** Whether this host has received the rumors known to another host. */
@@ -528,16 +528,16 @@
 int
 gt_gate_is_hall_leader (const gt_gate_t *gate)
 {
-  return !gate->draining && pr_peers_leads (gate->peers);
+  return !gate->draining && pr_peers_is_first_in_hall (gate->peers);
 }
 
 /** Asks another host for store changes after AFTER; OLD is the number of
     consecutive answers that were out of date. Returns 0 if this host should
     ask the store itself. */
 int
-gt_gate_request_news (gt_gate_t *gate, pr_position_t after, unsigned old,
-                      pr_news_cb done, void *arg)
+gt_gate_request_news (gt_gate_t *gate, pr_store_position_t after, unsigned old,
+                      pr_store_update_cb done, void *arg)
 {
   return !gate->draining
-         && pr_peers_ask_news (gate->peers, after, old, done, arg);
+         && pr_peers_request_update (gate->peers, after, old, done, arg);
 }
--- a/gate/gate.h
+++ b/gate/gate.h
@@ -63,9 +63,10 @@
 {
   /** Returns the state of engines known here, for other hosts. The caller
       frees the list but not its strings. */
-  size_t (*list_engines) (void *arg, pr_engine_t **out);
+  size_t (*list_engines) (void *arg, pr_engine_report_t **out);
   /** Another host sent the state of its engines. */
-  void (*engines_received) (void *arg, const pr_engine_t *news, size_t n);
+  void (*engines_received) (void *arg, const pr_engine_report_t *news,
+                            size_t n);
   /** A rumor that was not known here arrived from another host. */
   void (*rumor) (void *arg, const co_rumor_t *rumor);
   /** Requests that are suspected of ending endpoints or blocked. */
@@ -92,8 +93,8 @@
 int gt_gate_rumors_received (const gt_gate_t *gate);
 uint64_t gt_gate_incarnation_number (const gt_gate_t *gate);
 int gt_gate_is_hall_leader (const gt_gate_t *gate);
-int gt_gate_request_news (gt_gate_t *gate, pr_position_t after, unsigned old,
-                          pr_news_cb done, void *arg);
+int gt_gate_request_news (gt_gate_t *gate, pr_store_position_t after,
+                          unsigned old, pr_store_update_cb done, void *arg);
 void gt_gate_withdraw (gt_gate_t *gate, int withdrawn);
 size_t gt_gate_live_hosts (const gt_gate_t *gate);
 size_t gt_gate_hall_live_hosts (const gt_gate_t *gate);
--- a/gate/inflight.c
+++ b/gate/inflight.c
@@ -188,8 +188,9 @@
   if (ledger_result == CO_LED_MOVED)
     refusal->owner = *pr_peers_successor (gate->peers);
   if (ledger_result == CO_LED_ELSEWHERE)
-    refusal->owner = (pr_place_t){ request->token.home, request->token.peer,
-                                   request->token.http };
+    refusal->owner
+        = (pr_session_home_t){ request->token.home, request->token.peer,
+                               request->token.http };
   refusal->redirect = refusal->owner.peer.len > 0;
   return NULL;
 }
@@ -282,7 +283,7 @@
                 const rt_event_t *event)
 {
   if (event->kind == RT_EV_FAILED && event->fail == RT_FAIL_LEAVING)
-    pr_peers_endpoint_leaves (gate->peers, inflight->endpoint);
+    pr_peers_announce_leaving (gate->peers, inflight->endpoint);
 }
 
 static void
--- a/gate/libgate.h
+++ b/gate/libgate.h
@@ -87,8 +87,8 @@
   el_time_t deadline; /* absolute, on the gateway's clock */
   int in_session;
   co_token_t token;
-  pr_place_t owner; /* host that has the session, if not this one */
-  unsigned hops;    /* number of hosts that forwarded it so far */
+  pr_session_home_t owner; /* host that has the session, if not this one */
+  unsigned hops;           /* number of hosts that forwarded it so far */
   uint64_t sequence;
   uint64_t digest;
   /* chat */
@@ -113,8 +113,8 @@
   const char *code;
   const char *message;
   uint64_t retry_after_ms;
-  int redirect;     /* no error: another host has the session */
-  pr_place_t owner; /* that host */
+  int redirect;            /* no error: another host has the session */
+  pr_session_home_t owner; /* that host */
 } gt_refusal_t;
 
 /* A request in flight. */
@@ -314,6 +314,6 @@
 /* Sessions held by other hosts. */
 void gt_session_peer_ops (pr_options_t *options, gt_gate_t *gate);
 void gt_session_forward (gt_gate_t *gate, const gt_request_t *request,
-                         pr_called_cb done, void *arg);
+                         pr_forward_result_cb done, void *arg);
 
 #endif
--- a/gate/platform.c
+++ b/gate/platform.c
@@ -93,7 +93,7 @@
 static void
 list_apply (gt_platform_t *platform, const gt_kv_list_t *list, int whole)
 {
-  pr_sync_t *sync = pr_sync_begin (platform->gate->sync);
+  pr_config_update_t *sync = pr_config_update_begin (platform->gate->sync);
   gt_kv_item_t item;
   json_t *json;
   size_t i;
@@ -101,9 +101,10 @@
   json_array_foreach (list->items, i, json)
   {
     if (gt_kv_http.read_item (json, &item))
-      pr_sync_item (sync, item.kind, item.name, item.revision, item.spec);
+      pr_config_update_apply (sync, item.kind, item.name, item.revision,
+                              item.spec);
   }
-  pr_sync_end (sync, list->revision, whole);
+  pr_config_update_finish (sync, list->revision, whole);
 }
 
 static void
@@ -140,9 +141,9 @@
 {
   gt_gate_t *gate = platform->gate;
 
-  if (pr_peers_chosen (gate->peers, WATCHERS_IN_HALL))
+  if (pr_peers_is_selected (gate->peers, WATCHERS_IN_HALL))
     return 1;
-  return !pr_config_ready (gate->sync)
+  return !pr_config_is_ready (gate->sync)
          && net_clock_now (&gate->clock) > platform->began + PEERS_FIRST;
 }
 
@@ -160,7 +161,7 @@
       return;
     }
   platform->whole
-      = platform->behind || !pr_config_ready (platform->gate->sync);
+      = platform->behind || !pr_config_is_ready (platform->gate->sync);
   if (platform->whole)
     gt_kv_http.range (&path);
   else
@@ -190,7 +191,7 @@
     if (!state || strcmp (state, "leaving") != 0 || !event.target.len)
       continue;
     gt_router_event (platform->gate, &event);
-    pr_peers_endpoint_leaves (platform->gate->peers, event.target);
+    pr_peers_announce_leaving (platform->gate->peers, event.target);
   }
 }
 
@@ -217,7 +218,7 @@
   el_buf_t path = { NULL, 0, 0 };
 
   (void)now;
-  if (!pr_peers_chosen (platform->gate->peers, WATCHERS_IN_HALL))
+  if (!pr_peers_is_selected (platform->gate->peers, WATCHERS_IN_HALL))
     {
       net_clock_set (&platform->gate->clock, &platform->hosts_timer,
                      HOSTS_EVERY);
@@ -264,11 +265,11 @@
 put_apply (put_op_t *op, uint64_t revision)
 {
   gt_gate_t *gate = op->platform->gate;
-  pr_sync_t *sync = pr_sync_begin (gate->sync);
+  pr_config_update_t *sync = pr_config_update_begin (gate->sync);
 
-  pr_sync_item (sync, op->change.kind, op->change.name, revision,
-                op->change.spec);
-  pr_sync_drop (sync);
+  pr_config_update_apply (sync, op->change.kind, op->change.name, revision,
+                          op->change.spec);
+  pr_config_update_free (sync);
 }
 
 static void
--- a/gate/relay_poll.c
+++ b/gate/relay_poll.c
@@ -95,7 +95,7 @@
 /** Returns the reports of the hall's engines in OUT, which the caller frees.
  */
 size_t
-gt_relays_engine_reports (gt_relays_t *relays, pr_engine_t **out)
+gt_relays_engine_reports (gt_relays_t *relays, pr_engine_report_t **out)
 {
   const gt_relay_options_t *o = &relays->options;
   el_time_t now = net_clock_now (o->clock);
@@ -106,20 +106,20 @@
   for (engine = rt_fleet_first (o->fleet); engine; engine = engine->hh.next)
     if (poll_covers (relays, engine) && engine->told
         && now < engine->told + REPORT_MAX_AGE)
-      (*out)[n++] = (pr_engine_t){ .id = engine->facts.id,
-                                   .born = engine->facts.born,
-                                   .fill = engine->fill,
-                                   .pace = engine->pace,
-                                   .taken = engine->taken,
-                                   .age = now - engine->told,
-                                   .silent = engine->access.silent };
+      (*out)[n++] = (pr_engine_report_t){ .id = engine->facts.id,
+                                          .born = engine->facts.born,
+                                          .fill = engine->fill,
+                                          .pace = engine->pace,
+                                          .taken = engine->taken,
+                                          .age = now - engine->told,
+                                          .silent = engine->access.silent };
   return n;
 }
 
 /** Processes reports from another host. An engine that is silent there is
     checked by this host, too: it may only be out of the other host's reach. */
 void
-gt_relays_receive_reports (gt_relays_t *relays, const pr_engine_t *news,
+gt_relays_receive_reports (gt_relays_t *relays, const pr_engine_report_t *news,
                            size_t n)
 {
   const gt_relay_options_t *o = &relays->options;
--- a/gate/session_peer.c
+++ b/gate/session_peer.c
@@ -24,15 +24,17 @@
 
 static void ops_hosts (void *arg, size_t live);
 static void ops_leaving (void *arg, el_str_t endpoint);
-static int ops_news (void *arg, pr_position_t after, pr_news_t *out);
-static pr_position_t ops_position (void *arg);
+static int ops_news (void *arg, pr_store_position_t after,
+                     pr_store_update_t *out);
+static pr_store_position_t ops_position (void *arg);
 static void ops_epoch (void *arg, uint64_t epoch);
 static el_time_t ops_known (void *arg);
-static size_t ops_engines (void *arg, pr_engine_t **out);
-static void ops_engines_heard (void *arg, const pr_engine_t *engines,
+static size_t ops_engines (void *arg, pr_engine_report_t **out);
+static void ops_engines_heard (void *arg, const pr_engine_report_t *engines,
                                size_t n);
 static void ops_rumor (void *arg, const co_rumor_t *rumor);
-static void ops_call (void *arg, net_rpc_req_t *req, const pr_call_t *call);
+static void ops_call (void *arg, net_rpc_req_t *req,
+                      const pr_forward_request_t *call);
 static void ops_answer_write (void *arg, const void *answer, peer_answer *to);
 static void *ops_answer_read (void *arg, const peer_answer *from,
                               size_t *bytes);
@@ -46,12 +48,12 @@
   .epoch = ops_epoch,
   .known = ops_known,
   .engines = ops_engines,
-  .engines_heard = ops_engines_heard,
+  .receive_engine_reports = ops_engines_heard,
   .rumor = ops_rumor,
   .call = ops_call,
-  .answer_write = ops_answer_write,
-  .answer_read = ops_answer_read,
-  .taken_over = ops_taken_over,
+  .encode_answer = ops_answer_write,
+  .decode_answer = ops_answer_read,
+  .handover_received = ops_taken_over,
 };
 
 static const gt_refusal_t home_gone
@@ -86,7 +88,7 @@
 }
 
 static int
-ops_news (void *arg, pr_position_t after, pr_news_t *out)
+ops_news (void *arg, pr_store_position_t after, pr_store_update_t *out)
 {
   const gt_gate_t *gate = arg;
 
@@ -94,13 +96,13 @@
          && gt_follow_tell (gate->store_follower, after, out);
 }
 
-static pr_position_t
+static pr_store_position_t
 ops_position (void *arg)
 {
   const gt_gate_t *gate = arg;
 
   return gate->store_follower ? gt_follow_position (gate->store_follower)
-                              : (pr_position_t){ 0 };
+                              : (pr_store_position_t){ 0 };
 }
 
 static void
@@ -121,7 +123,7 @@
 }
 
 static size_t
-ops_engines (void *arg, pr_engine_t **out)
+ops_engines (void *arg, pr_engine_report_t **out)
 {
   gt_gate_t *gate = arg;
 
@@ -131,7 +133,7 @@
 }
 
 static void
-ops_engines_heard (void *arg, const pr_engine_t *engines, size_t n)
+ops_engines_heard (void *arg, const pr_engine_report_t *engines, size_t n)
 {
   gt_gate_t *gate = arg;
 
@@ -158,16 +160,16 @@
   gt_verdict_header_set_t head;
   json_t *json = gt_refusal_json (refusal);
   char *text = json_dumps (json, JSON_COMPACT);
-  pr_called_t called = { .verdict = refusal->verdict,
-                         .status = refusal->status,
-                         .headers = headers,
-                         .nheaders = 1,
-                         .body = el_str (text) };
+  pr_forward_result_t called = { .verdict = refusal->verdict,
+                                 .status = refusal->status,
+                                 .headers = headers,
+                                 .nheaders = 1,
+                                 .body = el_str (text) };
 
   gt_verdict_headers (refusal->verdict, refusal->retry_after_ms, &head);
   memcpy (headers + 1, head.headers, head.n * sizeof *headers);
   called.nheaders += head.n;
-  pr_call_answer (req, &called);
+  pr_forward_reply (req, &called);
   free (text);
   json_decref (json);
 }
@@ -176,10 +178,10 @@
 static void
 reply_answer (net_rpc_req_t *req, const gt_answer_t *answer)
 {
-  pr_called_t called = { .verdict = answer->outcome.verdict,
-                         .status = answer->status,
-                         .nheaders = answer->nheaders + 1,
-                         .body = el_buf_str (&answer->body) };
+  pr_forward_result_t called = { .verdict = answer->outcome.verdict,
+                                 .status = answer->status,
+                                 .nheaders = answer->nheaders + 1,
+                                 .body = el_buf_str (&answer->body) };
   net_header_t *headers = el_alloc (called.nheaders * sizeof *headers);
 
   memcpy (headers, answer->headers, answer->nheaders * sizeof *headers);
@@ -187,7 +189,7 @@
       = (net_header_t){ EL_STR ("x-elmarch-verdict"),
                         el_str (el_verdict_name (answer->outcome.verdict)) };
   called.headers = headers;
-  pr_call_answer (req, &called);
+  pr_forward_reply (req, &called);
   free (headers);
 }
 
@@ -214,16 +216,16 @@
 
 /* Passes on the answer to a call that this host forwarded for another one. */
 static void
-forward_done (void *arg, const pr_called_t *called)
+forward_done (void *arg, const pr_forward_result_t *called)
 {
   if (called->answered)
-    pr_call_answer (arg, called);
+    pr_forward_reply (arg, called);
   else
     reply_refusal (arg, &home_gone);
 }
 
 static void
-call_to_request (const pr_call_t *call, gt_request_t *request)
+call_to_request (const pr_forward_request_t *call, gt_request_t *request)
 {
   *request = (gt_request_t){ .type = RT_CALL,
                              .customer = call->token.customer,
@@ -243,7 +245,7 @@
 }
 
 static void
-ops_call (void *arg, net_rpc_req_t *req, const pr_call_t *call)
+ops_call (void *arg, net_rpc_req_t *req, const pr_forward_request_t *call)
 {
   gt_gate_t *gate = arg;
   gt_refusal_t refusal = { .redirect = 0 };
@@ -279,21 +281,21 @@
 /** Forwards REQUEST to the host that has its session. */
 void
 gt_session_forward (gt_gate_t *gate, const gt_request_t *request,
-                    pr_called_cb done, void *arg)
+                    pr_forward_result_cb done, void *arg)
 {
-  const pr_call_t call = { .token = request->token,
-                           .where = request->owner,
-                           .sequence = request->sequence,
-                           .digest = request->digest,
-                           .deadline = request->deadline,
-                           .repeatable = request->repeatable,
-                           .hops = request->hops,
-                           .target = request->target,
-                           .method = request->method,
-                           .path = request->path,
-                           .headers = request->headers,
-                           .nheaders = request->nheaders,
-                           .body = request->body };
+  const pr_forward_request_t call = { .token = request->token,
+                                      .where = request->owner,
+                                      .sequence = request->sequence,
+                                      .digest = request->digest,
+                                      .deadline = request->deadline,
+                                      .repeatable = request->repeatable,
+                                      .hops = request->hops,
+                                      .target = request->target,
+                                      .method = request->method,
+                                      .path = request->path,
+                                      .headers = request->headers,
+                                      .nheaders = request->nheaders,
+                                      .body = request->body };
 
   pr_peers_forward (gate->peers, &call, done, arg);
 }
@@ -320,7 +322,7 @@
   for (i = 0; i < from->ntokens; i++)
     to->tokens.tokens_val[i]
         = (peer_token){ from->tokens[i].id, from->tokens[i].len };
-  to->headers.headers_val = pr_headers_write (from->headers, from->nheaders);
+  to->headers.headers_val = pr_headers_encode (from->headers, from->nheaders);
   to->headers.headers_len = (u_int)from->nheaders;
 }
 
@@ -349,8 +351,8 @@
       gt_answer_token (answer, token->id, (el_str_t){ text.ptr, len });
       text = el_str_after (text, len);
     }
-  headers
-      = pr_headers_read (from->headers.headers_val, from->headers.headers_len);
+  headers = pr_headers_decode (from->headers.headers_val,
+                               from->headers.headers_len);
   result.headers = headers;
   result.nheaders = from->headers.headers_len;
   result.body = PEER_BYTES_GET (from->body, body);
--- a/gate/store.h
+++ b/gate/store.h
@@ -30,7 +30,7 @@
 /** A list as read from an answer; gt_store_list_free ends it. */
 typedef struct gt_store_list
 {
-  pr_item_t *items;
+  pr_store_item_t *items;
   size_t n;
   int more;          /**< further items follow the last one */
   uint64_t revision; /**< of the store, as the answer was made */
@@ -136,14 +136,14 @@
                          take one call */
   /** A key is new or changed, or is gone. Gives 0 where it is refused as older
       than what is known, by a count of its own. */
-  int (*item) (void *arg, const pr_item_t *item);
+  int (*item) (void *arg, const pr_store_item_t *item);
   el_time_t news_old; /**< news of other hosts older than this are of one that
                            misses the store */
   /** Have another host tell what it has seen after a position; OLD answers in
       a row were too old. Gives 0 when this host should ask the store itself;
       may be NULL. */
-  int (*ask) (void *arg, pr_position_t after, unsigned old, pr_news_cb done,
-              void *done_arg);
+  int (*ask) (void *arg, pr_store_position_t after, unsigned old,
+              pr_store_update_cb done, void *done_arg);
   /** The host that was asked could not tell, but the store itself can. */
   void (*blame) (void *arg);
   /** All changes made before AS_OF, by the clock, were told. */
@@ -152,9 +152,9 @@
 } gt_follow_options_t;
 
 gt_follow_t *gt_follow_new (const gt_follow_options_t *options);
-int gt_follow_tell (const gt_follow_t *follow, pr_position_t after,
-                    pr_news_t *out);
-pr_position_t gt_follow_position (const gt_follow_t *follow);
+int gt_follow_tell (const gt_follow_t *follow, pr_store_position_t after,
+                    pr_store_update_t *out);
+pr_store_position_t gt_follow_position (const gt_follow_t *follow);
 void gt_follow_epoch (gt_follow_t *follow, uint64_t epoch);
 el_time_t gt_follow_known (const gt_follow_t *follow);
 void gt_follow_free (gt_follow_t *follow);
--- a/gate/store_follow.c
+++ b/gate/store_follow.c
@@ -42,19 +42,19 @@
   int asking;          /* another host was asked and has not answered */
   el_timer_t again;
   el_timer_t settle;
-  el_time_t sent;        /* when the call left */
-  el_time_t read_since;  /* when the first page was asked for */
-  pr_position_t at;      /* changes up to it were told */
-  pr_position_t read_at; /* of the first page */
-  el_buf_t page_after;   /* last key of the page before */
-  gt_store_read_t cause; /* of the last or next reading of all */
-  int whole;             /* that reading is done */
-  el_time_t known;       /* all changes before it were told */
-  unsigned old;          /* answers of other hosts in a row that were old */
-  int doubt;             /* another host could not tell: the store is asked
-                            once */
-  el_time_t doubt_due;   /* not again before */
-  el_time_t doubt_wait;  /* from one such call to the next */
+  el_time_t sent;              /* when the call left */
+  el_time_t read_since;        /* when the first page was asked for */
+  pr_store_position_t at;      /* changes up to it were told */
+  pr_store_position_t read_at; /* of the first page */
+  el_buf_t page_after;         /* last key of the page before */
+  gt_store_read_t cause;       /* of the last or next reading of all */
+  int whole;                   /* that reading is done */
+  el_time_t known;             /* all changes before it were told */
+  unsigned old;         /* answers of other hosts in a row that were old */
+  int doubt;            /* another host could not tell: the store is asked
+                           once */
+  el_time_t doubt_due;  /* not again before */
+  el_time_t doubt_wait; /* from one such call to the next */
   unsigned failures;
 };
 
@@ -64,11 +64,12 @@
 /* What an answer brought. FROM: the store, or another host; BEFORE: up to
    where changes were known. */
 static void
-told (gt_follow_t *follow, const char *from, pr_position_t before, int whole)
+told (gt_follow_t *follow, const char *from, pr_store_position_t before,
+      int whole)
 {
   gt_keys_counts_t counts = gt_keys_counts_take (follow->keys);
-  int notable
-      = whole || counts.older || pr_position_cmp (follow->at, before) < 0;
+  int notable = whole || counts.older
+                || pr_store_position_cmp (follow->at, before) < 0;
 
   EL_LOG (notable ? EL_LOG_INFO : EL_LOG_DEBUG, "store_told",
           EL_FC ("by", from), EL_FN ("whole", whole),
@@ -147,7 +148,7 @@
 /* What is known is of a former epoch: neither changes after it nor further
    pages fit. */
 static int
-follow_former (const gt_follow_t *follow, pr_position_t at)
+follow_former (const gt_follow_t *follow, pr_store_position_t at)
 {
   return at.epoch != follow->options.store->epoch;
 }
@@ -156,12 +157,12 @@
 page_take (gt_follow_t *follow, const gt_store_list_t *list)
 {
   gt_store_t *store = follow->options.store;
-  pr_position_t before = follow->at;
+  pr_store_position_t before = follow->at;
   size_t i;
 
   if (follow->page_after.len == 0)
     {
-      follow->read_at = (pr_position_t){ store->epoch, list->revision };
+      follow->read_at = (pr_store_position_t){ store->epoch, list->revision };
       gt_keys_begin (follow->keys);
     }
   for (i = 0; i < list->n; i++)
@@ -231,7 +232,7 @@
 static void
 changes_take (gt_follow_t *follow, const gt_store_list_t *list)
 {
-  pr_position_t before = follow->at;
+  pr_store_position_t before = follow->at;
   size_t i;
 
   for (i = 0; i < list->n; i++)
@@ -302,9 +303,9 @@
 }
 
 static void
-news_take (gt_follow_t *follow, const pr_news_t *news)
+news_take (gt_follow_t *follow, const pr_store_update_t *news)
 {
-  pr_position_t before = follow->at;
+  pr_store_position_t before = follow->at;
   size_t i;
 
   if (news->whole)
@@ -313,7 +314,7 @@
     gt_keys_item (follow->keys, news->at.epoch, &news->items[i]);
   if (news->whole)
     gt_keys_end (follow->keys, news->at);
-  if (pr_position_cmp (news->at, follow->at) > 0)
+  if (pr_store_position_cmp (news->at, follow->at) > 0)
     follow->at = news->at;
   told (follow, "host", before, news->whole);
 }
@@ -321,7 +322,8 @@
 /* Whether news can be taken in: of the latest epoch, changes only on top of
    what is known of it. */
 static int
-news_fit (const gt_follow_t *follow, const pr_news_t *news, el_time_t now)
+news_fit (const gt_follow_t *follow, const pr_store_update_t *news,
+          el_time_t now)
 {
   return news && news->as_of + follow->options.news_old >= now
          && !follow_former (follow, news->at)
@@ -331,7 +333,7 @@
 /* Another host has told. When it could not, or what it knows is old, the store
    is asked. */
 static void
-news_told (void *arg, const pr_news_t *news)
+news_told (void *arg, const pr_store_update_t *news)
 {
   gt_follow_t *follow = arg;
   el_time_t now = net_clock_now (follow->options.store->clock);
@@ -461,9 +463,10 @@
     then is known; gives 0 where that epoch is not known here yet. The items
     belong to the follower; the list is freed by the caller. */
 int
-gt_follow_tell (const gt_follow_t *follow, pr_position_t after, pr_news_t *out)
+gt_follow_tell (const gt_follow_t *follow, pr_store_position_t after,
+                pr_store_update_t *out)
 {
-  *out = (pr_news_t){ .at = follow->at, .as_of = follow->known };
+  *out = (pr_store_update_t){ .at = follow->at, .as_of = follow->known };
   if (after.epoch > follow->at.epoch)
     return 0;
   gt_keys_tell (follow->keys, after, out);
@@ -471,7 +474,7 @@
 }
 
 /** Changes up to here were told. */
-pr_position_t
+pr_store_position_t
 gt_follow_position (const gt_follow_t *follow)
 {
   return follow->at;
--- a/gate/store_keys.c
+++ b/gate/store_keys.c
@@ -22,7 +22,7 @@
 {
   char *name;
   size_t len;
-  pr_position_t at;
+  pr_store_position_t at;
   el_str_t value;
   int known; /* it was shown before */
   int gone;
@@ -35,9 +35,10 @@
 {
   gt_keys_options_t options;
   keys_key_t *keys;
-  uint64_t reading;      /* number of the last or present whole reading */
-  int in_reading;        /* it is under way */
-  pr_position_t read_at; /* changes up to it are known by a whole reading */
+  uint64_t reading; /* number of the last or present whole reading */
+  int in_reading;   /* it is under way */
+  pr_store_position_t
+      read_at; /* changes up to it are known by a whole reading */
   gt_keys_counts_t counts;
 };
 
@@ -86,18 +87,18 @@
   free (keys);
 }
 
-static pr_item_t
+static pr_store_item_t
 key_item (const keys_key_t *key)
 {
-  return (pr_item_t){ .key = { key->name, key->len },
-                      .value = key->value,
-                      .revision = key->at.revision,
-                      .gone = key->gone };
+  return (pr_store_item_t){ .key = { key->name, key->len },
+                            .value = key->value,
+                            .revision = key->at.revision,
+                            .gone = key->gone };
 }
 
 /* Whether ITEM says of KEY what is known. */
 static int
-key_says (const keys_key_t *key, const pr_item_t *item)
+key_says (const keys_key_t *key, const pr_store_item_t *item)
 {
   return key->gone == (item->gone != 0)
          && (item->gone || el_str_eq (key->value, item->value));
@@ -106,7 +107,7 @@
 /* Hand ITEM on. One that is refused, as what is known is newer by its own
    count, leaves the value that other hosts are told. */
 static void
-key_set (gt_keys_t *keys, keys_key_t *key, const pr_item_t *item)
+key_set (gt_keys_t *keys, keys_key_t *key, const pr_store_item_t *item)
 {
   int first = !key->known || key->gone;
   el_str_t value = el_str_dup (item->value);
@@ -126,7 +127,7 @@
 
 /* ITEM is how KEY stands, to be handed on when it still does. */
 static void
-key_hold (gt_keys_t *keys, keys_key_t *key, const pr_item_t *item)
+key_hold (gt_keys_t *keys, keys_key_t *key, const pr_store_item_t *item)
 {
   keys->counts.held += !key->held;
   key->held = 1;
@@ -140,11 +141,11 @@
 /** ITEM is a change in EPOCH. An epoch that shows a key as it was known says
     nothing new of it. */
 void
-gt_keys_item (gt_keys_t *keys, uint64_t epoch, const pr_item_t *item)
+gt_keys_item (gt_keys_t *keys, uint64_t epoch, const pr_store_item_t *item)
 {
   keys_key_t *key = key_get (keys, item->key);
-  pr_position_t at = { epoch, item->revision };
-  int order = pr_position_cmp (at, key->at);
+  pr_store_position_t at = { epoch, item->revision };
+  int order = pr_store_position_cmp (at, key->at);
   int same = key->known && key_says (key, item);
   int again = epoch != key->at.epoch;
   int back = key->known && (key->gone || key->held) && !item->gone;
@@ -173,7 +174,7 @@
 /** The reading is done, and shows all changes up to AT: keys that it did not
     show are gone, or, where it is the first of an epoch, may be. */
 void
-gt_keys_end (gt_keys_t *keys, pr_position_t at)
+gt_keys_end (gt_keys_t *keys, pr_store_position_t at)
 {
   keys_key_t *key;
   keys_key_t *next;
@@ -182,9 +183,9 @@
   keys->in_reading = 0;
   HASH_ITER (hh, keys->keys, key, next)
   {
-    pr_item_t item = { .key = { key->name, key->len },
-                       .revision = at.revision,
-                       .gone = 1 };
+    pr_store_item_t item = { .key = { key->name, key->len },
+                             .revision = at.revision,
+                             .gone = 1 };
 
     if (key->reading == keys->reading || (key->held && key->gone))
       continue;
@@ -208,7 +209,7 @@
 
   HASH_ITER (hh, keys->keys, key, next)
   {
-    pr_item_t item = key_item (key);
+    pr_store_item_t item = key_item (key);
 
     if (!key->held)
       continue;
@@ -222,14 +223,15 @@
     removal since then is known. The strings stay here; the list is freed by
     the caller. */
 void
-gt_keys_tell (const gt_keys_t *keys, pr_position_t after, pr_news_t *out)
+gt_keys_tell (const gt_keys_t *keys, pr_store_position_t after,
+              pr_store_update_t *out)
 {
   const keys_key_t *key;
 
-  out->whole = pr_position_cmp (after, keys->read_at) < 0;
+  out->whole = pr_store_position_cmp (after, keys->read_at) < 0;
   out->items = el_alloc ((HASH_COUNT (keys->keys) + 1) * sizeof *out->items);
   for (key = keys->keys; key; key = key->hh.next)
-    if (out->whole ? !key->gone : pr_position_cmp (key->at, after) > 0)
+    if (out->whole ? !key->gone : pr_store_position_cmp (key->at, after) > 0)
       out->items[out->n++] = key_item (key);
 }
 
--- a/gate/store_keys.h
+++ b/gate/store_keys.h
@@ -16,7 +16,7 @@
 {
   /** A key is new or changed, or is gone. Gives 0 where it is refused as older
       than what is known, by a count of its own. */
-  int (*item) (void *arg, const pr_item_t *item);
+  int (*item) (void *arg, const pr_store_item_t *item);
   void *arg;
 } gt_keys_options_t;
 
@@ -30,11 +30,13 @@
 
 gt_keys_t *gt_keys_new (const gt_keys_options_t *options);
 void gt_keys_free (gt_keys_t *keys);
-void gt_keys_item (gt_keys_t *keys, uint64_t epoch, const pr_item_t *item);
+void gt_keys_item (gt_keys_t *keys, uint64_t epoch,
+                   const pr_store_item_t *item);
 void gt_keys_begin (gt_keys_t *keys);
-void gt_keys_end (gt_keys_t *keys, pr_position_t at);
+void gt_keys_end (gt_keys_t *keys, pr_store_position_t at);
 void gt_keys_settle (gt_keys_t *keys);
-void gt_keys_tell (const gt_keys_t *keys, pr_position_t after, pr_news_t *out);
+void gt_keys_tell (const gt_keys_t *keys, pr_store_position_t after,
+                   pr_store_update_t *out);
 gt_keys_counts_t gt_keys_counts_take (gt_keys_t *keys);
 
 #endif
--- a/peer/libpeer.h
+++ b/peer/libpeer.h
@@ -52,7 +52,7 @@
   unsigned next_failed_source;
   peer_leaving_notice_t *leaving_notices;
   peer_handover_t *handover;
-  pr_place_t successor;
+  pr_session_home_t successor;
   int handover_started; /* the successor may have received a session */
 };
 
--- a/peer/peer.c
+++ b/peer/peer.c
@@ -198,7 +198,7 @@
 /** Announce that callers should not be directed to this host, or that they may
     be again. */
 void
-pr_peers_withdraw (pr_peers_t *peers, int withdrawn)
+pr_peers_set_withdrawn (pr_peers_t *peers, int withdrawn)
 {
   co_members_withdraw (peers->members, withdrawn);
 }
@@ -222,7 +222,7 @@
 /** Whether this host is among the first MOST hosts of its hall; only these
     poll the platform. */
 int
-pr_peers_chosen (const pr_peers_t *peers, size_t most)
+pr_peers_is_selected (const pr_peers_t *peers, size_t most)
 {
   return co_members_chosen (peers->members, most);
 }
@@ -230,7 +230,7 @@
 /** Announce to the other hosts that an endpoint is shutting down, at most once
     per half of the time for which such an announcement is valid. */
 void
-pr_peers_endpoint_leaves (pr_peers_t *peers, el_str_t endpoint)
+pr_peers_announce_leaving (pr_peers_t *peers, el_str_t endpoint)
 {
   el_time_t now = net_clock_now (peers->options.clock);
   peer_leaving_notice_t *notice;
@@ -254,7 +254,7 @@
 
 /** Number of live hosts, including this one. */
 size_t
-pr_peers_live (const pr_peers_t *peers)
+pr_peers_count_live (const pr_peers_t *peers)
 {
   return co_members_live (peers->members);
 }
@@ -277,7 +277,7 @@
 /** Number of live hosts known to have seen all configuration changes up to
     REVISION. */
 size_t
-pr_peers_in_force (const pr_peers_t *peers, uint64_t revision)
+pr_peers_count_in_force (const pr_peers_t *peers, uint64_t revision)
 {
   in_force_arg_t in_force = { revision, 0 };
 
@@ -307,7 +307,7 @@
 /** Whether this host comes first among the live hosts that are not draining.
     Withdrawn hosts come after the others. */
 int
-pr_peers_preferred (const pr_peers_t *peers)
+pr_peers_is_preferred (const pr_peers_t *peers)
 {
   preferred_arg_t preferred
       = { co_members_find (peers->members, &peers->options.incarnation), 1 };
@@ -333,7 +333,7 @@
 
 /** Number of live hosts in this host's hall, including this one. */
 size_t
-pr_peers_hall_live (const pr_peers_t *peers)
+pr_peers_count_hall_live (const pr_peers_t *peers)
 {
   hall_arg_t hall = { peers->options.hall, 0 };
 
--- a/peer/peer.h
+++ b/peer/peer.h
@@ -33,7 +33,7 @@
 /* Configuration received from the platform and from other hosts. */
 
 typedef struct pr_config pr_config_t;
-typedef struct pr_sync pr_sync_t;
+typedef struct pr_config_update pr_config_update_t;
 
 typedef struct pr_config_counts
 {
@@ -42,53 +42,54 @@
 } pr_config_counts_t;
 
 pr_config_t *pr_config_new (co_config_t *config);
-int pr_config_ready (const pr_config_t *config);
+int pr_config_is_ready (const pr_config_t *config);
 const pr_config_counts_t *pr_config_counts (const pr_config_t *config);
-pr_sync_t *pr_sync_begin (pr_config_t *config);
-void pr_sync_item (pr_sync_t *sync, co_kind_t kind, el_str_t name,
-                   uint64_t revision, json_t *spec);
-void pr_sync_end (pr_sync_t *sync, uint64_t revision, int whole);
-void pr_sync_drop (pr_sync_t *sync);
+pr_config_update_t *pr_config_update_begin (pr_config_t *config);
+void pr_config_update_apply (pr_config_update_t *sync, co_kind_t kind,
+                             el_str_t name, uint64_t revision, json_t *spec);
+void pr_config_update_finish (pr_config_update_t *sync, uint64_t revision,
+                              int whole);
+void pr_config_update_free (pr_config_update_t *sync);
 
 /* Store updates and engine reports. */
 
 /** A position in the history of the store. A store restored from an older copy
     starts a new epoch and reuses revision numbers, so revisions are ordered
     within one epoch only. */
-typedef struct pr_position
+typedef struct pr_store_position
 {
   uint64_t epoch;
   uint64_t revision;
-} pr_position_t;
+} pr_store_position_t;
 
-int pr_position_cmp (pr_position_t a, pr_position_t b);
+int pr_store_position_cmp (pr_store_position_t a, pr_store_position_t b);
 
 /** A key of the store, with its value or its removal. */
-typedef struct pr_item
+typedef struct pr_store_item
 {
   el_str_t key;
   el_str_t value;
   uint64_t
       revision; /**< of its last change, in the epoch of the list it is in */
   int gone;     /**< the last change removed the key */
-} pr_item_t;
+} pr_store_item_t;
 
 /** Contents of the store: the keys changed since a position, or, when WHOLE is
     set, all keys. */
-typedef struct pr_news
+typedef struct pr_store_update
 {
-  pr_item_t *items;
+  pr_store_item_t *items;
   size_t n;
   int whole;
-  pr_position_t at; /**< the list includes all changes up to it */
-  el_time_t as_of;  /**< when the list was current, by this host's clock */
-} pr_news_t;
+  pr_store_position_t at; /**< the list includes all changes up to it */
+  el_time_t as_of; /**< when the list was current, by this host's clock */
+} pr_store_update_t;
 
 /** NEWS is NULL when the host did not answer or had no data itself. */
-typedef void (*pr_news_cb) (void *arg, const pr_news_t *news);
+typedef void (*pr_store_update_cb) (void *arg, const pr_store_update_t *news);
 
 /** State of an engine, as one host reports it to another. */
-typedef struct pr_engine
+typedef struct pr_engine_report
 {
   el_str_t id;
   uint64_t born; /**< identifies the engine's start; 0: not known */
@@ -97,23 +98,23 @@
   double taken;  /**< requests on the engine, divided by its slots */
   el_time_t age; /**< of the three values above */
   int silent;    /**< the engine does not answer health checks */
-} pr_engine_t;
+} pr_engine_report_t;
 
 /* Requests for sessions of other hosts. */
 
 /** The host that keeps a session: its home. */
-typedef struct pr_place
+typedef struct pr_session_home
 {
   co_incarnation_t incarnation;
   el_str_t peer;
   el_str_t http;
-} pr_place_t;
+} pr_session_home_t;
 
 /** A service request forwarded to the home of its session. */
-typedef struct pr_call
+typedef struct pr_forward_request
 {
   co_token_t token;
-  pr_place_t where; /**< home of the session */
+  pr_session_home_t where; /**< home of the session */
   uint64_t sequence;
   uint64_t digest;
   el_time_t deadline; /**< on this host's clock */
@@ -125,10 +126,10 @@
   const net_header_t *headers;
   size_t nheaders;
   el_str_t body;
-} pr_call_t;
+} pr_forward_request_t;
 
 /** The outcome of a forwarded request. */
-typedef struct pr_called
+typedef struct pr_forward_result
 {
   int answered; /**< 0: the home did not answer */
   el_verdict_t verdict;
@@ -136,18 +137,19 @@
   const net_header_t *headers;
   size_t nheaders;
   el_str_t body;
-} pr_called_t;
+} pr_forward_result_t;
 
-typedef void (*pr_called_cb) (void *arg, const pr_called_t *called);
+typedef void (*pr_forward_result_cb) (void *arg,
+                                      const pr_forward_result_t *called);
 
-typedef enum pr_home
+typedef enum pr_home_state
 {
   PR_HOME_LIVE,   /**< the expected incarnation answered */
   PR_HOME_GONE,   /**< another incarnation answered at its address */
   PR_HOME_UNKNOWN /**< no answer */
-} pr_home_t;
+} pr_home_state_t;
 
-typedef void (*pr_home_cb) (void *arg, pr_home_t state);
+typedef void (*pr_home_state_cb) (void *arg, pr_home_state_t state);
 
 /** Callbacks into the rest of the host. */
 typedef struct pr_ops
@@ -159,9 +161,9 @@
   /** Get the store's changes after a position. Returns 0 when this host does
       not follow the store, or has not reached that epoch. The caller frees the
       list but not the strings. */
-  int (*news) (void *arg, pr_position_t after, pr_news_t *out);
+  int (*news) (void *arg, pr_store_position_t after, pr_store_update_t *out);
   /** The position up to which this host has seen the store's changes. */
-  pr_position_t (*position) (void *arg);
+  pr_store_position_t (*position) (void *arg);
   /** Another host has seen this epoch of the store. */
   void (*epoch) (void *arg, uint64_t epoch);
   /** The time up to which all changes of the store are known here; 0: no data
@@ -169,22 +171,24 @@
   el_time_t (*known) (void *arg);
   /** Get the engine reports of this host. The caller frees the list but not
       the strings. */
-  size_t (*engines) (void *arg, pr_engine_t **out);
+  size_t (*engines) (void *arg, pr_engine_report_t **out);
   /** Another host sent engine reports. */
-  void (*engines_heard) (void *arg, const pr_engine_t *engines, size_t n);
+  void (*receive_engine_reports) (void *arg, const pr_engine_report_t *engines,
+                                  size_t n);
   /** Another host sent a rumor that was not known here. */
   void (*rumor) (void *arg, const co_rumor_t *rumor);
   /** Run a request forwarded by another host and reply to REQ with
-      pr_call_answer. CALL is NULL when the request is invalid or this host is
-      not the home of its session. */
-  void (*call) (void *arg, net_rpc_req_t *req, const pr_call_t *call);
+      pr_forward_reply. CALL is NULL when the request is invalid or this host
+     is not the home of its session. */
+  void (*call) (void *arg, net_rpc_req_t *req,
+                const pr_forward_request_t *call);
   /** Encode an answer stored in the ledger. The message then owns all that it
       points to except strings. */
-  void (*answer_write) (void *arg, const void *answer, peer_answer *out);
+  void (*encode_answer) (void *arg, const void *answer, peer_answer *out);
   /** Decode an answer to be stored in the ledger, and return its size. */
-  void *(*answer_read) (void *arg, const peer_answer *from, size_t *bytes);
+  void *(*decode_answer) (void *arg, const peer_answer *from, size_t *bytes);
   /** A handover message of another host was processed. */
-  void (*taken_over) (void *arg);
+  void (*handover_received) (void *arg);
 } pr_ops_t;
 
 typedef struct pr_options
@@ -217,44 +221,44 @@
 void pr_peers_stop (pr_peers_t *peers);
 const pr_counts_t *pr_peers_counts (const pr_peers_t *peers);
 void pr_peers_drain (pr_peers_t *peers);
-void pr_peers_withdraw (pr_peers_t *peers, int withdrawn);
-void pr_peers_endpoint_leaves (pr_peers_t *peers, el_str_t endpoint);
+void pr_peers_set_withdrawn (pr_peers_t *peers, int withdrawn);
+void pr_peers_announce_leaving (pr_peers_t *peers, el_str_t endpoint);
 
 /* Membership. */
-int pr_peers_chosen (const pr_peers_t *peers, size_t most);
-int pr_peers_leads (const pr_peers_t *peers);
-int pr_peers_preferred (const pr_peers_t *peers);
-size_t pr_peers_live (const pr_peers_t *peers);
-size_t pr_peers_hall_live (const pr_peers_t *peers);
-size_t pr_peers_in_force (const pr_peers_t *peers, uint64_t revision);
-void pr_peers_entries (const pr_peers_t *peers, json_t *hosts, size_t most,
-                       uint64_t spread);
-void pr_peers_addresses (pr_peers_t *peers, el_str_t hall, json_t *list);
+int pr_peers_is_selected (const pr_peers_t *peers, size_t most);
+int pr_peers_is_first_in_hall (const pr_peers_t *peers);
+int pr_peers_is_preferred (const pr_peers_t *peers);
+size_t pr_peers_count_live (const pr_peers_t *peers);
+size_t pr_peers_count_hall_live (const pr_peers_t *peers);
+size_t pr_peers_count_in_force (const pr_peers_t *peers, uint64_t revision);
+void pr_peers_list_entry_hosts (const pr_peers_t *peers, json_t *hosts,
+                                size_t most, uint64_t spread);
+void pr_peers_list_addresses (pr_peers_t *peers, el_str_t hall, json_t *list);
 json_t *pr_peers_dump (const pr_peers_t *peers);
 
 /* Store updates. */
-void pr_peers_heard (pr_peers_t *peers);
-void pr_peers_blame_news (pr_peers_t *peers);
-int pr_peers_ask_news (pr_peers_t *peers, pr_position_t after, unsigned old,
-                       pr_news_cb done, void *arg);
+void pr_peers_reply_pending (pr_peers_t *peers);
+void pr_peers_avoid_last_source (pr_peers_t *peers);
+int pr_peers_request_update (pr_peers_t *peers, pr_store_position_t after,
+                             unsigned old, pr_store_update_cb done, void *arg);
 
 /* Rumors. */
-void pr_peers_tell (pr_peers_t *peers, uint64_t id, el_time_t hold,
-                    el_str_t body);
+void pr_peers_send_rumor (pr_peers_t *peers, uint64_t id, el_time_t hold,
+                          el_str_t body);
 int pr_peers_rumors_known (const pr_peers_t *peers);
 
 /* Sessions. */
-int pr_peers_where (pr_peers_t *peers, const co_token_t *token,
-                    pr_place_t *out);
-void pr_peers_ask_home (pr_peers_t *peers, const pr_place_t *where,
-                        pr_home_cb done, void *arg);
-void pr_peers_forward (pr_peers_t *peers, const pr_call_t *call,
-                       pr_called_cb done, void *arg);
-void pr_call_answer (net_rpc_req_t *req, const pr_called_t *called);
+int pr_peers_find_home (pr_peers_t *peers, const co_token_t *token,
+                        pr_session_home_t *out);
+void pr_peers_check_home (pr_peers_t *peers, const pr_session_home_t *where,
+                          pr_home_state_cb done, void *arg);
+void pr_peers_forward (pr_peers_t *peers, const pr_forward_request_t *call,
+                       pr_forward_result_cb done, void *arg);
+void pr_forward_reply (net_rpc_req_t *req, const pr_forward_result_t *called);
 void pr_peers_hand_over (pr_peers_t *peers, pr_done_cb done, void *arg);
-void pr_peers_farewell (pr_peers_t *peers, pr_done_cb done, void *arg);
-const pr_place_t *pr_peers_successor (const pr_peers_t *peers);
-net_header_t *pr_headers_read (const peer_header *list, u_int n);
-peer_header *pr_headers_write (const net_header_t *headers, size_t n);
+void pr_peers_final_handover (pr_peers_t *peers, pr_done_cb done, void *arg);
+const pr_session_home_t *pr_peers_successor (const pr_peers_t *peers);
+net_header_t *pr_headers_decode (const peer_header *list, u_int n);
+peer_header *pr_headers_encode (const net_header_t *headers, size_t n);
 
 #endif
--- a/peer/peer_config.c
+++ b/peer/peer_config.c
@@ -12,7 +12,7 @@
 
 #define KEY_MAX (2 * CO_NAME_MAX)
 
-struct pr_sync
+struct pr_config_update
 {
   pr_config_t *config;
   json_t *listed; /* keys received in this update */
@@ -37,7 +37,7 @@
 
 /** Whether a configuration was received. */
 int
-pr_config_ready (const pr_config_t *config)
+pr_config_is_ready (const pr_config_t *config)
 {
   return config->ready;
 }
@@ -50,10 +50,10 @@
 }
 
 /** Start an update. */
-pr_sync_t *
-pr_sync_begin (pr_config_t *config)
+pr_config_update_t *
+pr_config_update_begin (pr_config_t *config)
 {
-  pr_sync_t *sync = el_alloc (sizeof *sync);
+  pr_config_update_t *sync = el_alloc (sizeof *sync);
 
   sync->config = config;
   sync->listed = json_object ();
@@ -70,8 +70,8 @@
 /** Apply one change unless a newer one is in force. A NULL SPEC removes the
     resource. */
 void
-pr_sync_item (pr_sync_t *sync, co_kind_t kind, el_str_t name,
-              uint64_t revision, json_t *spec)
+pr_config_update_apply (pr_config_update_t *sync, co_kind_t kind,
+                        el_str_t name, uint64_t revision, json_t *spec)
 {
   pr_config_t *config = sync->config;
   char key[KEY_MAX];
@@ -115,7 +115,7 @@
 /* Remove the resources that a complete configuration does not contain. A
    resource with a later revision was added after it and stays. */
 static void
-sync_prune (pr_sync_t *sync, uint64_t revision)
+sync_prune (pr_config_update_t *sync, uint64_t revision)
 {
   prune_arg_t prune = { sync->listed, json_object () };
   const co_resource_t *res;
@@ -141,7 +141,8 @@
     it was a complete configuration: resources that were not in it are removed.
  */
 void
-pr_sync_end (pr_sync_t *sync, uint64_t revision, int whole)
+pr_config_update_finish (pr_config_update_t *sync, uint64_t revision,
+                         int whole)
 {
   pr_config_t *config = sync->config;
 
@@ -158,13 +159,13 @@
   if (config->peers)
     peer_set_config_revision (config->peers,
                               co_config_revision (config->config));
-  pr_sync_drop (sync);
+  pr_config_update_free (sync);
 }
 
 /** End an update without a revision: what was applied stays, nothing is
     concluded about other resources. */
 void
-pr_sync_drop (pr_sync_t *sync)
+pr_config_update_free (pr_config_update_t *sync)
 {
   json_decref (sync->listed);
   free (sync);
--- a/peer/peer_entry.c
+++ b/peer/peer_entry.c
@@ -50,8 +50,8 @@
 /** Append at most MOST of the offered hosts to HOSTS, starting at an index
     given by SPREAD. */
 void
-pr_peers_entries (const pr_peers_t *peers, json_t *hosts, size_t most,
-                  uint64_t spread)
+pr_peers_list_entry_hosts (const pr_peers_t *peers, json_t *hosts, size_t most,
+                           uint64_t spread)
 {
   entry_list_t entries = { .list = NULL };
   size_t i;
@@ -92,7 +92,7 @@
 /** Append the addresses for callers of HALL to LIST. When they do not all fit
     into a reply, each call selects others at random. */
 void
-pr_peers_addresses (pr_peers_t *peers, el_str_t hall, json_t *list)
+pr_peers_list_addresses (pr_peers_t *peers, el_str_t hall, json_t *list)
 {
   entry_list_t entries = { .list = NULL };
   uint64_t spread = el_random (&peers->random);
--- a/peer/peer_forward.c
+++ b/peer/peer_forward.c
@@ -18,14 +18,14 @@
 typedef struct home_check
 {
   co_incarnation_t home;
-  pr_home_cb done;
+  pr_home_state_cb done;
   void *arg;
 } home_check_t;
 
 /* A forwarded request, pending the home's reply. */
 typedef struct forward_wait
 {
-  pr_called_cb done;
+  pr_forward_result_cb done;
   void *arg;
 } forward_wait_t;
 
@@ -33,7 +33,7 @@
 home_check_done (void *arg, int ok, int sent, el_str_t body)
 {
   home_check_t *wait = arg;
-  pr_home_t state = PR_HOME_UNKNOWN;
+  pr_home_state_t state = PR_HOME_UNKNOWN;
   co_incarnation_t there;
   peer_gossip res;
 
@@ -54,7 +54,8 @@
     in its token or, after handovers, the last live host of the chain of
     successors. */
 int
-pr_peers_where (pr_peers_t *peers, const co_token_t *token, pr_place_t *out)
+pr_peers_find_home (pr_peers_t *peers, const co_token_t *token,
+                    pr_session_home_t *out)
 {
   static const co_incarnation_t none;
   co_session_t session = co_token_session (token);
@@ -64,12 +65,13 @@
   if (co_incarnation_eq (&token->home, &peers->options.incarnation)
       || co_ledger_holds (peers->options.ledger, &session))
     return 0;
-  *out = (pr_place_t){ token->home, token->peer, token->http };
+  *out = (pr_session_home_t){ token->home, token->peer, token->http };
   member = co_members_find (peers->members, &token->home);
   for (hops = 0; member && hops < SUCCESSORS_MAX; hops++)
     {
       if (member->state <= CO_MBR_SUSPECT)
-        *out = (pr_place_t){ member->incarnation, member->peer, member->http };
+        *out = (pr_session_home_t){ member->incarnation, member->peer,
+                                    member->http };
       if (co_incarnation_eq (&member->successor, &none))
         break;
       member = co_members_find (peers->members, &member->successor);
@@ -80,8 +82,8 @@
 /** Check whether the expected incarnation still answers at a home's address.
  */
 void
-pr_peers_ask_home (pr_peers_t *peers, const pr_place_t *where, pr_home_cb done,
-                   void *arg)
+pr_peers_check_home (pr_peers_t *peers, const pr_session_home_t *where,
+                     pr_home_state_cb done, void *arg)
 {
   home_check_t *wait = el_alloc (sizeof *wait);
   el_buf_t body = { NULL, 0, 0 };
@@ -97,7 +99,7 @@
 
 /** Decode headers; the strings point into LIST. */
 net_header_t *
-pr_headers_read (const peer_header *list, u_int n)
+pr_headers_decode (const peer_header *list, u_int n)
 {
   net_header_t *headers = el_alloc ((n + 1) * sizeof *headers);
   u_int i;
@@ -114,7 +116,7 @@
 
 /** Encode headers; the strings point into HEADERS. */
 peer_header *
-pr_headers_write (const net_header_t *headers, size_t n)
+pr_headers_encode (const net_header_t *headers, size_t n)
 {
   peer_header *list = el_alloc ((n + 1) * sizeof *list);
   size_t i;
@@ -133,7 +135,7 @@
 forward_done (void *arg, int ok, int sent, el_str_t body)
 {
   forward_wait_t *wait = arg;
-  pr_called_t called = { 0 };
+  pr_forward_result_t called = { 0 };
   net_header_t *headers = NULL;
   peer_forward_res res;
 
@@ -141,8 +143,8 @@
   memset (&res, 0, sizeof res);
   if (ok && peer_xdr_decode ((xdrproc_t)xdr_peer_forward_res, body, &res))
     {
-      headers
-          = pr_headers_read (res.headers.headers_val, res.headers.headers_len);
+      headers = pr_headers_decode (res.headers.headers_val,
+                                   res.headers.headers_len);
       called.answered = 1;
       called.verdict = (el_verdict_t)res.verdict;
       called.status = res.status;
@@ -160,8 +162,8 @@
     does not reply, it is unknown whether the request ran: an earlier copy of
     it may have run there. */
 void
-pr_peers_forward (pr_peers_t *peers, const pr_call_t *call, pr_called_cb done,
-                  void *arg)
+pr_peers_forward (pr_peers_t *peers, const pr_forward_request_t *call,
+                  pr_forward_result_cb done, void *arg)
 {
   forward_wait_t *wait = el_alloc (sizeof *wait);
   el_time_t now = net_clock_now (peers->options.clock);
@@ -183,7 +185,7 @@
   PEER_BYTES_SET (args.method, method, call->method);
   PEER_BYTES_SET (args.path, path, call->path);
   PEER_BYTES_SET (args.body, body, call->body);
-  args.headers.headers_val = pr_headers_write (call->headers, call->nheaders);
+  args.headers.headers_val = pr_headers_encode (call->headers, call->nheaders);
   args.headers.headers_len = (u_int)call->nheaders;
   peer_xdr_encode ((xdrproc_t)xdr_peer_forward_args, &args, &body);
   net_rpc_call (peers->rpc, call->where.peer, PEER_FORWARD, el_buf_str (&body),
@@ -195,7 +197,7 @@
 
 /** Reply to a request that another host forwarded. */
 void
-pr_call_answer (net_rpc_req_t *req, const pr_called_t *called)
+pr_forward_reply (net_rpc_req_t *req, const pr_forward_result_t *called)
 {
   el_buf_t out = { NULL, 0, 0 };
   peer_forward_res res;
@@ -204,7 +206,7 @@
   res.verdict = called->verdict;
   res.status = called->status;
   res.headers.headers_val
-      = pr_headers_write (called->headers, called->nheaders);
+      = pr_headers_encode (called->headers, called->nheaders);
   res.headers.headers_len = (u_int)called->nheaders;
   PEER_BYTES_SET (res.body, body, called->body);
   peer_xdr_encode ((xdrproc_t)xdr_peer_forward_res, &res, &out);
@@ -220,21 +222,21 @@
   const pr_options_t *o = &peers->options;
   net_header_t *headers = NULL;
   peer_forward_args args;
-  pr_call_t call = { 0 };
+  pr_forward_request_t call = { 0 };
   el_err_t err;
 
   memset (&args, 0, sizeof args);
   if (!peer_xdr_decode ((xdrproc_t)xdr_peer_forward_args, body, &args)
       || co_token_read (PEER_BYTES_GET (args.token, token), o->key,
                         &call.token, &err)
-      || pr_peers_where (peers, &call.token, &call.where))
+      || pr_peers_find_home (peers, &call.token, &call.where))
     {
       o->ops->call (o->arg, req, NULL);
       xdr_free ((xdrproc_t)xdr_peer_forward_args, (char *)&args);
       return;
     }
   headers
-      = pr_headers_read (args.headers.headers_val, args.headers.headers_len);
+      = pr_headers_decode (args.headers.headers_val, args.headers.headers_len);
   call.sequence = args.sequence;
   call.digest = args.digest;
   call.deadline = net_clock_now (o->clock) + args.deadline_us;
--- a/peer/peer_handover.c
+++ b/peer/peer_handover.c
@@ -121,7 +121,7 @@
       if (!from->entries[i].ended)
         continue;
       entry->answer = el_alloc (sizeof *entry->answer);
-      o->ops->answer_write (o->arg, from->entries[i].answer, entry->answer);
+      o->ops->encode_answer (o->arg, from->entries[i].answer, entry->answer);
       handover->bytes += from->entries[i].bytes;
     }
   if (handover->bytes > BATCH_BYTES
@@ -304,7 +304,7 @@
 /** Send the successor the requests that ended since the sessions were handed
     over, then call DONE. Called when no request runs on this host any more. */
 void
-pr_peers_farewell (pr_peers_t *peers, pr_done_cb done, void *arg)
+pr_peers_final_handover (pr_peers_t *peers, pr_done_cb done, void *arg)
 {
   final_handover_t *final_handover;
 
@@ -321,7 +321,7 @@
 }
 
 /** The host to which this host's sessions were handed over. */
-const pr_place_t *
+const pr_session_home_t *
 pr_peers_successor (const pr_peers_t *peers)
 {
   return &peers->successor;
@@ -349,7 +349,7 @@
       void *answer = NULL;
 
       if (entry->answer)
-        answer = o->ops->answer_read (o->arg, entry->answer, &bytes);
+        answer = o->ops->decode_answer (o->arg, entry->answer, &bytes);
 
       session.entries[i] = (co_led_entry_t){
         .sequence = entry->sequence,
@@ -389,7 +389,7 @@
     }
   else
     peers->counts.refused++;
-  peers->options.ops->taken_over (peers->options.arg);
+  peers->options.ops->handover_received (peers->options.arg);
   net_rpc_reply (req, el_buf_str (&out));
   free (res.taken.taken_val);
   xdr_free ((xdrproc_t)xdr_peer_handover_args, (char *)&args);
--- a/peer/peer_news.c
+++ b/peer/peer_news.c
@@ -30,7 +30,7 @@
 typedef struct peer_pending_request
 {
   net_rpc_req_t *req;
-  pr_position_t after;
+  pr_store_position_t after;
   el_time_t received_at;
   struct peer_pending_request *next;
 } peer_pending_request_t;
@@ -40,14 +40,14 @@
 {
   pr_peers_t *peers;
   el_time_t sent;
-  pr_news_cb done;
+  pr_store_update_cb done;
   void *arg;
 } peer_update_request_t;
 
 /** Returns a value below, equal to or above 0 when A is before, at or after B.
  */
 int
-pr_position_cmp (pr_position_t a, pr_position_t b)
+pr_store_position_cmp (pr_store_position_t a, pr_store_position_t b)
 {
   if (a.epoch != b.epoch)
     return a.epoch < b.epoch ? -1 : 1;
@@ -56,10 +56,10 @@
 
 /* Encode this host's engine reports into a reply; returns the list that their
    strings point into, for the caller to free. */
-static pr_engine_t *
+static pr_engine_report_t *
 engines_encode (const pr_peers_t *peers, peer_news_res *res)
 {
-  pr_engine_t *list = NULL;
+  pr_engine_report_t *list = NULL;
   size_t n = peers->options.ops->engines (peers->options.arg, &list);
   size_t i;
 
@@ -83,7 +83,7 @@
 static void
 engines_decode (const pr_peers_t *peers, const peer_news_res *res)
 {
-  pr_engine_t *list;
+  pr_engine_report_t *list;
   u_int i;
 
   if (res->engines.engines_len == 0)
@@ -93,7 +93,7 @@
     {
       const peer_engine *engine = &res->engines.engines_val[i];
 
-      list[i] = (pr_engine_t){
+      list[i] = (pr_engine_report_t){
         .id = PEER_BYTES_GET (engine->id, id),
         .born = engine->born,
         .fill = (double)engine->fill_permille / PERMILLE,
@@ -103,13 +103,13 @@
         .silent = engine->silent,
       };
     }
-  peers->options.ops->engines_heard (peers->options.arg, list,
-                                     res->engines.engines_len);
+  peers->options.ops->receive_engine_reports (peers->options.arg, list,
+                                              res->engines.engines_len);
   free (list);
 }
 
 static void
-items_encode (const pr_news_t *news, peer_news_res *res)
+items_encode (const pr_store_update_t *news, peer_news_res *res)
 {
   size_t i;
 
@@ -130,10 +130,10 @@
 static void
 update_reply (pr_peers_t *peers, const peer_pending_request_t *pending)
 {
-  pr_engine_t *engines;
+  pr_engine_report_t *engines;
   el_buf_t out = { NULL, 0, 0 };
   peer_news_res res;
-  pr_news_t news = { 0 };
+  pr_store_update_t news = { 0 };
 
   memset (&res, 0, sizeof res);
   res.ready
@@ -184,7 +184,7 @@
     }
   pending = el_alloc (sizeof *pending);
   pending->req = req;
-  pending->after = (pr_position_t){ args.epoch, args.after };
+  pending->after = (pr_store_position_t){ args.epoch, args.after };
   pending->received_at = net_clock_now (peers->options.clock);
   if (update_reply_now (peers, pending, args.known_ago))
     {
@@ -198,7 +198,7 @@
 /** Reply to all pending requests; called when this host has heard from the
     store or has polled the engines. */
 void
-pr_peers_heard (pr_peers_t *peers)
+pr_peers_reply_pending (pr_peers_t *peers)
 {
   peer_pending_request_t *pending;
 
@@ -213,7 +213,7 @@
 static void
 update_decode (const peer_update_request_t *request, const peer_news_res *res)
 {
-  pr_news_t news
+  pr_store_update_t news
       = { .whole = res->whole,
           .at = { res->epoch, res->revision },
           .as_of = (el_time_t)((int64_t)request->sent + res->known_after) };
@@ -225,10 +225,10 @@
       const peer_item *item = &res->items.items_val[i];
 
       news.items[news.n++]
-          = (pr_item_t){ .key = PEER_BYTES_GET (item->key, key),
-                         .value = PEER_BYTES_GET (item->value, value),
-                         .revision = item->revision,
-                         .gone = item->gone };
+          = (pr_store_item_t){ .key = PEER_BYTES_GET (item->key, key),
+                               .value = PEER_BYTES_GET (item->value, value),
+                               .revision = item->revision,
+                               .gone = item->gone };
     }
   engines_decode (request->peers, res);
   request->done (request->arg, &news);
@@ -279,7 +279,7 @@
 /** Avoid the host asked last for a while: it had no usable updates although
     the store answers. */
 void
-pr_peers_blame_news (pr_peers_t *peers)
+pr_peers_avoid_last_source (pr_peers_t *peers)
 {
   peer_failed_source_t *source
       = &peers->failed_sources[peers->next_failed_source++
@@ -291,7 +291,7 @@
 
 /** Whether this host is the first of its hall. */
 int
-pr_peers_leads (const pr_peers_t *peers)
+pr_peers_is_first_in_hall (const pr_peers_t *peers)
 {
   const co_member_t *first
       = co_members_first (peers->members, NULL, source_skip_none, NULL);
@@ -330,8 +330,8 @@
     consecutive stale replies. Returns 0 when this host should ask the store
     itself or no other host is known. */
 int
-pr_peers_ask_news (pr_peers_t *peers, pr_position_t after, unsigned old,
-                   pr_news_cb done, void *arg)
+pr_peers_request_update (pr_peers_t *peers, pr_store_position_t after,
+                         unsigned old, pr_store_update_cb done, void *arg)
 {
   peer_news_args args = { .epoch = after.epoch, .after = after.revision };
   el_time_t now = net_clock_now (peers->options.clock);
--- a/tests/t_epoch.c
+++ b/tests/t_epoch.c
@@ -25,7 +25,7 @@
 } seen_t;
 
 static int
-seen_item (void *arg, const pr_item_t *item)
+seen_item (void *arg, const pr_store_item_t *item)
 {
   seen_t *seen = arg;
 
@@ -53,10 +53,10 @@
 keys_put (gt_keys_t *keys, uint64_t epoch, uint64_t revision,
           const char *value)
 {
-  const pr_item_t item = { .key = EL_STR ("k"),
-                           .value = el_str (value ? value : ""),
-                           .revision = revision,
-                           .gone = !value };
+  const pr_store_item_t item = { .key = EL_STR ("k"),
+                                 .value = el_str (value ? value : ""),
+                                 .revision = revision,
+                                 .gone = !value };
 
   gt_keys_item (keys, epoch, &item);
 }
@@ -95,24 +95,24 @@
    behind that epoch told all. */
 START_TEST (test_keys_new_epoch_hands_on_what_differs)
 {
-  const pr_item_t other
+  const pr_store_item_t other
       = { .key = EL_STR ("o"), .value = EL_STR ("x"), .revision = 3 };
   seen_t seen = { .refuse = 0 };
   gt_keys_t *keys = keys_open (&seen);
-  pr_news_t news = { 0 };
+  pr_store_update_t news = { 0 };
 
   keys_put (keys, 1, 5, "a");
   gt_keys_item (keys, 1, &other);
   gt_keys_begin (keys);
   gt_keys_item (keys, 2, &other);
   keys_put (keys, 2, 4, "b");
-  gt_keys_end (keys, (pr_position_t){ 2, 4 });
+  gt_keys_end (keys, (pr_store_position_t){ 2, 4 });
   seen_is (&seen, "+k=a +o=x +k=b ");
-  gt_keys_tell (keys, (pr_position_t){ 1, 9 }, &news);
+  gt_keys_tell (keys, (pr_store_position_t){ 1, 9 }, &news);
   ck_assert_int_eq (news.whole, 1);
   ck_assert_uint_eq (news.n, 2);
   free (news.items);
-  gt_keys_tell (keys, (pr_position_t){ 2, 4 }, &news);
+  gt_keys_tell (keys, (pr_store_position_t){ 2, 4 }, &news);
   ck_assert_int_eq (news.whole, 0);
   free (news.items);
   gt_keys_free (keys);
@@ -126,12 +126,12 @@
 {
   seen_t seen = { .refuse = 0 };
   gt_keys_t *keys = keys_open (&seen);
-  pr_news_t news = { 0 };
+  pr_store_update_t news = { 0 };
 
   keys_put (keys, 1, 5, "v66");
   seen.refuse = 1;
   keys_put (keys, 2, 3, "v59");
-  gt_keys_tell (keys, (pr_position_t){ 1, 0 }, &news);
+  gt_keys_tell (keys, (pr_store_position_t){ 1, 0 }, &news);
   ck_assert (el_str_eq (news.items[0].value, EL_STR ("v66")));
   free (news.items);
   gt_keys_free (keys);
@@ -143,7 +143,7 @@
    and is there again does not count, until it settles or a change is told. */
 START_TEST (test_keys_what_an_epoch_lacks_or_has_again_waits)
 {
-  static const pr_item_t gone[]
+  static const pr_store_item_t gone[]
       = { { .key = EL_STR ("g"), .value = EL_STR ("1"), .revision = 3 },
           { .key = EL_STR ("g"), .revision = 6, .gone = 1 } };
   seen_t seen = { .refuse = 0 };
@@ -155,7 +155,7 @@
   gt_keys_item (keys, 1, &gone[1]);
   gt_keys_begin (keys);
   gt_keys_item (keys, 2, &gone[0]);
-  gt_keys_end (keys, (pr_position_t){ 2, 4 });
+  gt_keys_end (keys, (pr_store_position_t){ 2, 4 });
   seen_is (&seen, "+k=a +g=1 -g= ");
   if (changed)
     keys_put (keys, 2, 5, "a");
--- a/tests/t_store.c
+++ b/tests/t_store.c
@@ -24,7 +24,7 @@
 } followed_t;
 
 static int
-followed_item (void *arg, const pr_item_t *item)
+followed_item (void *arg, const pr_store_item_t *item)
 {
   followed_t *seen = arg;
 
@@ -121,10 +121,10 @@
 END_TEST
 
 static int
-ask_old (void *arg, pr_position_t after, unsigned old, pr_news_cb done,
-         void *done_arg)
+ask_old (void *arg, pr_store_position_t after, unsigned old,
+         pr_store_update_cb done, void *done_arg)
 {
-  const pr_news_t news
+  const pr_store_update_t news
       = { .at = after, .as_of = net_clock_now (&test_clock) - 1700 * EL_MSEC };
 
   (void)arg;
@@ -184,8 +184,8 @@
 } old_host_t;
 
 static int
-ask_old_later (void *arg, pr_position_t after, unsigned old, pr_news_cb done,
-               void *done_arg)
+ask_old_later (void *arg, pr_store_position_t after, unsigned old,
+               pr_store_update_cb done, void *done_arg)
 {
   old_host_t *host = arg;
 
