--- a/gate/libkv.h
+++ b/gate/libkv.h
@@ -3,20 +3,21 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * What the platform's client needs of the dialect that the platform speaks.
+ * The API of the platform's key-value service, as the platform client needs
+ * it: functions that write requests and parse answers.
  */
 #ifndef ELMARCH_LIBKV_H
 #define ELMARCH_LIBKV_H
 
 #include "libgate.h"
 
-/* Items of a range or a watch. */
+/* The items of a range or a watch. */
 typedef struct gt_kv_list
 {
-  json_t *json;  /* to be released */
-  json_t *items; /* borrowed from it */
+  json_t *json;  /* owned; release it after use */
+  json_t *items; /* borrowed from json */
   uint64_t revision;
-  int compacted; /* the watch is too far behind */
+  int compacted; /* the changes asked for are no longer kept */
 } gt_kv_list_t;
 
 typedef struct gt_kv_item
@@ -24,17 +25,20 @@
   co_kind_t kind;
   el_str_t name;
   uint64_t revision;
-  json_t *spec; /* NULL: removed */
+  json_t *spec; /* NULL if the key was removed; borrowed */
 } gt_kv_item_t;
 
 typedef struct gt_kv_put
 {
   int conflict;
-  uint64_t revision;               /* after the change, or the current one */
-  char change_id[CO_NAME_MAX + 1]; /* on a conflict: of the current value */
+  uint64_t revision;               /* after the change; on a conflict, the
+                                      current one */
+  char change_id[CO_NAME_MAX + 1]; /* on a conflict, that of the current
+                                      value */
 } gt_kv_put_t;
 
-/* Writers fill a path and a body; readers give 0 for what is no answer. */
+/* Writers append to a path and a body; readers return 0 for an answer that
+   they cannot use. */
 typedef struct gt_kv_dialect
 {
   void (*range) (el_buf_t *path);
--- a/gate/planner.h
+++ b/gate/planner.h
@@ -3,7 +3,8 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * The planner: the one host that places layers on engines.
+ * The planner assigns model layers to engines. One host runs it at a time, the
+ * holder of the planner duty.
  */
 #ifndef ELMARCH_PLANNER_H
 #define ELMARCH_PLANNER_H
@@ -11,12 +12,12 @@
 #include "gate_relay.h"
 #include "store.h"
 
-/** What came of an order. */
+/** The outcome of an order. */
 typedef enum gt_order_state
 {
-  GT_ORDER_BEGUN,   /**< the engine carries it out, or has */
-  GT_ORDER_REFUSED, /**< the engine's state is not what was expected */
-  GT_ORDER_UNKNOWN  /**< no answer: it may be carried out, also later */
+  GT_ORDER_BEGUN,   /**< the engine accepted it */
+  GT_ORDER_REFUSED, /**< the engine did not accept it or never received it */
+  GT_ORDER_UNKNOWN  /**< no answer: the engine may carry it out, also later */
 } gt_order_state_t;
 
 typedef void (*gt_order_cb) (void *arg, gt_order_state_t state, int status,
@@ -29,13 +30,13 @@
   net_clock_t *clock;
   net_client_t *client;
   rt_fleet_t *fleet;
-  /** Order an engine that has taken no order yet to hold layers. */
+  /** Sends an engine the order to load a range of layers. */
   void (*place) (net_client_t *client, const rt_order_t *order,
                  gt_order_cb done, void *arg);
   /** Whether this host should be the planner: one of the live hosts, the same
-      one everywhere as long as they agree on who lives. */
+      one on all hosts as long as they agree on which are alive. */
   int (*preferred) (void *arg);
-  /** The endpoints listed are those of this time, by the clock. */
+  /** The time, by the clock, up to which the list of endpoints is current. */
   el_time_t (*known) (void *arg);
   void *arg;
 } gt_planner_options_t;
--- a/gate/store.c
+++ b/gate/store.c
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Calls to the platform's store, and the waits after those that fail; the
- * follower and the duty share both.
+ * Calls to the platform's store and the waits after failed calls, shared by
+ * all users of the store on this host.
  */
 #include <stdlib.h>
 
@@ -13,14 +13,14 @@
 
 #define BACKOFF_FIRST (60 * EL_MSEC)
 #define BACKOFF_DOUBLINGS 5
-#define BACKOFF_MOST (500 * EL_MSEC)
-/* A longer rest is cut to this: a host that misses the store for 5 s lets no
-   customer in, and should have tried twice before. */
-#define REST_MOST (2 * EL_SEC)
-/* Hosts come back later than they may by up to this part of a rest. */
-#define REST_SPREAD 5
-
-/* A call that is out. */
+#define BACKOFF_MAX (500 * EL_MSEC)
+/* Upper bound of the retry-after time: a host that cannot reach the store for
+   5 s admits no customer, and should have tried twice before that. */
+#define RETRY_AFTER_MAX (2 * EL_SEC)
+/* Jitter: up to 1/5 of the retry-after time is added to it. */
+#define RETRY_AFTER_JITTER_PART 5
+
+/* A call whose answer is awaited. */
 typedef struct store_call
 {
   gt_store_t *store;
@@ -28,34 +28,35 @@
   void *arg;
 } store_call_t;
 
-/** PART is told of epochs from now on. */
+/** Adds a listener, which is called on each new epoch. */
 void
-gt_store_join (gt_store_t *store, gt_store_part_t *part)
+gt_store_join (gt_store_t *store, gt_store_part_t *listener)
 {
-  DL_APPEND (store->parts, part);
+  DL_APPEND (store->listeners, listener);
 }
 
+/** Removes a listener. */
 void
-gt_store_leave (gt_store_t *store, gt_store_part_t *part)
+gt_store_leave (gt_store_t *store, gt_store_part_t *listener)
 {
-  DL_DELETE (store->parts, part);
+  DL_DELETE (store->listeners, listener);
 }
 
 static void
-parts_tell (void *arg, el_time_t now)
+listeners_notify (void *arg, el_time_t now)
 {
   gt_store_t *store = arg;
-  gt_store_part_t *part;
+  gt_store_part_t *listener;
   gt_store_part_t *next;
 
   (void)now;
-  DL_FOREACH_SAFE (store->parts, part, next)
-  part->epoch (part->arg);
+  DL_FOREACH_SAFE (store->listeners, listener, next)
+  listener->epoch (listener->arg);
 }
 
-/** The store has begun EPOCH, as BY tells; a lower one changes nothing. Parts
-    are told from the loop: an answer may be under way to one of them. The
-   first one that is heard of ends none. */
+/** Takes note that the store has begun EPOCH, as BY says; a lower one changes
+    nothing. Listeners are called from the loop, as one of them may be handling
+    an answer now. The first epoch heard of is not a change. */
 void
 gt_store_epoch (gt_store_t *store, uint64_t epoch, const char *by)
 {
@@ -71,24 +72,25 @@
   store->counts.epochs++;
   EL_LOG (EL_LOG_WARN, "store_epoch", EL_FN ("epoch", epoch),
           EL_FN ("before", before), EL_FC ("by", by));
-  store->tell.cb = parts_tell;
-  store->tell.arg = store;
-  net_clock_set (store->clock, &store->tell, 0);
+  store->notify_timer.cb = listeners_notify;
+  store->notify_timer.arg = store;
+  net_clock_set (store->clock, &store->notify_timer, 0);
 }
 
-/* Whether an answer was given in the epoch that is known to be the latest; one
-   that tells none counts as of that. */
+/* Returns whether an answer was given in the latest known epoch; an answer
+   that names none is taken as if it were. */
 static int
-epoch_take (gt_store_t *store, const net_result_t *result)
+epoch_check (gt_store_t *store, const net_result_t *result)
 {
   uint64_t epoch = 0;
-  gt_store_said_t said = store->dialect->read_epoch (result, &epoch);
+  gt_store_epoch_field_t epoch_field
+      = store->dialect->read_epoch (result, &epoch);
 
-  if (said == GT_STORE_SAID_BADLY
-      || (said == GT_STORE_SAID_NOTHING && store->epoch))
+  if (epoch_field == GT_STORE_EPOCH_MALFORMED
+      || (epoch_field == GT_STORE_EPOCH_ABSENT && store->epoch))
     EL_LOG (EL_LOG_WARN, "store_epoch_unread",
             EL_FN ("status", result->status), EL_FN ("epoch", store->epoch));
-  if (said != GT_STORE_SAID)
+  if (epoch_field != GT_STORE_EPOCH_PRESENT)
     {
       store->known = 1;
       return 1;
@@ -109,13 +111,13 @@
   store_call_t call = *(store_call_t *)arg;
 
   free (arg);
-  if (result->net == NET_OK && !epoch_take (call.store, result))
+  if (result->net == NET_OK && !epoch_check (call.store, result))
     result = &none;
   call.done (call.arg, result);
 }
 
-/** Send one call; BODY, which may be NULL, is JSON. DONE has an answer of a
-    former epoch as a call that broke off. */
+/** Sends a call; BODY, which may be NULL, is JSON. To DONE, an answer from a
+    previous epoch is reported as a broken connection. */
 net_exchange_t *
 gt_store_call (gt_store_t *store, const char *method, const el_buf_t *path,
                const el_buf_t *body, el_time_t timeout, net_result_cb done,
@@ -143,38 +145,40 @@
   return net_client_send (store->client, &send);
 }
 
-/** A call failed. A refusal may ask for no calls for a while, of whichever
-   part of this host; a rest that ends later stays as it is. */
+/** Applies the retry-after time of a failed call's answer. It holds for all
+    users of the store on this host, except the renewal of a duty; a time that
+    ends later stays as it is. */
 void
-gt_store_heard (gt_store_t *store, const net_result_t *result)
+gt_store_apply_retry_after (gt_store_t *store, const net_result_t *result)
 {
   el_time_t now = net_clock_now (store->clock);
   el_time_t asked
-      = result->net == NET_OK ? store->dialect->read_rest (result) : 0;
-  el_time_t rest = asked < REST_MOST ? asked : REST_MOST;
+      = result->net == NET_OK ? store->dialect->read_retry_after (result) : 0;
+  el_time_t rest = asked < RETRY_AFTER_MAX ? asked : RETRY_AFTER_MAX;
 
   if (!rest)
     return;
-  rest += el_random (&store->random) % (rest / REST_SPREAD + 1);
-  if (now + rest <= store->rest_until)
+  rest += el_random (&store->random) % (rest / RETRY_AFTER_JITTER_PART + 1);
+  if (now + rest <= store->retry_at)
     return;
-  store->rest_until = now + rest;
+  store->retry_at = now + rest;
   store->counts.rests++;
   EL_LOG (EL_LOG_INFO, "store_rests", EL_FN ("status", result->status),
           EL_FN ("asked_us", asked), EL_FN ("left_us", rest));
 }
 
-/** How much longer the store wants no calls. */
+/** Returns the time left until the store accepts calls again. */
 el_time_t
 gt_store_rest_left (const gt_store_t *store)
 {
   el_time_t now = net_clock_now (store->clock);
 
-  return now < store->rest_until ? store->rest_until - now : 0;
+  return now < store->retry_at ? store->retry_at - now : 0;
 }
 
-/** How long to wait after a call that failed with RESULT, after FAILURES in a
-    row; half of it is random, so that hosts do not come back together. */
+/** Returns how long to wait after a call that failed with RESULT, after
+    FAILURES earlier ones in a row. Half of the wait is random, so that hosts
+   do not come back at the same time. */
 el_time_t
 gt_store_backoff (gt_store_t *store, const net_result_t *result,
                   unsigned failures)
@@ -183,15 +187,15 @@
                    << (failures < BACKOFF_DOUBLINGS ? failures
                                                     : BACKOFF_DOUBLINGS);
 
-  if (wait > BACKOFF_MOST)
-    wait = BACKOFF_MOST;
+  if (wait > BACKOFF_MAX)
+    wait = BACKOFF_MAX;
   store->counts.failures++;
   wait = wait / 2 + el_random (&store->random) % (wait / 2 + 1);
-  gt_store_heard (store, result);
+  gt_store_apply_retry_after (store, result);
   return wait > gt_store_rest_left (store) ? wait : gt_store_rest_left (store);
 }
 
-/** Free what a list holds. */
+/** Frees the items of a list. */
 void
 gt_store_list_free (gt_store_list_t *list)
 {
--- a/gate/store.h
+++ b/gate/store.h
@@ -3,13 +3,13 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * A key-value store with revisions, watches and leases: what is kept there is
- * followed, and a duty that only one host may have is leased there. How the
- * store is spoken to is a table of functions.
+ * Client of a key-value store with revisions, watches and leases. It mirrors
+ * the keys below a prefix and holds a leader lease (a "duty") that at most one
+ * host has at a time. The store's API is a table of functions, the dialect.
  *
- * The store may go on from an older copy of itself. It begins an epoch then:
- * revisions and leases of the former one mean nothing any more, and an answer
- * that was given in a former epoch counts as none.
+ * The store may be restored from an older copy of itself. It then begins a new
+ * epoch: revisions and leases of the previous epoch are void, and an answer
+ * that was given in a previous epoch is treated as a failed call.
  */
 #ifndef ELMARCH_STORE_H
 #define ELMARCH_STORE_H
@@ -20,30 +20,32 @@
 typedef enum gt_store_state
 {
   GT_STORE_OK,
-  GT_STORE_BUSY,     /**< refused, nothing was done */
-  GT_STORE_LOST,     /**< the changes asked for are no longer kept */
-  GT_STORE_CONFLICT, /**< the condition does not hold */
-  GT_STORE_NO_LEASE, /**< the lease is over */
-  GT_STORE_BAD       /**< not an answer that can be used */
+  GT_STORE_BUSY,          /**< refused, nothing was done */
+  GT_STORE_COMPACTED,     /**< the requested changes are no longer kept */
+  GT_STORE_CONFLICT,      /**< the precondition does not hold */
+  GT_STORE_LEASE_EXPIRED, /**< the store does not know the lease */
+  GT_STORE_INVALID        /**< the answer is unusable */
 } gt_store_state_t;
 
-/** A list as read from an answer; gt_store_list_free ends it. */
+/** A list parsed from an answer; free it with gt_store_list_free. */
 typedef struct gt_store_list
 {
   pr_item_t *items;
   size_t n;
-  int more;          /**< further items follow the last one */
-  uint64_t revision; /**< of the store, as the answer was made */
+  int more;          /**< the page is not the last one */
+  uint64_t revision; /**< of the store when it answered */
 } gt_store_list_t;
 
-/** What an answer tells of the epoch it was given in. */
-typedef enum gt_store_said
+/** Whether an answer names the epoch in which it was given. */
+typedef enum gt_store_epoch_field
 {
-  GT_STORE_SAID_NOTHING,
-  GT_STORE_SAID,
-  GT_STORE_SAID_BADLY /**< something that is none */
-} gt_store_said_t;
+  GT_STORE_EPOCH_ABSENT,
+  GT_STORE_EPOCH_PRESENT,
+  GT_STORE_EPOCH_MALFORMED /**< not a number, or given more than once */
+} gt_store_epoch_field_t;
 
+/** The store's API: functions that write a request's path and body, and
+    functions that parse its answer. */
 typedef struct gt_store_dialect
 {
   void (*range) (el_buf_t *path, el_str_t prefix, el_str_t after);
@@ -55,38 +57,41 @@
   gt_store_state_t (*read_grant) (const net_result_t *result, uint64_t *lease);
   void (*renew) (el_buf_t *path, uint64_t lease);
   gt_store_state_t (*read_renew) (const net_result_t *result);
-  void (*end) (el_buf_t *path, uint64_t lease);
-  /** Put KEY with a lease where it is not there yet. */
-  void (*claim) (el_buf_t *path, el_buf_t *body, el_str_t key, el_str_t value,
-                 uint64_t lease);
-  gt_store_state_t (*read_claim) (const net_result_t *result);
-  /** For how long a refusal asks this host to make no calls; 0: not at all. */
-  el_time_t (*read_rest) (const net_result_t *result);
-  gt_store_said_t (*read_epoch) (const net_result_t *result, uint64_t *epoch);
+  void (*revoke) (el_buf_t *path, uint64_t lease);
+  /** Writes the request that creates KEY under a lease if it does not exist.
+   */
+  void (*create) (el_buf_t *path, el_buf_t *body, el_str_t key, el_str_t value,
+                  uint64_t lease);
+  gt_store_state_t (*read_create) (const net_result_t *result);
+  /** The time for which a refusal asks this host to make no calls; 0 if it
+      names none. */
+  el_time_t (*read_retry_after) (const net_result_t *result);
+  gt_store_epoch_field_t (*read_epoch) (const net_result_t *result,
+                                        uint64_t *epoch);
 } gt_store_dialect_t;
 
 void gt_store_list_free (gt_store_list_t *list);
 
-/** Why all keys are read. */
-typedef enum gt_store_read
+/** Why all keys are read again. */
+typedef enum gt_store_read_cause
 {
   GT_STORE_READ_START,
-  GT_STORE_READ_HISTORY, /**< changes asked for are no longer kept */
-  GT_STORE_READ_EPOCH,   /**< the store began an epoch */
-  GT_STORE_READS
-} gt_store_read_t;
+  GT_STORE_READ_HISTORY, /**< the requested changes are no longer kept */
+  GT_STORE_READ_EPOCH,   /**< the store began a new epoch */
+  GT_STORE_READS         /**< number of causes */
+} gt_store_read_cause_t;
 
 typedef struct gt_store_counts
 {
   uint64_t calls;
   uint64_t failures;
-  uint64_t rests; /**< times that it asked for no calls */
-  uint64_t reads[GT_STORE_READS];
-  uint64_t epochs; /**< times that it was found to have begun an epoch */
-  uint64_t former; /**< answers of former epochs */
+  uint64_t rests;                 /**< refusals with a new retry-after time */
+  uint64_t reads[GT_STORE_READS]; /**< complete reads, by cause */
+  uint64_t epochs;                /**< new epochs seen after the first one */
+  uint64_t former;                /**< answers from previous epochs */
 } gt_store_counts_t;
 
-/** Told when the store is found to have begun an epoch. */
+/** A listener that is called when the store has begun a new epoch. */
 typedef struct gt_store_part
 {
   void (*epoch) (void *arg);
@@ -95,7 +100,8 @@
   struct gt_store_part *next;
 } gt_store_part_t;
 
-/** One store; its parts share what is counted. */
+/** One store; all its users on this host share its counters, its latest epoch
+    and the retry-after time. */
 typedef struct gt_store
 {
   net_clock_t *clock;
@@ -103,27 +109,28 @@
   const gt_store_dialect_t *dialect;
   el_str_t address;
   gt_store_counts_t counts;
-  uint64_t random;      /**< of el_random; not 0 */
-  el_time_t rest_until; /**< it asked for no calls until then */
-  uint64_t epoch;       /**< the latest that is known */
-  int known;            /**< some answer came, here or at another host */
-  gt_store_part_t *parts;
-  el_timer_t tell; /**< the parts, of an epoch */
+  uint64_t random;    /**< state of el_random; not 0 */
+  el_time_t retry_at; /**< the store asked for no calls before */
+  uint64_t epoch;     /**< the latest known */
+  int known;          /**< an answer came, here or at another host */
+  gt_store_part_t *listeners;
+  el_timer_t notify_timer; /**< calls the listeners from the loop */
 } gt_store_t;
 
-void gt_store_join (gt_store_t *store, gt_store_part_t *part);
-void gt_store_leave (gt_store_t *store, gt_store_part_t *part);
+void gt_store_join (gt_store_t *store, gt_store_part_t *listener);
+void gt_store_leave (gt_store_t *store, gt_store_part_t *listener);
 void gt_store_epoch (gt_store_t *store, uint64_t epoch, const char *by);
 net_exchange_t *gt_store_call (gt_store_t *store, const char *method,
                                const el_buf_t *path, const el_buf_t *body,
                                el_time_t timeout, net_result_cb done,
                                void *arg);
-void gt_store_heard (gt_store_t *store, const net_result_t *result);
+void gt_store_apply_retry_after (gt_store_t *store,
+                                 const net_result_t *result);
 el_time_t gt_store_backoff (gt_store_t *store, const net_result_t *result,
                             unsigned failures);
 el_time_t gt_store_rest_left (const gt_store_t *store);
 
-/* Following the keys below a prefix. */
+/* A mirror of the keys below a prefix. */
 
 typedef struct gt_follow gt_follow_t;
 
@@ -132,21 +139,22 @@
   gt_store_t *store;
   el_str_t prefix;
   uint64_t wait_ms; /**< longest wait of one watch */
-  el_time_t gather; /**< pause after changes, so that those that come together
-                         take one call */
-  /** A key is new or changed, or is gone. Gives 0 where it is refused as older
-      than what is known, by a count of its own. */
+  el_time_t gather; /**< pause after changes, so that a burst of changes takes
+                         one call */
+  /** Called for a key that is new, changed or removed. Returns 0 if the value
+      carries a version of its own that is older than the known one. */
   int (*item) (void *arg, const pr_item_t *item);
-  el_time_t news_old; /**< news of other hosts older than this are of one that
-                           misses the store */
-  /** Have another host tell what it has seen after a position; OLD answers in
-      a row were too old. Gives 0 when this host should ask the store itself;
-      may be NULL. */
+  el_time_t news_old; /**< answers of other hosts whose data are older than
+                           this come from a host that cannot reach the store */
+  /** Asks another host for the changes after a position; OLD is the number of
+      unusable answers in a row. Returns 0 if this host should ask the store
+      itself; may be NULL. */
   int (*ask) (void *arg, pr_position_t after, unsigned old, pr_news_cb done,
               void *done_arg);
-  /** The host that was asked could not tell, but the store itself can. */
+  /** Called when the store has answered after another host had no usable
+      answer: that host is at fault. */
   void (*blame) (void *arg);
-  /** All changes made before AS_OF, by the clock, were told. */
+  /** Called when all changes made before AS_OF, by the clock, are known. */
   void (*known) (void *arg, el_time_t as_of);
   void *arg;
 } gt_follow_options_t;
@@ -159,12 +167,12 @@
 el_time_t gt_follow_known (const gt_follow_t *follow);
 void gt_follow_free (gt_follow_t *follow);
 
-/* A key that lasts for a while. */
+/* A key that the store removes after a time. */
 
 void gt_store_keep (gt_store_t *store, el_str_t key, el_str_t value,
                     uint64_t ttl_ms, el_time_t wait);
 
-/* A duty that at most one host has. */
+/* A leader lease: a duty that at most one host has at a time. */
 
 typedef struct gt_duty gt_duty_t;
 
@@ -174,10 +182,10 @@
   el_str_t key;
   el_str_t holder;  /**< written to the key */
   uint64_t ttl_ms;  /**< of the lease */
-  el_time_t margin; /**< the duty ends here this long before the lease may
-                         have run out */
-  /** Whether nobody is known to have the duty; one that somebody has is not
-      asked for. */
+  el_time_t margin; /**< the duty ends on this host this long before the lease
+                         may expire */
+  /** Whether no other host is known to have the duty; otherwise it is not
+      requested. */
   int (*vacant) (void *arg);
   void *arg;
 } gt_duty_options_t;
--- a/gate/store_duty.c
+++ b/gate/store_duty.c
@@ -3,29 +3,31 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * A duty that is leased in the store: whoever holds the key has it. The
- * holder counts the lease from before it asked, on its own clock, and stops
- * ahead of its end; so a holder that was paused knows when it wakes. A store
- * that goes on from an older copy has lost the lease and may give its number
- * to somebody else: the duty is held by lease and epoch.
+ * A leader lease in the store: the host whose lease the key is bound to has
+ * the duty. The holder counts the lease's time to live on its own clock, from
+ * before it sent the request, and stops ahead of the end; a holder that was
+ * suspended thus sees on resume that its lease is over. A store restored from
+ * an older copy has lost the lease and may give the same lease number to
+ * another host, so the duty is identified by lease and epoch.
  */
 #include <string.h>
 
 #include "store.h"
 
-#define CALL_LIMIT (1000 * EL_MSEC)
+#define CALL_TIMEOUT (1000 * EL_MSEC)
 /* Renewals within one time to live: two may be lost. */
-#define RENEWALS 3
-/* When another holds it: its lease ends within a few seconds if it died. */
-#define TAKEN_WAIT (700 * EL_MSEC)
-/* Whether it is vacant is looked at this often. */
-#define VACANT_EVERY (100 * EL_MSEC)
+#define RENEWALS_PER_TTL 3
+/* Wait while another host has the duty; if that host died, its lease expires
+   within a few seconds. */
+#define HELD_ELSEWHERE_RETRY (700 * EL_MSEC)
+/* Interval at which the vacant callback is asked. */
+#define VACANCY_CHECK_INTERVAL (100 * EL_MSEC)
 
 typedef enum duty_step
 {
-  DUTY_IDLE,  /* not wanted */
-  DUTY_GRANT, /* a lease is asked for */
-  DUTY_CLAIM, /* the key is asked for */
+  DUTY_IDLE,   /* no lease, no request */
+  DUTY_GRANT,  /* a lease is requested */
+  DUTY_CREATE, /* the key is being created */
   DUTY_HELD
 } duty_step_t;
 
@@ -35,58 +37,58 @@
   duty_step_t step;
   int wanted;
   uint64_t lease;
-  uint64_t epoch; /* of the lease */
-  el_time_t sent;
-  el_time_t valid; /* the lease lasts to here at least */
-  el_time_t after; /* not asked for before: whoever held it in a former epoch
-                      may not know yet */
-  gt_store_part_t part;
+  uint64_t epoch; /* in which the lease was granted */
+  el_time_t sent_at;
+  el_time_t valid_until; /* the lease does not expire before */
+  el_time_t not_before;  /* not requested before: the holder of the previous
+                            epoch may not know of the new one yet */
+  gt_store_part_t listener;
   net_exchange_t *call;
-  el_timer_t again;
+  el_timer_t timer;
   unsigned failures;
 };
 
-static void duty_next (void *arg, el_time_t now);
+static void duty_run (void *arg, el_time_t now);
 static void grant_write (const gt_duty_t *duty, el_buf_t *path,
                          el_buf_t *body);
 static void grant_done (void *arg, const net_result_t *result);
-static void claim_write (const gt_duty_t *duty, el_buf_t *path,
-                         el_buf_t *body);
-static void claim_done (void *arg, const net_result_t *result);
+static void create_write (const gt_duty_t *duty, el_buf_t *path,
+                          el_buf_t *body);
+static void create_done (void *arg, const net_result_t *result);
 static void renew_write (const gt_duty_t *duty, el_buf_t *path,
                          el_buf_t *body);
 static void renew_done (void *arg, const net_result_t *result);
 
-/* The call of the store that each step waits for. */
+/* The request of each step and the callback for its answer. */
 static const struct
 {
   void (*write) (const gt_duty_t *duty, el_buf_t *path, el_buf_t *body);
   net_result_cb done;
 } calls[] = {
   [DUTY_GRANT] = { grant_write, grant_done },
-  [DUTY_CLAIM] = { claim_write, claim_done },
+  [DUTY_CREATE] = { create_write, create_done },
   [DUTY_HELD] = { renew_write, renew_done },
 };
 
-/** Whether this host has the duty at NOW. */
+/** Returns whether this host has the duty at NOW. */
 int
 gt_duty_held (const gt_duty_t *duty, el_time_t now)
 {
   return duty->step == DUTY_HELD && duty->epoch == duty->options.store->epoch
-         && now + duty->options.margin < duty->valid;
+         && now + duty->options.margin < duty->valid_until;
 }
 
-/* Whether the lease is of an epoch that is over. */
+/* Returns whether the lease was granted in a previous epoch. */
 static int
-duty_former (const gt_duty_t *duty)
+duty_lease_stale (const gt_duty_t *duty)
 {
   return duty->lease && duty->epoch != duty->options.store->epoch;
 }
 
 static void
-duty_later (gt_duty_t *duty, el_time_t wait)
+duty_schedule (gt_duty_t *duty, el_time_t wait)
 {
-  net_clock_set (duty->options.store->clock, &duty->again, wait);
+  net_clock_set (duty->options.store->clock, &duty->timer, wait);
 }
 
 static void
@@ -97,7 +99,7 @@
             EL_FC ("reason", why));
   duty->step = DUTY_IDLE;
   duty->lease = 0;
-  duty_later (duty, wait);
+  duty_schedule (duty, wait);
 }
 
 static el_time_t
@@ -106,15 +108,16 @@
   return duty->options.ttl_ms * EL_MSEC;
 }
 
-/* The store has begun an epoch. */
+/* Called when the store has begun a new epoch. */
 static void
-duty_epoch (void *arg)
+duty_epoch_changed (void *arg)
 {
   gt_duty_t *duty = arg;
 
-  duty->after = net_clock_now (duty->options.store->clock) + duty_ttl (duty);
-  if (duty_former (duty) && !duty->call)
-    duty_lost (duty, "store's epoch over", 0);
+  duty->not_before
+      = net_clock_now (duty->options.store->clock) + duty_ttl (duty);
+  if (duty_lease_stale (duty) && !duty->call)
+    duty_lost (duty, "store began a new epoch", 0);
 }
 
 static void
@@ -141,40 +144,40 @@
     }
   duty->failures = 0;
   duty->epoch = store->epoch;
-  duty->valid = duty->sent + duty_ttl (duty);
-  duty->step = DUTY_CLAIM;
-  duty_next (duty, 0);
+  duty->valid_until = duty->sent_at + duty_ttl (duty);
+  duty->step = DUTY_CREATE;
+  duty_run (duty, 0);
 }
 
 static void
-claim_write (const gt_duty_t *duty, el_buf_t *path, el_buf_t *body)
+create_write (const gt_duty_t *duty, el_buf_t *path, el_buf_t *body)
 {
   const gt_duty_options_t *o = &duty->options;
 
-  o->store->dialect->claim (path, body, o->key, o->holder, duty->lease);
+  o->store->dialect->create (path, body, o->key, o->holder, duty->lease);
 }
 
 static void
-claim_done (void *arg, const net_result_t *result)
+create_done (void *arg, const net_result_t *result)
 {
   gt_duty_t *duty = arg;
   gt_store_t *store = duty->options.store;
-  gt_store_state_t state = GT_STORE_BAD;
+  gt_store_state_t state = GT_STORE_INVALID;
 
   duty->call = NULL;
   if (result->net == NET_OK)
-    state = store->dialect->read_claim (result);
-  if (state != GT_STORE_OK || duty_former (duty)
-      || net_clock_now (store->clock) < duty->after)
+    state = store->dialect->read_create (result);
+  if (state != GT_STORE_OK || duty_lease_stale (duty)
+      || net_clock_now (store->clock) < duty->not_before)
     {
-      gt_store_heard (store, result);
-      duty_lost (duty, "not claimed", TAKEN_WAIT);
+      gt_store_apply_retry_after (store, result);
+      duty_lost (duty, "key not created", HELD_ELSEWHERE_RETRY);
       return;
     }
   duty->step = DUTY_HELD;
   EL_LOG (EL_LOG_INFO, "duty_held", EL_FS ("duty", duty->options.key),
           EL_FN ("lease", duty->lease));
-  duty_later (duty, duty_ttl (duty) / RENEWALS);
+  duty_schedule (duty, duty_ttl (duty) / RENEWALS_PER_TTL);
 }
 
 static void
@@ -189,27 +192,27 @@
 {
   gt_duty_t *duty = arg;
   gt_store_t *store = duty->options.store;
-  gt_store_state_t state = GT_STORE_BAD;
+  gt_store_state_t state = GT_STORE_INVALID;
   el_time_t now = net_clock_now (store->clock);
 
   duty->call = NULL;
   if (result->net == NET_OK)
     state = store->dialect->read_renew (result);
-  if (duty_former (duty))
-    duty_lost (duty, "store's epoch over", 0);
+  if (duty_lease_stale (duty))
+    duty_lost (duty, "store began a new epoch", 0);
   else if (state == GT_STORE_OK)
     {
       duty->failures = 0;
-      duty->valid = duty->sent + duty_ttl (duty);
-      duty_later (duty, duty_ttl (duty) / RENEWALS);
+      duty->valid_until = duty->sent_at + duty_ttl (duty);
+      duty_schedule (duty, duty_ttl (duty) / RENEWALS_PER_TTL);
     }
-  else if (state == GT_STORE_NO_LEASE || now >= duty->valid)
+  else if (state == GT_STORE_LEASE_EXPIRED || now >= duty->valid_until)
     {
-      gt_store_heard (store, result);
-      duty_lost (duty, "lease over", TAKEN_WAIT);
+      gt_store_apply_retry_after (store, result);
+      duty_lost (duty, "lease expired", HELD_ELSEWHERE_RETRY);
     }
   else
-    duty_later (duty, gt_store_backoff (store, result, duty->failures++));
+    duty_schedule (duty, gt_store_backoff (store, result, duty->failures++));
 }
 
 static void
@@ -221,62 +224,61 @@
   EL_LOG (EL_LOG_INFO, "duty_released", EL_FS ("duty", duty->options.key),
           EL_FN ("status", result->status));
   if (duty->wanted)
-    duty_later (duty, 0);
+    duty_schedule (duty, 0);
 }
 
-/* End the lease, so that another host need not wait for its end. One that the
-   store did not answer for last may be somebody else's by now: it runs out by
-   itself. */
+/* Revokes the lease, so that another host need not wait until it expires. If
+   the last renewal failed or a new epoch has begun, the lease number may
+   belong to another host by now, and the lease is left to expire. */
 static void
 duty_release (gt_duty_t *duty)
 {
   gt_store_t *store = duty->options.store;
   el_buf_t path = { NULL, 0, 0 };
 
-  if (duty->failures || duty_former (duty))
+  if (duty->failures || duty_lease_stale (duty))
     {
-      duty_lost (duty, "left to run out", duty_ttl (duty));
+      duty_lost (duty, "lease left to expire", duty_ttl (duty));
       return;
     }
-  store->dialect->end (&path, duty->lease);
+  store->dialect->revoke (&path, duty->lease);
   duty->step = DUTY_IDLE;
   duty->lease = 0;
-  duty->call = gt_store_call (store, "DELETE", &path, NULL, CALL_LIMIT,
+  duty->call = gt_store_call (store, "DELETE", &path, NULL, CALL_TIMEOUT,
                               release_done, duty);
   el_buf_free (&path);
 }
 
-/* Make the call of the step that the duty is at. A duty that is held is kept
-   up also while the store rests: a renewal costs it a tenth of a call, a
-   change of hands three. A call without a body, as that of a renewal, is sent
-   without one. */
+/* Sends the request of the current step. A held duty is renewed also while the
+   store asks for no calls: a renewal costs the store a tenth of a call, a
+   change of holder costs three. A renewal is sent without a body. */
 static void
-duty_call (gt_duty_t *duty)
+duty_send (gt_duty_t *duty)
 {
   gt_store_t *store = duty->options.store;
   el_buf_t path = { NULL, 0, 0 };
   el_buf_t body = { NULL, 0, 0 };
 
-  duty->sent = net_clock_now (store->clock);
+  duty->sent_at = net_clock_now (store->clock);
   calls[duty->step].write (duty, &path, &body);
   duty->call = gt_store_call (store, "POST", &path, body.len ? &body : NULL,
-                              CALL_LIMIT, calls[duty->step].done, duty);
+                              CALL_TIMEOUT, calls[duty->step].done, duty);
   el_buf_free (&path);
   el_buf_free (&body);
 }
 
-/* How long the duty is not to be asked for. */
+/* Returns how long to wait before the duty may be requested. */
 static el_time_t
-duty_wait (const gt_duty_t *duty, el_time_t now)
+duty_delay (const gt_duty_t *duty, el_time_t now)
 {
   el_time_t rest = gt_store_rest_left (duty->options.store);
-  el_time_t epoch = now < duty->after ? duty->after - now : 0;
+  el_time_t epoch = now < duty->not_before ? duty->not_before - now : 0;
 
   return rest > epoch ? rest : epoch;
 }
 
 static void
-duty_next (void *arg, el_time_t now)
+duty_run (void *arg, el_time_t now)
 {
   gt_duty_t *duty = arg;
   el_time_t wait;
@@ -291,38 +293,38 @@
     }
   if (duty->step == DUTY_IDLE)
     {
-      wait = duty_wait (duty, net_clock_now (duty->options.store->clock));
+      wait = duty_delay (duty, net_clock_now (duty->options.store->clock));
       if (wait)
         {
-          duty_later (duty, wait);
+          duty_schedule (duty, wait);
           return;
         }
       if (!duty->options.vacant (duty->options.arg))
         {
-          duty_later (duty, VACANT_EVERY);
+          duty_schedule (duty, VACANCY_CHECK_INTERVAL);
           return;
         }
       duty->step = DUTY_GRANT;
     }
-  duty_call (duty);
+  duty_send (duty);
 }
 
-/** A duty that is not wanted yet. */
+/** Creates a duty, which is not requested until gt_duty_want. */
 gt_duty_t *
 gt_duty_new (const gt_duty_options_t *options)
 {
   gt_duty_t *duty = el_alloc (sizeof *duty);
 
   duty->options = *options;
-  duty->again.cb = duty_next;
-  duty->again.arg = duty;
-  duty->part.epoch = duty_epoch;
-  duty->part.arg = duty;
-  gt_store_join (options->store, &duty->part);
+  duty->timer.cb = duty_run;
+  duty->timer.arg = duty;
+  duty->listener.epoch = duty_epoch_changed;
+  duty->listener.arg = duty;
+  gt_store_join (options->store, &duty->listener);
   return duty;
 }
 
-/** Whether this host should try to have the duty. */
+/** Sets whether this host should try to get and keep the duty. */
 void
 gt_duty_want (gt_duty_t *duty, int wanted)
 {
@@ -330,5 +332,5 @@
 
   duty->wanted = wanted;
   if (changed && !duty->call)
-    duty_later (duty, 0);
+    duty_schedule (duty, 0);
 }
--- a/gate/store_follow.c
+++ b/gate/store_follow.c
@@ -3,68 +3,74 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Follows the keys below a prefix: reads all, then waits for changes; reads
- * all again when the store no longer keeps the changes asked for.
+ * Mirrors the keys below a prefix: reads all, page by page, then watches for
+ * changes, and reads all again if the store no longer keeps the changes asked
+ * for or has begun a new epoch. Changes may also come from another host.
  */
 #include <stdlib.h>
 
 #include "store.h"
 #include "store_keys.h"
 
-/* A call that takes longer than this gets no answer any more. */
-#define CALL_LIMIT (1500 * EL_MSEC)
-/* While the store is missed, calls ask for an answer at once: one that was
-   sent just before it comes back must not hold the next one up. */
-#define MISSED_WAIT_MS 1
-#define MISSED_LIMIT (800 * EL_MSEC)
-
-/* A host whose news are old asks the store itself at once, and after each
-   vain try half as often; until then it asks the others, of whom the first of
-   each hall asks the store. */
-#define DOUBT_FIRST (2 * EL_SEC)
-#define DOUBT_MOST (8 * EL_SEC)
-/* A host that could tell nothing is asked again after this. */
-#define ASK_AGAIN (200 * EL_MSEC)
-/* Writers of a store that went on from an older copy have written anew what it
-   lost within about two seconds. */
-#define SETTLE_AFTER (2500 * EL_MSEC)
-/* What was read is as fresh as what a watch tells that waits as long. It is
-   time for a host that has just started to learn whom it can ask. */
-#define READ_PAUSE (700 * EL_MSEC)
+/* Limit of a call, beyond the time for which a watch may wait. */
+#define CALL_TIMEOUT (1500 * EL_MSEC)
+/* While the store does not answer, calls ask for an immediate answer and have
+   a shorter limit: a call sent just before the store returns must not delay
+   the next one. */
+#define RECOVERY_WAIT_MS 1
+#define RECOVERY_TIMEOUT (800 * EL_MSEC)
+
+/* A host that got an outdated answer from another host asks the store itself
+   at once, and after each failure half as often. In between it asks the other
+   hosts, of which the first of each hall asks the store. */
+#define FALLBACK_FIRST (2 * EL_SEC)
+#define FALLBACK_MAX (8 * EL_SEC)
+/* Another host is asked again this long after an unusable answer. */
+#define PEER_RETRY (200 * EL_MSEC)
+/* How long differences in a new epoch are held back. After the store is
+   restored from an older copy, its writers have repeated their lost changes
+   within about two seconds. */
+#define HELD_DELAY (2500 * EL_MSEC)
+/* Wait after a full read; the result is as fresh as that of a watch that waits
+   as long. In this time a host that has just started learns which other hosts
+   it can ask. */
+#define AFTER_READ_DELAY (700 * EL_MSEC)
 
 struct gt_follow
 {
   gt_follow_options_t options;
-  gt_store_part_t part;
+  gt_store_part_t listener;
   gt_keys_t *keys;
   net_exchange_t *call;
-  uint64_t call_epoch; /* known when the call left */
-  int asking;          /* another host was asked and has not answered */
-  el_timer_t again;
-  el_timer_t settle;
-  el_time_t sent;        /* when the call left */
-  el_time_t read_since;  /* when the first page was asked for */
-  pr_position_t at;      /* changes up to it were told */
-  pr_position_t read_at; /* of the first page */
-  el_buf_t page_after;   /* last key of the page before */
-  gt_store_read_t cause; /* of the last or next reading of all */
-  int whole;             /* that reading is done */
-  el_time_t known;       /* all changes before it were told */
-  unsigned old;          /* answers of other hosts in a row that were old */
-  int doubt;             /* another host could not tell: the store is asked
-                            once */
-  el_time_t doubt_due;   /* not again before */
-  el_time_t doubt_wait;  /* from one such call to the next */
+  uint64_t call_epoch; /* the latest when the call was sent */
+  int peer_pending;    /* another host has not answered yet */
+  el_timer_t timer;
+  el_timer_t held_timer;
+  el_time_t sent_at;                /* when the call was sent */
+  el_time_t read_started_at;        /* when the first page was requested */
+  pr_position_t at;                 /* changes up to it are known */
+  pr_position_t read_position;      /* position of the first page */
+  el_buf_t page_cursor;             /* last key of the previous page */
+  gt_store_read_cause_t read_cause; /* of the last or next full read */
+  int complete;                     /* that read is done */
+  el_time_t synced_at;              /* all changes before it are known */
+  unsigned stale_answers;  /* unusable answers of other hosts in a row */
+  int ask_store;           /* another host had no usable answer: ask the
+                              store once */
+  el_time_t fallback_due;  /* the store is not asked again before */
+  el_time_t fallback_wait; /* from one such call to the next, plus jitter */
   unsigned failures;
 };
 
-static void follow_known (gt_follow_t *follow, el_time_t as_of);
-static void follow_next (void *arg, el_time_t now);
+static void follow_set_synced (gt_follow_t *follow, el_time_t as_of);
+static void follow_run (void *arg, el_time_t now);
 
-/* What an answer brought. FROM: the store, or another host; BEFORE: up to
-   where changes were known. */
+/* Logs what an answer from FROM, the store or another host, changed, and
+   schedules the release of changes that were held back. BEFORE is the position
+   before the answer. */
 static void
-told (gt_follow_t *follow, const char *from, pr_position_t before, int whole)
+changes_finish (gt_follow_t *follow, const char *from, pr_position_t before,
+                int whole)
 {
   gt_keys_counts_t counts = gt_keys_counts_take (follow->keys);
   int notable
@@ -79,25 +85,26 @@
           EL_FN ("taken", counts.taken), EL_FN ("older", counts.older),
           EL_FN ("held", counts.held));
   if (counts.held)
-    net_clock_set (follow->options.store->clock, &follow->settle,
-                   SETTLE_AFTER);
+    net_clock_set (follow->options.store->clock, &follow->held_timer,
+                   HELD_DELAY);
 }
 
-/* What a new epoch lacks or has again stands as it is by now. */
+/* Applies the held differences of a new epoch: the writers had time to repeat
+   their changes. */
 static void
-follow_settle (void *arg, el_time_t now)
+follow_release_held (void *arg, el_time_t now)
 {
   gt_follow_t *follow = arg;
 
   (void)now;
   gt_keys_settle (follow->keys);
-  told (follow, "settled", follow->at, 0);
+  changes_finish (follow, "settled", follow->at, 0);
 }
 
 static void
-follow_later (gt_follow_t *follow, el_time_t wait)
+follow_schedule (gt_follow_t *follow, el_time_t wait)
 {
-  net_clock_set (follow->options.store->clock, &follow->again, wait);
+  net_clock_set (follow->options.store->clock, &follow->timer, wait);
 }
 
 static void
@@ -107,18 +114,18 @@
   gt_follow_options_t *o = &follow->options;
   el_time_t wait = gt_store_backoff (o->store, result, follow->failures++);
 
-  follow->doubt = 0; /* the store can't tell either */
+  follow->ask_store = 0; /* the store does not answer either */
 
   if (follow->failures == 1)
     EL_LOG (EL_LOG_WARN, "store_lost", EL_FS ("prefix", o->prefix),
             EL_FC ("call", what), EL_FN ("status", result->status),
             EL_FN ("epoch", follow->at.epoch),
             EL_FN ("revision", follow->at.revision));
-  follow_later (follow, wait);
+  follow_schedule (follow, wait);
 }
 
 static void
-follow_works (gt_follow_t *follow)
+follow_recovered (gt_follow_t *follow)
 {
   if (follow->failures)
     EL_LOG (EL_LOG_INFO, "store_back",
@@ -127,57 +134,57 @@
             EL_FN ("epoch", follow->at.epoch),
             EL_FN ("revision", follow->at.revision));
   follow->failures = 0;
-  follow->old = 0;
-  follow->doubt_wait = 0;
-  follow->doubt_due = 0;
-  if (follow->doubt)
+  follow->stale_answers = 0;
+  follow->fallback_wait = 0;
+  follow->fallback_due = 0;
+  if (follow->ask_store)
     follow->options.blame (follow->options.arg);
-  follow->doubt = 0;
+  follow->ask_store = 0;
 }
 
-/* All is to be read anew. */
+/* Starts a full read anew. */
 static void
-follow_restart (gt_follow_t *follow, gt_store_read_t cause)
+follow_reread (gt_follow_t *follow, gt_store_read_cause_t read_cause)
 {
-  follow->whole = 0;
-  follow->cause = cause;
-  el_buf_reset (&follow->page_after);
+  follow->complete = 0;
+  follow->read_cause = read_cause;
+  el_buf_reset (&follow->page_cursor);
 }
 
-/* What is known is of a former epoch: neither changes after it nor further
-   pages fit. */
+/* Returns whether AT is in a previous epoch: neither changes after it nor
+   further pages can be combined with it. */
 static int
-follow_former (const gt_follow_t *follow, pr_position_t at)
+follow_stale (const gt_follow_t *follow, pr_position_t at)
 {
   return at.epoch != follow->options.store->epoch;
 }
 
 static void
-page_take (gt_follow_t *follow, const gt_store_list_t *list)
+page_apply (gt_follow_t *follow, const gt_store_list_t *list)
 {
   gt_store_t *store = follow->options.store;
   pr_position_t before = follow->at;
   size_t i;
 
-  if (follow->page_after.len == 0)
+  if (follow->page_cursor.len == 0)
     {
-      follow->read_at = (pr_position_t){ store->epoch, list->revision };
+      follow->read_position = (pr_position_t){ store->epoch, list->revision };
       gt_keys_begin (follow->keys);
     }
   for (i = 0; i < list->n; i++)
-    gt_keys_item (follow->keys, follow->read_at.epoch, &list->items[i]);
-  el_buf_reset (&follow->page_after);
+    gt_keys_item (follow->keys, follow->read_position.epoch, &list->items[i]);
+  el_buf_reset (&follow->page_cursor);
   if (list->more && list->n)
     {
-      el_buf_add (&follow->page_after, list->items[list->n - 1].key);
+      el_buf_add (&follow->page_cursor, list->items[list->n - 1].key);
       return;
     }
-  store->counts.reads[follow->cause]++;
-  follow->whole = 1;
-  gt_keys_end (follow->keys, follow->read_at);
-  follow->at = follow->read_at;
-  told (follow, "store", before, 1);
-  follow_known (follow, follow->read_since);
+  store->counts.reads[follow->read_cause]++;
+  follow->complete = 1;
+  gt_keys_end (follow->keys, follow->read_position);
+  follow->at = follow->read_position;
+  changes_finish (follow, "store", before, 1);
+  follow_set_synced (follow, follow->read_started_at);
 }
 
 static void
@@ -191,45 +198,46 @@
       || follow->options.store->dialect->read_list (result, &list)
              != GT_STORE_OK)
     {
-      follow_restart (follow, follow->cause);
+      follow_reread (follow, follow->read_cause);
       follow_failed (follow, "range", result);
       return;
     }
-  follow_works (follow);
-  if (follow->page_after.len && follow_former (follow, follow->read_at))
-    follow_restart (follow, GT_STORE_READ_EPOCH);
+  follow_recovered (follow);
+  if (follow->page_cursor.len && follow_stale (follow, follow->read_position))
+    follow_reread (follow, GT_STORE_READ_EPOCH);
   else
-    page_take (follow, &list);
+    page_apply (follow, &list);
   gt_store_list_free (&list);
-  if (follow->whole && follow->options.ask)
-    follow_later (follow, READ_PAUSE);
+  if (follow->complete && follow->options.ask)
+    follow_schedule (follow, AFTER_READ_DELAY);
   else
-    follow_next (follow, 0);
+    follow_run (follow, 0);
 }
 
-/* What a watch tells of a former epoch's position is not believed, whether or
-   not the store says that it has lost it: the same revision may exist again.
-   Gives 0 where all is to be read anew. */
+/* Returns 0 if the answer of a watch cannot be used and all is to be read
+   again. After a position in a previous epoch no answer is used, even if the
+   store does not report the position as compacted: the same revision may exist
+   again. */
 static int
-watch_holds (gt_follow_t *follow, gt_store_state_t state)
+watch_usable (gt_follow_t *follow, gt_store_state_t state)
 {
-  if (follow_former (follow, follow->at))
+  if (follow_stale (follow, follow->at))
     {
-      follow_restart (follow, GT_STORE_READ_EPOCH);
+      follow_reread (follow, GT_STORE_READ_EPOCH);
       return 0;
     }
-  if (state != GT_STORE_LOST)
+  if (state != GT_STORE_COMPACTED)
     return 1;
   EL_LOG (EL_LOG_INFO, "store_history_lost",
           EL_FS ("prefix", follow->options.prefix),
           EL_FN ("epoch", follow->at.epoch),
           EL_FN ("revision", follow->at.revision));
-  follow_restart (follow, GT_STORE_READ_HISTORY);
+  follow_reread (follow, GT_STORE_READ_HISTORY);
   return 0;
 }
 
 static void
-changes_take (gt_follow_t *follow, const gt_store_list_t *list)
+changes_apply (gt_follow_t *follow, const gt_store_list_t *list)
 {
   pr_position_t before = follow->at;
   size_t i;
@@ -238,8 +246,8 @@
     gt_keys_item (follow->keys, follow->at.epoch, &list->items[i]);
   if (list->revision > follow->at.revision)
     follow->at.revision = list->revision;
-  told (follow, "store", before, 0);
-  follow_known (follow, follow->sent);
+  changes_finish (follow, "store", before, 0);
+  follow_set_synced (follow, follow->sent_at);
 }
 
 static void
@@ -247,62 +255,62 @@
 {
   gt_follow_t *follow = arg;
   gt_store_list_t list = { 0 };
-  gt_store_state_t state = GT_STORE_BAD;
+  gt_store_state_t state = GT_STORE_INVALID;
   int pause;
 
   follow->call = NULL;
   if (result->net == NET_OK)
     state = follow->options.store->dialect->read_list (result, &list);
-  if (result->net == NET_OK && !watch_holds (follow, state))
-    follow_next (follow, 0);
+  if (result->net == NET_OK && !watch_usable (follow, state))
+    follow_run (follow, 0);
   else if (state != GT_STORE_OK)
     follow_failed (follow, "watch", result);
   else
     {
-      follow_works (follow);
-      changes_take (follow, &list);
+      follow_recovered (follow);
+      changes_apply (follow, &list);
       pause = list.n && follow->options.gather;
       if (pause)
-        follow_later (follow, follow->options.gather);
+        follow_schedule (follow, follow->options.gather);
       else
-        follow_next (follow, 0);
+        follow_run (follow, 0);
     }
   gt_store_list_free (&list);
 }
 
 static void
-follow_known (gt_follow_t *follow, el_time_t as_of)
+follow_set_synced (gt_follow_t *follow, el_time_t as_of)
 {
-  if (as_of > follow->known)
-    follow->known = as_of;
+  if (as_of > follow->synced_at)
+    follow->synced_at = as_of;
   follow->options.known (follow->options.arg, as_of);
 }
 
-/* The host that was asked knows nothing new enough. When the store answers,
-   that host is at fault. */
+/* Another host had no usable answer. The store is asked, but not too often; if
+   it answers, that host is at fault. */
 static void
-news_old (gt_follow_t *follow, el_time_t now)
+news_rejected (gt_follow_t *follow, el_time_t now)
 {
   gt_store_t *store = follow->options.store;
 
-  follow->old++;
-  if (now < follow->doubt_due)
+  follow->stale_answers++;
+  if (now < follow->fallback_due)
     {
-      follow_later (follow, ASK_AGAIN);
+      follow_schedule (follow, PEER_RETRY);
       return;
     }
-  follow->doubt_wait
-      = follow->doubt_wait ? 2 * follow->doubt_wait : DOUBT_FIRST;
-  if (follow->doubt_wait > DOUBT_MOST)
-    follow->doubt_wait = DOUBT_MOST;
-  follow->doubt_due = now + follow->doubt_wait
-                      + el_random (&store->random) % follow->doubt_wait;
-  follow->doubt = 1;
-  follow_next (follow, 0);
+  follow->fallback_wait
+      = follow->fallback_wait ? 2 * follow->fallback_wait : FALLBACK_FIRST;
+  if (follow->fallback_wait > FALLBACK_MAX)
+    follow->fallback_wait = FALLBACK_MAX;
+  follow->fallback_due = now + follow->fallback_wait
+                         + el_random (&store->random) % follow->fallback_wait;
+  follow->ask_store = 1;
+  follow_run (follow, 0);
 }
 
 static void
-news_take (gt_follow_t *follow, const pr_news_t *news)
+news_apply (gt_follow_t *follow, const pr_news_t *news)
 {
   pr_position_t before = follow->at;
   size_t i;
@@ -315,62 +323,64 @@
     gt_keys_end (follow->keys, news->at);
   if (pr_position_cmp (news->at, follow->at) > 0)
     follow->at = news->at;
-  told (follow, "host", before, news->whole);
+  changes_finish (follow, "host", before, news->whole);
 }
 
-/* Whether news can be taken in: of the latest epoch, changes only on top of
-   what is known of it. */
+/* Returns whether another host's answer can be applied: it is recent, of the
+   latest epoch, and contains all keys unless this host has keys of that
+   epoch. */
 static int
-news_fit (const gt_follow_t *follow, const pr_news_t *news, el_time_t now)
+news_usable (const gt_follow_t *follow, const pr_news_t *news, el_time_t now)
 {
   return news && news->as_of + follow->options.news_old >= now
-         && !follow_former (follow, news->at)
+         && !follow_stale (follow, news->at)
          && (news->whole || news->at.epoch == follow->at.epoch);
 }
 
-/* Another host has told. When it could not, or what it knows is old, the store
-   is asked. */
+/* Another host has answered. If NEWS is NULL or cannot be used, the store is
+   asked. */
 static void
-news_told (void *arg, const pr_news_t *news)
+news_done (void *arg, const pr_news_t *news)
 {
   gt_follow_t *follow = arg;
   el_time_t now = net_clock_now (follow->options.store->clock);
 
-  follow->asking = 0;
+  follow->peer_pending = 0;
   if (news)
     gt_follow_epoch (follow, news->at.epoch);
-  if (!news_fit (follow, news, now))
+  if (!news_usable (follow, news, now))
     {
-      news_old (follow, now);
+      news_rejected (follow, now);
       return;
     }
-  follow_works (follow);
-  news_take (follow, news);
-  follow_known (follow, news->as_of);
-  follow_next (follow, 0);
+  follow_recovered (follow);
+  news_apply (follow, news);
+  follow_set_synced (follow, news->as_of);
+  follow_run (follow, 0);
 }
 
-/* Whether another host was asked in place of the store. */
+/* Asks another host in place of the store; returns whether it did. */
 static int
-follow_ask (gt_follow_t *follow)
+follow_ask_peer (gt_follow_t *follow)
 {
   gt_follow_options_t *o = &follow->options;
 
-  follow->asking
-      = o->ask && follow->whole && !follow->doubt
-        && o->ask (o->arg, follow->at, follow->old, news_told, follow);
-  return follow->asking;
+  follow->peer_pending = o->ask && follow->complete && !follow->ask_store
+                         && o->ask (o->arg, follow->at, follow->stale_answers,
+                                    news_done, follow);
+  return follow->peer_pending;
 }
 
-/* Wait for changes; a store that was missed is asked for an answer at once. */
+/* Watches for changes. A store that did not answer before is asked for an
+   immediate answer. */
 static void
 follow_watch (gt_follow_t *follow)
 {
   gt_follow_options_t *o = &follow->options;
   el_buf_t path = { NULL, 0, 0 };
-  int missed = follow->failures || follow->doubt;
-  uint64_t wait = missed ? MISSED_WAIT_MS : o->wait_ms;
-  el_time_t limit = missed ? MISSED_LIMIT : CALL_LIMIT;
+  int recovering = follow->failures || follow->ask_store;
+  uint64_t wait = recovering ? RECOVERY_WAIT_MS : o->wait_ms;
+  el_time_t limit = recovering ? RECOVERY_TIMEOUT : CALL_TIMEOUT;
 
   o->store->dialect->watch (&path, o->prefix, follow->at.revision, wait);
   follow->call = gt_store_call (o->store, "GET", &path, NULL,
@@ -378,65 +388,65 @@
   el_buf_free (&path);
 }
 
-/* Read the next page of all that there is, or the first one. */
+/* Requests the first or the next page of a full read. */
 static void
 follow_page (gt_follow_t *follow)
 {
   gt_follow_options_t *o = &follow->options;
   el_buf_t path = { NULL, 0, 0 };
 
-  if (follow->page_after.len == 0)
-    follow->read_since = follow->sent;
+  if (follow->page_cursor.len == 0)
+    follow->read_started_at = follow->sent_at;
   o->store->dialect->range (&path, o->prefix,
-                            el_buf_str (&follow->page_after));
-  follow->call = gt_store_call (o->store, "GET", &path, NULL,
-                                follow->failures ? MISSED_LIMIT : CALL_LIMIT,
-                                range_done, follow);
+                            el_buf_str (&follow->page_cursor));
+  follow->call = gt_store_call (
+      o->store, "GET", &path, NULL,
+      follow->failures ? RECOVERY_TIMEOUT : CALL_TIMEOUT, range_done, follow);
   el_buf_free (&path);
 }
 
-/* Ask for what comes next. */
+/* Makes the next request, of another host or of the store. */
 static void
-follow_next (void *arg, el_time_t now)
+follow_run (void *arg, el_time_t now)
 {
   gt_follow_t *follow = arg;
   el_time_t rest = gt_store_rest_left (follow->options.store);
 
   (void)now;
-  if (follow_ask (follow))
+  if (follow_ask_peer (follow))
     return;
   if (rest)
     {
-      follow_later (follow, rest);
+      follow_schedule (follow, rest);
       return;
     }
-  follow->sent = net_clock_now (follow->options.store->clock);
+  follow->sent_at = net_clock_now (follow->options.store->clock);
   follow->call_epoch = follow->options.store->epoch;
-  if (follow->whole && follow_former (follow, follow->at))
-    follow_restart (follow, GT_STORE_READ_EPOCH);
-  if (follow->whole)
+  if (follow->complete && follow_stale (follow, follow->at))
+    follow_reread (follow, GT_STORE_READ_EPOCH);
+  if (follow->complete)
     follow_watch (follow);
   else
     follow_page (follow);
 }
 
-/* The store has begun an epoch. A call that left before it is of no use, and
-   may have gone to a store that answers no more. */
+/* The store has begun a new epoch. A call that was sent before is of no use
+   and may have gone to an instance that no longer answers: it is cancelled. */
 static void
-follow_epoch (void *arg)
+follow_epoch_changed (void *arg)
 {
   gt_follow_t *follow = arg;
 
-  if (follow->asking
+  if (follow->peer_pending
       || (follow->call && follow->call_epoch == follow->options.store->epoch))
     return;
   if (follow->call)
     net_client_cancel (follow->call);
   follow->call = NULL;
-  follow_later (follow, 0);
+  follow_schedule (follow, 0);
 }
 
-/** A follower; it begins to read at once. */
+/** Creates a follower and starts the first read. */
 gt_follow_t *
 gt_follow_new (const gt_follow_options_t *options)
 {
@@ -446,61 +456,61 @@
 
   follow->options = *options;
   follow->keys = gt_keys_new (&keys);
-  follow->settle.cb = follow_settle;
-  follow->settle.arg = follow;
-  follow->part.epoch = follow_epoch;
-  follow->part.arg = follow;
-  gt_store_join (options->store, &follow->part);
-  follow->again.cb = follow_next;
-  follow->again.arg = follow;
-  follow_next (follow, 0);
+  follow->held_timer.cb = follow_release_held;
+  follow->held_timer.arg = follow;
+  follow->listener.epoch = follow_epoch_changed;
+  follow->listener.arg = follow;
+  gt_store_join (options->store, &follow->listener);
+  follow->timer.cb = follow_run;
+  follow->timer.arg = follow;
+  follow_run (follow, 0);
   return follow;
 }
 
-/** Tell what was seen after a position, or all when not every removal since
-    then is known; gives 0 where that epoch is not known here yet. The items
-    belong to the follower; the list is freed by the caller. */
+/** Writes to OUT the changes after a position, or all keys if not every
+   removal since then is known; returns 0 if that epoch is not known here yet.
+   The items belong to the follower; the caller frees the list. */
 int
 gt_follow_tell (const gt_follow_t *follow, pr_position_t after, pr_news_t *out)
 {
-  *out = (pr_news_t){ .at = follow->at, .as_of = follow->known };
+  *out = (pr_news_t){ .at = follow->at, .as_of = follow->synced_at };
   if (after.epoch > follow->at.epoch)
     return 0;
   gt_keys_tell (follow->keys, after, out);
   return 1;
 }
 
-/** Changes up to here were told. */
+/** Returns the position up to which changes are known. */
 pr_position_t
 gt_follow_position (const gt_follow_t *follow)
 {
   return follow->at;
 }
 
-/** Another host knows that the store has begun EPOCH. */
+/** Takes note that, as another host says, the store has begun EPOCH. */
 void
 gt_follow_epoch (gt_follow_t *follow, uint64_t epoch)
 {
   gt_store_epoch (follow->options.store, epoch, "host");
 }
 
-/** All changes before this time were told; 0 before the first. */
+/** Returns the time before which all changes are known; 0 if none are. */
 el_time_t
 gt_follow_known (const gt_follow_t *follow)
 {
-  return follow->known;
+  return follow->synced_at;
 }
 
-/** Ask for nothing more. */
+/** Cancels all calls and frees the follower. */
 void
 gt_follow_free (gt_follow_t *follow)
 {
-  gt_store_leave (follow->options.store, &follow->part);
-  net_clock_cancel (follow->options.store->clock, &follow->again);
-  net_clock_cancel (follow->options.store->clock, &follow->settle);
+  gt_store_leave (follow->options.store, &follow->listener);
+  net_clock_cancel (follow->options.store->clock, &follow->timer);
+  net_clock_cancel (follow->options.store->clock, &follow->held_timer);
   if (follow->call)
     net_client_cancel (follow->call);
   gt_keys_free (follow->keys);
-  el_buf_free (&follow->page_after);
+  el_buf_free (&follow->page_cursor);
   free (follow);
 }
--- a/gate/store_keep.c
+++ b/gate/store_keep.c
@@ -3,133 +3,134 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * A key that is kept in the store for a while, whoever wrote it: put under a
- * lease that is not renewed, unless it is there. Tried again, with waits that
- * grow, as long as it is worth it.
+ * Writes a key that the store removes after a time: it is created, unless it
+ * exists, under a lease that is not renewed. Failed calls are repeated with
+ * growing waits for up to RETRY_FOR_MAX.
  */
 #include <stdlib.h>
 
 #include "store.h"
 
-#define CALL_LIMIT (1000 * EL_MSEC)
-/* A store that is away for longer than this is not waited for. */
-#define TRY_MOST (60 * EL_SEC)
+#define CALL_TIMEOUT (1000 * EL_MSEC)
+/* The attempt is abandoned when the store is unreachable for longer. */
+#define RETRY_FOR_MAX (60 * EL_SEC)
 
-typedef struct keep
+typedef struct put
 {
   gt_store_t *store;
   el_str_t key;
   el_str_t value;
   uint64_t ttl_ms;
   uint64_t lease;
-  el_time_t began;
-  el_timer_t again;
+  el_time_t started_at;
+  el_timer_t retry_timer;
   unsigned failures;
-} keep_t;
+} leased_put_t;
 
-static void keep_grant (void *arg, el_time_t now);
+static void put_start (void *arg, el_time_t now);
 
 static void
-keep_free (keep_t *keep)
+put_free (leased_put_t *put)
 {
-  el_str_free (&keep->key);
-  el_str_free (&keep->value);
-  free (keep);
+  el_str_free (&put->key);
+  el_str_free (&put->value);
+  free (put);
 }
 
 static void
-keep_over (keep_t *keep, const char *outcome)
+put_finish (leased_put_t *put, const char *outcome)
 {
-  EL_LOG (EL_LOG_INFO, "key_kept", EL_FS ("key", keep->key),
-          EL_FC ("outcome", outcome), EL_FN ("failures", keep->failures));
-  keep_free (keep);
+  EL_LOG (EL_LOG_INFO, "key_kept", EL_FS ("key", put->key),
+          EL_FC ("outcome", outcome), EL_FN ("failures", put->failures));
+  put_free (put);
 }
 
 static void
-keep_failed (keep_t *keep, const net_result_t *result)
+put_retry (leased_put_t *put, const net_result_t *result)
 {
-  gt_store_t *store = keep->store;
+  gt_store_t *store = put->store;
 
-  if (net_clock_now (store->clock) > keep->began + TRY_MOST)
+  if (net_clock_now (store->clock) > put->started_at + RETRY_FOR_MAX)
     {
-      keep_over (keep, "given up");
+      put_finish (put, "given up");
       return;
     }
-  net_clock_set (store->clock, &keep->again,
-                 gt_store_backoff (store, result, keep->failures++));
+  net_clock_set (store->clock, &put->retry_timer,
+                 gt_store_backoff (store, result, put->failures++));
 }
 
 static void
-claim_done (void *arg, const net_result_t *result)
+create_done (void *arg, const net_result_t *result)
 {
-  keep_t *keep = arg;
-  gt_store_state_t state = GT_STORE_BAD;
+  leased_put_t *put = arg;
+  gt_store_state_t state = GT_STORE_INVALID;
 
   if (result->net == NET_OK)
-    state = keep->store->dialect->read_claim (result);
+    state = put->store->dialect->read_create (result);
   if (state == GT_STORE_OK)
-    keep_over (keep, "put");
+    put_finish (put, "put");
   else if (state == GT_STORE_CONFLICT)
-    keep_over (keep, "was there");
+    put_finish (put, "already there");
   else
-    keep_failed (keep, result);
+    put_retry (put, result);
 }
 
 static void
 grant_done (void *arg, const net_result_t *result)
 {
-  keep_t *keep = arg;
-  const gt_store_dialect_t *dialect = keep->store->dialect;
+  leased_put_t *put = arg;
+  const gt_store_dialect_t *dialect = put->store->dialect;
   el_buf_t path = { NULL, 0, 0 };
   el_buf_t body = { NULL, 0, 0 };
 
   if (result->net != NET_OK
-      || dialect->read_grant (result, &keep->lease) != GT_STORE_OK)
+      || dialect->read_grant (result, &put->lease) != GT_STORE_OK)
     {
-      keep_failed (keep, result);
+      put_retry (put, result);
       return;
     }
-  dialect->claim (&path, &body, keep->key, keep->value, keep->lease);
-  gt_store_call (keep->store, "POST", &path, &body, CALL_LIMIT, claim_done,
-                 keep);
+  dialect->create (&path, &body, put->key, put->value, put->lease);
+  gt_store_call (put->store, "POST", &path, &body, CALL_TIMEOUT, create_done,
+                 put);
   el_buf_free (&path);
   el_buf_free (&body);
 }
 
 static void
-keep_grant (void *arg, el_time_t now)
+put_start (void *arg, el_time_t now)
 {
-  keep_t *keep = arg;
+  leased_put_t *put = arg;
   el_buf_t path = { NULL, 0, 0 };
   el_buf_t body = { NULL, 0, 0 };
-  el_time_t rest = gt_store_rest_left (keep->store);
+  el_time_t rest = gt_store_rest_left (put->store);
 
   (void)now;
   if (rest)
     {
-      net_clock_set (keep->store->clock, &keep->again, rest);
+      net_clock_set (put->store->clock, &put->retry_timer, rest);
       return;
     }
-  keep->store->dialect->grant (&path, &body, keep->ttl_ms);
-  gt_store_call (keep->store, "POST", &path, &body, CALL_LIMIT, grant_done,
-                 keep);
+  put->store->dialect->grant (&path, &body, put->ttl_ms);
+  gt_store_call (put->store, "POST", &path, &body, CALL_TIMEOUT, grant_done,
+                 put);
   el_buf_free (&path);
   el_buf_free (&body);
 }
 
-/** Keep VALUE under KEY for TTL_MS, from WAIT on. */
+/** Writes VALUE under KEY, after WAIT, for TTL_MS; a key that exists is left
+    as it is. */
 void
 gt_store_keep (gt_store_t *store, el_str_t key, el_str_t value,
                uint64_t ttl_ms, el_time_t wait)
 {
-  keep_t *keep = el_alloc (sizeof *keep);
-
-  keep->store = store;
-  keep->key = el_str_dup (key);
-  keep->value = el_str_dup (value);
-  keep->ttl_ms = ttl_ms;
-  keep->began = net_clock_now (store->clock);
-  keep->again.cb = keep_grant;
-  keep->again.arg = keep;
-  net_clock_set (store->clock, &keep->again, wait);
+  leased_put_t *put = el_alloc (sizeof *put);
+
+  put->store = store;
+  put->key = el_str_dup (key);
+  put->value = el_str_dup (value);
+  put->ttl_ms = ttl_ms;
+  put->started_at = net_clock_now (store->clock);
+  put->retry_timer.cb = put_start;
+  put->retry_timer.arg = put;
+  net_clock_set (store->clock, &put->retry_timer, wait);
 }
--- a/gate/store_keys.c
+++ b/gate/store_keys.c
@@ -3,45 +3,46 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * The keys of a store as far as they are known: which change of a key is
- * newer, which keys a whole reading shows to be gone, and what another host
- * has yet to be told. Nothing here does I/O.
+ * A copy of the keys of a store. It decides which of two changes of a key is
+ * newer, which keys a full snapshot shows to be removed, and which changes
+ * another host still needs. No function here does I/O.
  *
- * A store that goes on from an older copy lacks what was written since, and
- * has again what was removed since, until its writers have done so anew. The
- * first reading of an epoch is not believed in either until gt_keys_settle; a
- * change that is told after it counts at once.
+ * A store restored from an older copy lacks what was written since that copy,
+ * and has again what was removed since, until the writers have repeated their
+ * changes. Differences of both kinds in the first snapshot of an epoch are
+ * therefore held back until gt_keys_settle; a change reported after the
+ * snapshot takes effect at once.
  */
 #include <stdlib.h>
 
 #include "map.h"
 #include "store_keys.h"
 
-/* A key with the position of its last change. */
-typedef struct keys_key
+/* A key, its state and the position of its last change. */
+typedef struct keys_entry
 {
   char *name;
   size_t len;
   pr_position_t at;
   el_str_t value;
-  int known; /* it was shown before */
+  int known; /* it was passed to the callback before */
   int gone;
-  int held;         /* this was not handed on yet */
-  uint64_t reading; /* number of the reading that showed it last */
+  int held;          /* its state was not passed to the callback yet */
+  uint64_t snapshot; /* number of the last snapshot that contained it */
   UT_hash_handle hh;
-} keys_key_t;
+} keys_entry_t;
 
 struct gt_keys
 {
   gt_keys_options_t options;
-  keys_key_t *keys;
-  uint64_t reading;      /* number of the last or present whole reading */
-  int in_reading;        /* it is under way */
-  pr_position_t read_at; /* changes up to it are known by a whole reading */
+  keys_entry_t *keys;
+  uint64_t snapshot;         /* number of the last or current snapshot */
+  int in_snapshot;           /* a snapshot is being read */
+  pr_position_t snapshot_at; /* the last complete snapshot's position */
   gt_keys_counts_t counts;
 };
 
-/** No key is known. */
+/** Creates an empty copy. */
 gt_keys_t *
 gt_keys_new (const gt_keys_options_t *options)
 {
@@ -51,10 +52,10 @@
   return keys;
 }
 
-static keys_key_t *
+static keys_entry_t *
 key_get (gt_keys_t *keys, el_str_t name)
 {
-  keys_key_t *key;
+  keys_entry_t *key;
 
   HASH_FIND (hh, keys->keys, name.ptr, (unsigned)name.len, key);
   if (key)
@@ -67,7 +68,7 @@
 }
 
 static void
-key_free (gt_keys_t *keys, keys_key_t *key)
+key_free (gt_keys_t *keys, keys_entry_t *key)
 {
   HASH_DEL (keys->keys, key);
   el_str_free (&key->value);
@@ -75,19 +76,19 @@
   free (key);
 }
 
-/** Forget all keys. */
+/** Frees the copy and all its keys. */
 void
 gt_keys_free (gt_keys_t *keys)
 {
-  keys_key_t *key;
-  keys_key_t *next;
+  keys_entry_t *key;
+  keys_entry_t *next;
 
   HASH_ITER (hh, keys->keys, key, next) { key_free (keys, key); }
   free (keys);
 }
 
 static pr_item_t
-key_item (const keys_key_t *key)
+key_item (const keys_entry_t *key)
 {
   return (pr_item_t){ .key = { key->name, key->len },
                       .value = key->value,
@@ -95,18 +96,19 @@
                       .gone = key->gone };
 }
 
-/* Whether ITEM says of KEY what is known. */
+/* Returns whether ITEM has the state that is known of KEY. */
 static int
-key_says (const keys_key_t *key, const pr_item_t *item)
+key_matches (const keys_entry_t *key, const pr_item_t *item)
 {
   return key->gone == (item->gone != 0)
          && (item->gone || el_str_eq (key->value, item->value));
 }
 
-/* Hand ITEM on. One that is refused, as what is known is newer by its own
-   count, leaves the value that other hosts are told. */
+/* Passes ITEM to the callback. If the callback refuses it, because the known
+   value has a newer version of its own, the value that other hosts get stays
+   as it is. */
 static void
-key_set (gt_keys_t *keys, keys_key_t *key, const pr_item_t *item)
+key_apply (gt_keys_t *keys, keys_entry_t *key, const pr_item_t *item)
 {
   int first = !key->known || key->gone;
   el_str_t value = el_str_dup (item->value);
@@ -124,9 +126,10 @@
     el_str_free (&value);
 }
 
-/* ITEM is how KEY stands, to be handed on when it still does. */
+/* Stores ITEM as the state of KEY, to be passed to the callback later unless
+   it changes before. */
 static void
-key_hold (gt_keys_t *keys, keys_key_t *key, const pr_item_t *item)
+key_hold (gt_keys_t *keys, keys_entry_t *key, const pr_item_t *item)
 {
   keys->counts.held += !key->held;
   key->held = 1;
@@ -137,56 +140,57 @@
   key->value = el_str_dup (item->value);
 }
 
-/** ITEM is a change in EPOCH. An epoch that shows a key as it was known says
-    nothing new of it. */
+/** Applies ITEM, a change made in EPOCH. A new epoch in which a key has its
+    known state changes only the key's position. */
 void
 gt_keys_item (gt_keys_t *keys, uint64_t epoch, const pr_item_t *item)
 {
-  keys_key_t *key = key_get (keys, item->key);
+  keys_entry_t *key = key_get (keys, item->key);
   pr_position_t at = { epoch, item->revision };
   int order = pr_position_cmp (at, key->at);
-  int same = key->known && key_says (key, item);
-  int again = epoch != key->at.epoch;
-  int back = key->known && (key->gone || key->held) && !item->gone;
+  int same = key->known && key_matches (key, item);
+  int other_epoch = epoch != key->at.epoch;
+  int reappeared = key->known && (key->gone || key->held) && !item->gone;
 
-  key->reading = keys->reading;
+  key->snapshot = keys->snapshot;
   if (key->known && (order < 0 || (order == 0 && same)))
     {
       keys->counts.older += order < 0;
       return;
     }
   key->at = at;
-  if (keys->in_reading && again && back)
+  if (keys->in_snapshot && other_epoch && reappeared)
     key_hold (keys, key, item);
-  else if (!(same && again))
-    key_set (keys, key, item);
+  else if (!(same && other_epoch))
+    key_apply (keys, key, item);
 }
 
-/** A whole reading begins. */
+/** Begins a snapshot: all keys will be passed to gt_keys_item. */
 void
 gt_keys_begin (gt_keys_t *keys)
 {
-  keys->reading++;
-  keys->in_reading = 1;
+  keys->snapshot++;
+  keys->in_snapshot = 1;
 }
 
-/** The reading is done, and shows all changes up to AT: keys that it did not
-    show are gone, or, where it is the first of an epoch, may be. */
+/** Ends a snapshot that contains all changes up to AT. Keys that were not in
+    it are removed; in the first snapshot of an epoch their removal is held
+    back. */
 void
 gt_keys_end (gt_keys_t *keys, pr_position_t at)
 {
-  keys_key_t *key;
-  keys_key_t *next;
+  keys_entry_t *key;
+  keys_entry_t *next;
 
-  keys->read_at = at;
-  keys->in_reading = 0;
+  keys->snapshot_at = at;
+  keys->in_snapshot = 0;
   HASH_ITER (hh, keys->keys, key, next)
   {
     pr_item_t item = { .key = { key->name, key->len },
                        .revision = at.revision,
                        .gone = 1 };
 
-    if (key->reading == keys->reading || (key->held && key->gone))
+    if (key->snapshot == keys->snapshot || (key->held && key->gone))
       continue;
     if (!key->gone && key->at.epoch < at.epoch)
       {
@@ -194,17 +198,17 @@
         continue;
       }
     if (!key->gone)
-      key_set (keys, key, &item);
+      key_apply (keys, key, &item);
     key_free (keys, key);
   }
 }
 
-/** Hand on what was held back and has not changed since. */
+/** Passes to the callback what was held back and has not changed since. */
 void
 gt_keys_settle (gt_keys_t *keys)
 {
-  keys_key_t *key;
-  keys_key_t *next;
+  keys_entry_t *key;
+  keys_entry_t *next;
 
   HASH_ITER (hh, keys->keys, key, next)
   {
@@ -212,28 +216,28 @@
 
     if (!key->held)
       continue;
-    key_set (keys, key, &item);
+    key_apply (keys, key, &item);
     if (item.gone)
       key_free (keys, key);
   }
 }
 
-/** Append to OUT what changed after a position, or all keys where not every
-    removal since then is known. The strings stay here; the list is freed by
-    the caller. */
+/** Appends to OUT the changes after a position, or all keys if not every
+    removal since then is known. The strings belong to KEYS; the caller frees
+    the list. */
 void
 gt_keys_tell (const gt_keys_t *keys, pr_position_t after, pr_news_t *out)
 {
-  const keys_key_t *key;
+  const keys_entry_t *key;
 
-  out->whole = pr_position_cmp (after, keys->read_at) < 0;
+  out->whole = pr_position_cmp (after, keys->snapshot_at) < 0;
   out->items = el_alloc ((HASH_COUNT (keys->keys) + 1) * sizeof *out->items);
   for (key = keys->keys; key; key = key->hh.next)
     if (out->whole ? !key->gone : pr_position_cmp (key->at, after) > 0)
       out->items[out->n++] = key_item (key);
 }
 
-/** What was taken in and what was older since the last call. */
+/** Returns the counts since the last call and resets them. */
 gt_keys_counts_t
 gt_keys_counts_take (gt_keys_t *keys)
 {
--- a/gate/store_keys.h
+++ b/gate/store_keys.h
@@ -3,7 +3,8 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * The keys of a store as far as one host knows them.
+ * One host's copy of the keys of a store, with the position of the last change
+ * of each.
  */
 #ifndef ELMARCH_STORE_KEYS_H
 #define ELMARCH_STORE_KEYS_H
@@ -14,18 +15,17 @@
 
 typedef struct gt_keys_options
 {
-  /** A key is new or changed, or is gone. Gives 0 where it is refused as older
-      than what is known, by a count of its own. */
+  /** Called for a key that is new, changed or removed. Returns 0 if the value
+      carries a version of its own that is older than the known one. */
   int (*item) (void *arg, const pr_item_t *item);
   void *arg;
 } gt_keys_options_t;
 
 typedef struct gt_keys_counts
 {
-  size_t taken; /**< changes handed on */
-  size_t older; /**< changes below what was known */
-  size_t held;  /**< changes of a new epoch held back until
-                     gt_keys_settle */
+  size_t taken; /**< changes passed to the callback */
+  size_t older; /**< changes older than the known one, ignored */
+  size_t held;  /**< changes of a new epoch that wait for gt_keys_settle */
 } gt_keys_counts_t;
 
 gt_keys_t *gt_keys_new (const gt_keys_options_t *options);
