--- a/gate/kv_http.c
+++ b/gate/kv_http.c
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * The dialect of the platform's key-value service and host list: JSON over
- * HTTP. Only this file changes when the platform speaks another.
+ * The API of the platform's key-value service and host list: JSON over HTTP.
+ * Another API of the platform would need changes in this file only.
  */
 #include <inttypes.h>
 
@@ -92,7 +92,7 @@
                      result->body.len, 0, NULL);
 }
 
-/* A range holds all items, a watch those that changed. */
+/* The items are all of a range or the changed ones of a watch. */
 static int
 kv_read_list (const net_result_t *result, gt_kv_list_t *out)
 {
--- a/gate/planner.c
+++ b/gate/planner.c
@@ -3,42 +3,44 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * The planner looks after the engines at a steady pace: those that hold
- * nothing are ordered to hold what their hall needs most, and spare copies are
- * moved when a hall goes on lacking layers. An engine takes an order only as
- * the one that it was meant to be, the first or the next after those that it
- * reported, so that one which is carried out late or twice changes nothing.
+ * The planner checks the engines at a fixed interval. It orders engines that
+ * hold no layers to load those that their hall needs most, and moves spare
+ * copies when a hall keeps lacking layers. An order carries the number of
+ * orders that the engine has accepted before, and the engine accepts it only
+ * if that number is right; an order that arrives late or twice thus has no
+ * effect.
  */
 #include <string.h>
 
 #include "planner.h"
 
-#define LOOK_EVERY (200 * EL_MSEC)
+#define TICK_INTERVAL (200 * EL_MSEC)
 #define ORDERS_MAX 256
-/* An order whose outcome does not show in the engine's entry is given again
-   after this; entries are some seconds old at the most. */
-#define ORDER_AGAIN (4 * EL_SEC)
-/* Looks in a row that must find a hole before spare copies are moved: an
-   engine that is only slow to answer is back by then. */
-#define HOLE_LOOKS 3
-/* An engine that refuses connections so soon after an order has ended under
-   it; it is asked once, a look after the order. One that ends later, while it
-   loads, has a reason of its own. */
-#define FALL_WITHIN (1 * EL_SEC)
-/* Before the first plan: the entries of all engines should be there. Counted
-   in what the store tells, not in time alone: of 227 engines that were being
-   listed, 51 were laid out for the whole model because nothing had been heard
-   for 700 ms. */
-#define SETTLE (300 * EL_MSEC)
+/* An order whose result is not in the engine's entry by then is sent again;
+   entries are a few seconds old at most. */
+#define ORDER_RETRY (4 * EL_SEC)
+/* Ticks in a row that must find a hall without some layer before spare copies
+   are moved: an engine that is only slow to answer is back by then. */
+#define GAP_TICKS 3
+/* An engine that refuses connections this soon after an order is taken to have
+   crashed because of it. It is probed once, a tick after the order. A crash
+   later on, while it loads, has another cause. */
+#define CRASH_WINDOW (1 * EL_SEC)
+/* How long the number of endpoints must be stable before layers are planned,
+   so that the entries of all engines are there. Only time up to which the list
+   is known to be current counts: with plain time, while 227 engines were being
+   listed, a gap of 700 ms without news made the planner place the whole model
+   on 51 of them. */
+#define STABLE_FOR (300 * EL_MSEC)
 
 typedef struct planner_order
 {
   rt_order_t order;
   gt_planner_t *planner;
-  el_time_t given;
-  int out;  /* the answer is awaited */
-  int over; /* to be freed once the answer came */
-  int fell; /* its engine has ended under it */
+  el_time_t sent_at;
+  int in_flight; /* the answer is awaited */
+  int finished;  /* to be freed when the answer is there */
+  int crashed;   /* its engine crashed right after it */
   struct planner_order *prev;
   struct planner_order *next;
 } planner_order_t;
@@ -46,12 +48,12 @@
 struct gt_planner
 {
   gt_planner_options_t options;
-  el_timer_t look;
+  el_timer_t timer;
   planner_order_t *orders;
   rt_falls_t falls;
-  unsigned holes;    /* looks in a row that found a hall without a layer */
-  size_t seen;       /* endpoints at the last look */
-  el_time_t changed; /* when that number changed */
+  unsigned gap_ticks;    /* ticks in a row that found a hall without a layer */
+  size_t endpoint_count; /* at the last tick */
+  el_time_t count_changed_at; /* when endpoint_count changed */
   int stopped;
 };
 
@@ -72,30 +74,30 @@
                                         [GT_ORDER_UNKNOWN] = "unknown" };
   planner_order_t *order = arg;
 
-  order->out = 0;
+  order->in_flight = 0;
   gt_relays_asked (order->planner->options.relays, order->order.target, asks,
                    EL_STR ("order"));
   EL_LOG (EL_LOG_INFO, "order_answered",
           EL_FS ("engine", order->order.target->facts.id),
           EL_FN ("first", order->order.first), EL_FN ("end", order->order.end),
           EL_FC ("state", states[state]), EL_FN ("status", status));
-  if (state == GT_ORDER_UNKNOWN && !order->over)
+  if (state == GT_ORDER_UNKNOWN && !order->finished)
     gt_relays_ask (order->planner->options.relays, order->order.target,
-                   order->given);
-  if (order->over)
+                   order->sent_at);
+  if (order->finished)
     order_free (order);
 }
 
 static int
-order_shows (const planner_order_t *order)
+order_applied (const planner_order_t *order)
 {
   const rt_facts_t *facts = &order->order.target->facts;
 
   return facts->first == order->order.first && facts->end == order->order.end;
 }
 
-/* Forget orders that show in the engine's entry, whose engine is gone, or
-   that nothing came of. */
+/* Drops orders whose result is in the engine's entry, whose engine is gone, or
+   that had no result within ORDER_RETRY. */
 static void
 orders_prune (gt_planner_t *planner, el_time_t now)
 {
@@ -106,21 +108,22 @@
   {
     const rt_target_t *target = order->order.target;
 
-    if (!target->access.gone && now < order->given + ORDER_AGAIN
-        && !order_shows (order))
+    if (!target->access.gone && now < order->sent_at + ORDER_RETRY
+        && !order_applied (order))
       continue;
-    if (!order->over && order_shows (order))
+    if (!order->finished && order_applied (order))
       gt_relays_order_done (planner->options.relays, &planner->falls,
                             &order->order);
-    order->over = 1;
-    if (!order->out)
+    order->finished = 1;
+    if (!order->in_flight)
       order_free (order);
   }
 }
 
-/* Look whether engines live that were given an order just now. */
+/* Probes engines that were sent an order within CRASH_WINDOW, and reports
+   those that crashed. */
 static void
-orders_ask (gt_planner_t *planner, el_time_t now)
+orders_probe (gt_planner_t *planner, el_time_t now)
 {
   gt_relays_t *relays = planner->options.relays;
   planner_order_t *order;
@@ -129,17 +132,17 @@
   {
     rt_target_t *target = order->order.target;
 
-    if (order->fell || order->over)
+    if (order->crashed || order->finished)
       continue;
-    if (target->refused_at >= order->given
-        && target->refused_at < order->given + FALL_WITHIN)
+    if (target->refused_at >= order->sent_at
+        && target->refused_at < order->sent_at + CRASH_WINDOW)
       {
-        order->fell = 1;
+        order->crashed = 1;
         gt_relays_order_ended (relays, &planner->falls, &order->order);
       }
-    else if (now > order->given && now < order->given + FALL_WITHIN
+    else if (now > order->sent_at && now < order->sent_at + CRASH_WINDOW
              && !target->access.gone)
-      gt_relays_ask (relays, target, order->given);
+      gt_relays_ask (relays, target, order->sent_at);
   }
 }
 
@@ -150,34 +153,35 @@
   size_t n = 0;
 
   DL_FOREACH (planner->orders, order)
-  if (!order->over && n < ORDERS_MAX)
+  if (!order->finished && n < ORDERS_MAX)
     out[n++] = order->order;
   return n;
 }
 
 static void
-order_give (gt_planner_t *planner, const rt_order_t *order, el_time_t now)
+order_dispatch (gt_planner_t *planner, const rt_order_t *order, el_time_t now)
 {
-  planner_order_t *given;
+  planner_order_t *sent;
 
-  /* One that rests is neither lost nor in need: it waits for its order. */
+  /* An engine that asked for no requests for a while is not lost: it gets its
+     order when that time is over. */
   if (rt_access_rest_left (&order->target->access, now)
       || gt_relays_order_blocked (planner->options.relays, order))
     return;
-  given = el_alloc (sizeof *given);
-  given->order = *order;
-  given->planner = planner;
-  given->given = now;
-  given->out = 1;
+  sent = el_alloc (sizeof *sent);
+  sent->order = *order;
+  sent->planner = planner;
+  sent->sent_at = now;
+  sent->in_flight = 1;
   rt_target_ref (order->target);
-  DL_APPEND (planner->orders, given);
+  DL_APPEND (planner->orders, sent);
   EL_LOG (EL_LOG_INFO, "order_given",
           EL_FS ("engine", order->target->facts.id),
           EL_FS ("card", order->target->facts.card),
           EL_FS ("hall", order->target->facts.hall),
           EL_FN ("first", order->first), EL_FN ("end", order->end));
-  planner->options.place (planner->options.client, &given->order, order_done,
-                          given);
+  planner->options.place (planner->options.client, &sent->order, order_done,
+                          sent);
 }
 
 static void
@@ -193,33 +197,33 @@
   n = rt_layout_next (planner->options.fleet, service, pending, npending,
                       orders, ORDERS_MAX - npending);
   for (i = 0; i < n; i++)
-    order_give (planner, &orders[i], now);
+    order_dispatch (planner, &orders[i], now);
   if (n)
     return;
   n = rt_layout_repair (planner->options.fleet, service, pending, npending,
                         orders, ORDERS_MAX - npending);
-  planner->holes = n ? planner->holes + 1 : 0;
-  if (planner->holes < HOLE_LOOKS)
+  planner->gap_ticks = n ? planner->gap_ticks + 1 : 0;
+  if (planner->gap_ticks < GAP_TICKS)
     return;
   for (i = 0; i < n; i++)
-    order_give (planner, &orders[i], now);
+    order_dispatch (planner, &orders[i], now);
 }
 
-/* Whether the list of endpoints is known to have stood still for a moment. */
+/* Returns whether the number of endpoints has been stable for STABLE_FOR. */
 static int
-planner_settled (gt_planner_t *planner, el_time_t now)
+planner_list_stable (gt_planner_t *planner, el_time_t now)
 {
   const gt_planner_options_t *o = &planner->options;
   size_t n = rt_fleet_count (o->fleet);
 
-  if (n != planner->seen)
-    planner->changed = now;
-  planner->seen = n;
-  return n && o->known (o->arg) >= planner->changed + SETTLE;
+  if (n != planner->endpoint_count)
+    planner->count_changed_at = now;
+  planner->endpoint_count = n;
+  return n && o->known (o->arg) >= planner->count_changed_at + STABLE_FOR;
 }
 
 static void
-planner_look (void *arg, el_time_t now)
+planner_tick (void *arg, el_time_t now)
 {
   gt_planner_t *planner = arg;
   const gt_planner_options_t *o = &planner->options;
@@ -228,15 +232,15 @@
 
   if (planner->stopped)
     return;
-  net_clock_set (o->clock, &planner->look, LOOK_EVERY);
-  /* Who has the duty keeps it: it need not pass on as hosts come. */
+  net_clock_set (o->clock, &planner->timer, TICK_INTERVAL);
+  /* The holder keeps the duty, so that it does not move when hosts join. */
   gt_duty_want (o->duty,
                 rules
                     && (gt_duty_held (o->duty, now) || o->preferred (o->arg)));
   if (!rules || !gt_duty_held (o->duty, now))
     return;
-  orders_ask (planner, now);
-  if (!planner_settled (planner, now))
+  orders_probe (planner, now);
+  if (!planner_list_stable (planner, now))
     return;
   orders_prune (planner, now);
   for (i = 0; i < rules->nservices; i++)
@@ -244,20 +248,20 @@
       plan_service (planner, &rules->services[i], now);
 }
 
-/** A planner; it looks after the engines while this host has the duty. */
+/** Creates a planner, which is active while this host has the duty. */
 gt_planner_t *
 gt_planner_new (const gt_planner_options_t *options)
 {
   gt_planner_t *planner = el_alloc (sizeof *planner);
 
   planner->options = *options;
-  planner->look.cb = planner_look;
-  planner->look.arg = planner;
-  net_clock_set (options->clock, &planner->look, 0);
+  planner->timer.cb = planner_tick;
+  planner->timer.arg = planner;
+  net_clock_set (options->clock, &planner->timer, 0);
   return planner;
 }
 
-/** Give no further orders. */
+/** Gives the duty up and sends no further orders. */
 void
 gt_planner_stop (gt_planner_t *planner)
 {
--- a/gate/platform.c
+++ b/gate/platform.c
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * The platform's client: keeps the configuration from a range and a watch,
- * follows the host list, and settles changes whose answer was lost.
+ * Client of the platform: mirrors the configuration by range and watch, polls
+ * the host list, and finds the outcome of changes whose answer was lost.
  */
 #include <stdio.h>
 #include <string.h>
@@ -14,16 +14,16 @@
 #define WATCH_WAIT_MS 20000
 #define WATCH_TIMEOUT (25 * EL_SEC)
 #define CALL_TIMEOUT (2 * EL_SEC)
-#define HOSTS_EVERY (500 * EL_MSEC)
-#define CHOSEN_LOOK_EVERY (500 * EL_MSEC)
-#define WATCHERS_IN_HALL 2
-#define PEERS_FIRST (2 * EL_SEC)
+#define HOSTS_INTERVAL (500 * EL_MSEC)
+#define CHOSEN_CHECK_INTERVAL (500 * EL_MSEC)
+#define WATCHERS_PER_HALL 2
+#define PEERS_FIRST_WAIT (2 * EL_SEC)
 #define BACKOFF_FIRST (100 * EL_MSEC)
 #define BACKOFF_MAX (10 * EL_SEC)
-#define PUT_TRIES 4
-#define PUT_WAIT (150 * EL_MSEC)
+#define PUT_ATTEMPTS_MAX 4
+#define PUT_RETRY_BASE (150 * EL_MSEC)
 
-/* A change under way. */
+/* A change whose outcome is not known yet. */
 typedef struct put_op
 {
   gt_platform_t *platform;
@@ -32,8 +32,8 @@
   gt_change_t change; /* strings and spec are owned */
   gt_put_cb done;
   void *arg;
-  int tries;
-  el_verdict_t verdict; /* of the tries so far */
+  int attempts;
+  el_verdict_t verdict; /* of the attempts so far */
   net_exchange_t *exchange;
   el_timer_t retry;
 } put_op_t;
@@ -41,14 +41,14 @@
 struct gt_platform
 {
   gt_gate_t *gate;
-  net_exchange_t *watch; /* the range or the watch that is out */
+  net_exchange_t *watch; /* the pending range or watch */
   net_exchange_t *hosts;
   el_timer_t watch_timer;
   el_timer_t hosts_timer;
   unsigned failures;
-  int behind; /* the watch can't go on: read all */
-  int whole;  /* the call that is out reads all */
-  el_time_t began;
+  int must_reread; /* the changes asked for are no longer kept */
+  int full_read;   /* the pending call is a range */
+  el_time_t started_at;
   put_op_t *puts;
 };
 
@@ -75,8 +75,8 @@
   return net_client_send (gate->client, &send);
 }
 
-/* A wait that doubles with each failure, half of it at random, so that hosts
-   do not come back to the platform together. */
+/* Returns a wait that doubles with each failure. Half of it is random, so that
+   hosts do not come back to the platform at the same time. */
 static el_time_t
 platform_backoff (gt_platform_t *platform)
 {
@@ -118,32 +118,34 @@
     wait = platform_backoff (platform);
   else if (gt_kv_http.read_list (result, &list))
     {
-      list_apply (platform, &list, platform->whole);
-      platform->behind = 0;
+      list_apply (platform, &list, platform->full_read);
+      platform->must_reread = 0;
       platform->failures = 0;
     }
   else
     {
       if (list.compacted)
-        platform->behind = 1;
+        platform->must_reread = 1;
       wait = platform_backoff (platform);
     }
   json_decref (list.json);
   net_clock_set (&platform->gate->clock, &platform->watch_timer, wait);
 }
 
-/* A few hosts of each hall ask the platform; the others hear it from them, so
-   that its calls grow with the halls. A host without a configuration asks for
-   itself once others had time to tell it. */
+/* Returns whether this host asks the platform. A few hosts of each hall do,
+   and the others get the configuration from them, so that the number of calls
+   grows with the number of halls only. A host that has no configuration asks
+   too, once the other hosts had time to send it. */
 static int
-platform_asks (gt_platform_t *platform)
+platform_polls (gt_platform_t *platform)
 {
   gt_gate_t *gate = platform->gate;
 
-  if (pr_peers_chosen (gate->peers, WATCHERS_IN_HALL))
+  if (pr_peers_chosen (gate->peers, WATCHERS_PER_HALL))
     return 1;
   return !pr_config_ready (gate->sync)
-         && net_clock_now (&gate->clock) > platform->began + PEERS_FIRST;
+         && net_clock_now (&gate->clock)
+                > platform->started_at + PEERS_FIRST_WAIT;
 }
 
 static void
@@ -153,27 +155,28 @@
   el_buf_t path = { NULL, 0, 0 };
 
   (void)now;
-  if (!platform_asks (platform))
+  if (!platform_polls (platform))
     {
       net_clock_set (&platform->gate->clock, &platform->watch_timer,
-                     CHOSEN_LOOK_EVERY);
+                     CHOSEN_CHECK_INTERVAL);
       return;
     }
-  platform->whole
-      = platform->behind || !pr_config_ready (platform->gate->sync);
-  if (platform->whole)
+  platform->full_read
+      = platform->must_reread || !pr_config_ready (platform->gate->sync);
+  if (platform->full_read)
     gt_kv_http.range (&path);
   else
     gt_kv_http.watch (&path, co_config_revision (platform->gate->config),
                       WATCH_WAIT_MS);
-  platform->watch = platform_send (
-      platform, "GET", &path, NULL,
-      platform->whole ? CALL_TIMEOUT : WATCH_TIMEOUT, watch_done, platform);
+  platform->watch
+      = platform_send (platform, "GET", &path, NULL,
+                       platform->full_read ? CALL_TIMEOUT : WATCH_TIMEOUT,
+                       watch_done, platform);
   el_buf_free (&path);
 }
 
-/* The list lags, and says the same again each time: while it names an endpoint
-   as leaving, the sign is given here and to the other hosts anew. */
+/* The list lags and repeats itself: as long as it names an endpoint as
+   leaving, that is reported again, here and to the other hosts. */
 static void
 hosts_apply (gt_platform_t *platform, json_t *hosts)
 {
@@ -198,7 +201,7 @@
 hosts_done (void *arg, const net_result_t *result)
 {
   gt_platform_t *platform = arg;
-  el_time_t wait = HOSTS_EVERY;
+  el_time_t wait = HOSTS_INTERVAL;
   json_t *hosts = NULL;
 
   platform->hosts = NULL;
@@ -217,10 +220,10 @@
   el_buf_t path = { NULL, 0, 0 };
 
   (void)now;
-  if (!pr_peers_chosen (platform->gate->peers, WATCHERS_IN_HALL))
+  if (!pr_peers_chosen (platform->gate->peers, WATCHERS_PER_HALL))
     {
       net_clock_set (&platform->gate->clock, &platform->hosts_timer,
-                     HOSTS_EVERY);
+                     HOSTS_INTERVAL);
       return;
     }
   gt_kv_http.hosts (&path);
@@ -235,7 +238,7 @@
   gt_platform_t *platform = el_alloc (sizeof *platform);
 
   platform->gate = gate;
-  platform->began = net_clock_now (&gate->clock);
+  platform->started_at = net_clock_now (&gate->clock);
   platform->watch_timer.cb = watch_begin;
   platform->watch_timer.arg = platform;
   platform->hosts_timer.cb = hosts_begin;
@@ -258,8 +261,9 @@
   free (op);
 }
 
-/* Put a change of this host's own in force before the watch brings it. What
-   others changed before is not yet seen, so the revision stays. */
+/* Applies this host's own change before the watch reports it. Earlier changes
+   by others may not have arrived, so the revision of the configuration does
+   not advance. */
 static void
 put_apply (put_op_t *op, uint64_t revision)
 {
@@ -280,10 +284,10 @@
   put_free (op);
 }
 
-/* On a conflict the change may be our own, from a try whose answer was lost:
-   its id tells. A removal leaves no value to carry the id: after a lost
-   answer, a key that is gone was removed, by us or by one who wanted the
-   same. The watch brings the revision. */
+/* A conflict may come from this change itself, from an attempt whose answer
+   was lost; the change id shows it. A removal leaves no value to carry the id:
+   a key that is gone after a lost answer was removed, by this host or by
+   another that wanted the same. The watch reports the revision. */
 static void
 put_conflict (put_op_t *op, const gt_kv_put_t *answer)
 {
@@ -317,18 +321,18 @@
                        ? EL_NOT_RUN
                        : EL_MAY_HAVE_RUN);
   op->platform->gate->counts.platform_failures++;
-  if (++op->tries >= PUT_TRIES)
+  if (++op->attempts >= PUT_ATTEMPTS_MAX)
     {
       put_end (op, op->verdict == EL_NOT_RUN ? GT_PUT_NOT_RUN : GT_PUT_UNKNOWN,
                0);
       return;
     }
   net_clock_set (&op->platform->gate->clock, &op->retry,
-                 PUT_WAIT << op->tries);
+                 PUT_RETRY_BASE << op->attempts);
 }
 
-/* Trying again is safe: the platform takes the change only in place of the
-   revision that it names. */
+/* Repeating the call is safe: the platform makes the change only if the
+   current revision is the expected one. */
 static void
 put_send (void *arg, el_time_t now)
 {
@@ -348,7 +352,7 @@
   el_buf_free (&body);
 }
 
-/** Have the platform take a change; DONE is called once with the outcome. */
+/** Sends a change to the platform; DONE is called once with the outcome. */
 void
 gt_platform_put (gt_platform_t *platform, const gt_change_t *change,
                  gt_put_cb done, void *arg)
@@ -369,7 +373,7 @@
   put_send (op, 0);
 }
 
-/** Send the platform nothing more. */
+/** Cancels all calls. Changes without an answer end as unknown. */
 void
 gt_platform_stop (gt_platform_t *platform)
 {
--- a/gate/store.c
+++ b/gate/store.c
@@ -154,17 +154,18 @@
   el_time_t now = net_clock_now (store->clock);
   el_time_t asked
       = result->net == NET_OK ? store->dialect->read_retry_after (result) : 0;
-  el_time_t rest = asked < RETRY_AFTER_MAX ? asked : RETRY_AFTER_MAX;
+  el_time_t retry_after = asked < RETRY_AFTER_MAX ? asked : RETRY_AFTER_MAX;
 
-  if (!rest)
+  if (!retry_after)
     return;
-  rest += el_random (&store->random) % (rest / RETRY_AFTER_JITTER_PART + 1);
-  if (now + rest <= store->retry_at)
+  retry_after += el_random (&store->random)
+                 % (retry_after / RETRY_AFTER_JITTER_PART + 1);
+  if (now + retry_after <= store->retry_at)
     return;
-  store->retry_at = now + rest;
+  store->retry_at = now + retry_after;
   store->counts.rests++;
   EL_LOG (EL_LOG_INFO, "store_rests", EL_FN ("status", result->status),
-          EL_FN ("asked_us", asked), EL_FN ("left_us", rest));
+          EL_FN ("asked_us", asked), EL_FN ("left_us", retry_after));
 }
 
 /** Returns the time left until the store accepts calls again. */
--- a/gate/store_duty.c
+++ b/gate/store_duty.c
@@ -271,10 +271,10 @@
 static el_time_t
 duty_delay (const gt_duty_t *duty, el_time_t now)
 {
-  el_time_t rest = gt_store_rest_left (duty->options.store);
+  el_time_t retry_after = gt_store_rest_left (duty->options.store);
   el_time_t epoch = now < duty->not_before ? duty->not_before - now : 0;
 
-  return rest > epoch ? rest : epoch;
+  return retry_after > epoch ? retry_after : epoch;
 }
 
 static void
--- a/gate/store_follow.c
+++ b/gate/store_follow.c
@@ -410,14 +410,14 @@
 follow_run (void *arg, el_time_t now)
 {
   gt_follow_t *follow = arg;
-  el_time_t rest = gt_store_rest_left (follow->options.store);
+  el_time_t retry_after = gt_store_rest_left (follow->options.store);
 
   (void)now;
   if (follow_ask_peer (follow))
     return;
-  if (rest)
+  if (retry_after)
     {
-      follow_schedule (follow, rest);
+      follow_schedule (follow, retry_after);
       return;
     }
   follow->sent_at = net_clock_now (follow->options.store->clock);
--- a/gate/store_keep.c
+++ b/gate/store_keep.c
@@ -102,12 +102,12 @@
   leased_put_t *put = arg;
   el_buf_t path = { NULL, 0, 0 };
   el_buf_t body = { NULL, 0, 0 };
-  el_time_t rest = gt_store_rest_left (put->store);
+  el_time_t retry_after = gt_store_rest_left (put->store);
 
   (void)now;
-  if (rest)
+  if (retry_after)
     {
-      net_clock_set (put->store->clock, &put->retry_timer, rest);
+      net_clock_set (put->store->clock, &put->retry_timer, retry_after);
       return;
     }
   put->store->dialect->grant (&path, &body, put->ttl_ms);
