--- a/net/rpc.c
+++ b/net/rpc.c
@@ -19,7 +19,7 @@
 #include "rpc_wire.h"
 
 #define RECORD_MAX (PEER_BODY_MAX + 4096)
-#define READ_CHUNK 65536
+#define DEFAULT_PREFILL_CHUNK 65536
 #define BACKLOG 256
 #define ADDRESS_MAX 64
 
@@ -51,7 +51,7 @@
   char address[ADDRESS_MAX]; /* key of a client's */
   el_buf_t in;
   el_buf_t waiting; /* written once the connection is made */
-  char chunk[READ_CHUNK];
+  char chunk[DEFAULT_PREFILL_CHUNK];
   rpc_conn_t *prev;
   rpc_conn_t *next;
   UT_hash_handle hh;
@@ -71,7 +71,7 @@
   net_rpc_options_t options;
   uv_tcp_t listener;
   uv_udp_t datagrams;
-  char datagram[READ_CHUNK];
+  char datagram[DEFAULT_PREFILL_CHUNK];
   rpc_conn_t *clients; /* by address */
   rpc_conn_t *conns;   /* all */
   rpc_call_t *calls;
