--- a/gate/planner.c
+++ b/gate/planner.c
@@ -163,8 +163,8 @@
 {
   planner_order_t *sent;
 
-  /* An engine that asked for no requests for a while is not lost: it gets its
-     order when that time is over. */
+  /* An engine that asked for no requests for a while is not lost and needs no
+     replacement: it gets its order when that time is over. */
   if (rt_access_rest_left (&order->target->access, now)
       || gt_relays_order_blocked (planner->options.relays, order))
     return;
--- a/gate/planner.h
+++ b/gate/planner.h
@@ -30,7 +30,7 @@
   net_clock_t *clock;
   net_client_t *client;
   rt_fleet_t *fleet;
-  /** Sends an engine the order to load a range of layers. */
+  /** Sends an engine the order to hold a range of layers. */
   void (*place) (net_client_t *client, const rt_order_t *order,
                  gt_order_cb done, void *arg);
   /** Whether this host should be the planner: one of the live hosts, the same
--- a/gate/platform.c
+++ b/gate/platform.c
@@ -46,7 +46,8 @@
   el_timer_t watch_timer;
   el_timer_t hosts_timer;
   unsigned failures;
-  int must_reread; /* the changes asked for are no longer kept */
+  int must_reread; /* the watch cannot continue: the changes asked for
+                      are no longer kept */
   int full_read;   /* the pending call is a range */
   el_time_t started_at;
   put_op_t *puts;
--- a/gate/store.h
+++ b/gate/store.h
@@ -58,8 +58,7 @@
   void (*renew) (el_buf_t *path, uint64_t lease);
   gt_store_state_t (*read_renew) (const net_result_t *result);
   void (*revoke) (el_buf_t *path, uint64_t lease);
-  /** Writes the request that creates KEY under a lease if it does not exist.
-   */
+  /** Writes a request that creates KEY with a lease if it does not exist. */
   void (*create) (el_buf_t *path, el_buf_t *body, el_str_t key, el_str_t value,
                   uint64_t lease);
   gt_store_state_t (*read_create) (const net_result_t *result);
