--- a/gate/store_follow.c
+++ b/gate/store_follow.c
@@ -12,7 +12,8 @@
 #include "store.h"
 #include "store_keys.h"
 
-/* Limit of a call, beyond the time for which a watch may wait. */
+/* Limit of a call, beyond the time for which a watch may wait: a call that
+   takes longer gets no answer any more. */
 #define CALL_TIMEOUT (1500 * EL_MSEC)
 /* While the store does not answer, calls ask for an immediate answer and have
    a shorter limit: a call sent just before the store returns must not delay
