--- a/Makefile
+++ b/Makefile
@@ -33,7 +33,7 @@
        gate/relay.c gate/relay_attempt.c gate/relay_head.c gate/relay_response.c \
        gate/relay_events.c gate/relay_blame.c gate/relay_block.c gate/relay_suspect.c gate/relay_fact.c gate/relay_rumor.c gate/relay_backoff.c gate/relay_epoch.c gate/relay_log.c gate/relay_wait.c gate/relay_watch.c gate/relay_check.c gate/relay_poll.c \
        gate/relay_metrics.c \
-       gate/store.c gate/store_keys.c gate/store_follow.c gate/store_duty.c gate/store_keep.c gate/planner.c
+       gate/store.c gate/store_keys.c gate/store_follow.c gate/store_duty.c gate/store_put.c gate/planner.c
 PLATFORM = platform/pf_store.c platform/pf_rules.c platform/pf_endpoints.c \
            platform/pf_engine.c platform/pf_entry.c platform/pf_asks.c platform/pf_blocked.c platform/pf_json.c
 STANDIN = standin/main.c standin/platform.c standin/engine.c standin/service.c \
--- a/bench/bench_core.c
+++ b/bench/bench_core.c
@@ -255,15 +255,15 @@
   for (epoch = 1; epoch <= 2; epoch++)
     {
       began = bench_ns ();
-      gt_keys_begin (keys);
+      gt_keys_begin_snapshot (keys);
       for (i = 0; i < n; i++)
         {
           snprintf (name, sizeof name, "servers/i-%010u", i);
           item.key = el_str (name);
           item.revision = i + 1;
-          gt_keys_item (keys, epoch, &item);
+          gt_keys_apply (keys, epoch, &item);
         }
-      gt_keys_end (keys, (pr_store_position_t){ epoch, n });
+      gt_keys_end_snapshot (keys, (pr_store_position_t){ epoch, n });
       if (epoch == 1)
         bytes = bench_heap () - heap;
     }
--- a/elmarchd/frontend.c
+++ b/elmarchd/frontend.c
@@ -51,7 +51,7 @@
   gt_duty_t *duty;
   gt_planner_t *planner;
   gt_follow_t *follow;
-  gt_store_part_t part;
+  gt_store_listener_t part;
   int endpoints_known;
   int planner_held; /* some host is known to hold the planner lease */
   uint64_t gauge_endpoints;
@@ -382,16 +382,17 @@
 static void
 frontend_follow_store (frontend_t *frontend)
 {
-  gt_follow_options_t all = { .store = &frontend->store,
-                              .prefix = PF_ALL_PREFIX,
-                              .wait_ms = frontend_watch_wait_ms (frontend),
-                              .gather = STORE_BATCH_DELAY,
-                              .news_old = frontend_update_max_age (frontend),
-                              .item = frontend_item_received,
-                              .ask = frontend_request_update,
-                              .blame = frontend_avoid_source,
-                              .known = frontend_store_read,
-                              .arg = frontend };
+  gt_follow_options_t all
+      = { .store = &frontend->store,
+          .prefix = PF_ALL_PREFIX,
+          .wait_ms = frontend_watch_wait_ms (frontend),
+          .batch_delay = STORE_BATCH_DELAY,
+          .news_max_age = frontend_update_max_age (frontend),
+          .item = frontend_item_received,
+          .ask_peer = frontend_request_update,
+          .peer_failed = frontend_avoid_source,
+          .known = frontend_store_read,
+          .arg = frontend };
 
   frontend->part.epoch = frontend_epoch_began;
   frontend->part.arg = frontend;
@@ -422,7 +423,7 @@
                                    .clock = gt_gate_clock (frontend->gate),
                                    .client = gt_gate_client (frontend->gate),
                                    .fleet = frontend->fleet,
-                                   .place = pf_place,
+                                   .place = pf_send_order,
                                    .preferred = frontend_is_preferred,
                                    .known = frontend_known_as_of,
                                    .arg = frontend };
@@ -527,9 +528,10 @@
   if (!gt_gate_is_hall_leader (frontend->gate))
     return;
   pf_blocked_key (digest, holds, &key);
-  gt_store_keep (&frontend->store, el_buf_str (&key), frontend->options.name,
-                 hold < PF_LEASE_MOST_MS ? hold : PF_LEASE_MOST_MS,
-                 el_random (&frontend->store.random) % STORE_WRITE_JITTER);
+  gt_store_put_leased (
+      &frontend->store, el_buf_str (&key), frontend->options.name,
+      hold < PF_LEASE_TTL_MAX_MS ? hold : PF_LEASE_TTL_MAX_MS,
+      el_random (&frontend->store.random) % STORE_WRITE_JITTER);
   el_buf_free (&key);
 }
 
@@ -566,7 +568,7 @@
 static void
 frontend_metrics (frontend_t *frontend)
 {
-  static const char *const reads[GT_STORE_READS] = {
+  static const char *const reads[GT_STORE_READ_CAUSES] = {
     [GT_STORE_READ_START] = "elmarch_store_reads_start_total",
     [GT_STORE_READ_HISTORY] = "elmarch_store_reads_history_total",
     [GT_STORE_READ_EPOCH] = "elmarch_store_reads_epoch_total",
@@ -602,7 +604,7 @@
   el_metrics_add (metrics, "elmarch_store_former_total",
                   "answers of the store that were given in a former epoch",
                   EL_COUNTER, &frontend->store.counts.former);
-  for (i = 0; i < GT_STORE_READS; i++)
+  for (i = 0; i < GT_STORE_READ_CAUSES; i++)
     el_metrics_add (metrics, reads[i], "times that all keys were read",
                     EL_COUNTER, &frontend->store.counts.reads[i]);
 }
--- a/gate/session_peer.c
+++ b/gate/session_peer.c
@@ -93,7 +93,7 @@
   const gt_gate_t *gate = arg;
 
   return gate->store_follower
-         && gt_follow_tell (gate->store_follower, after, out);
+         && gt_follow_changes_since (gate->store_follower, after, out);
 }
 
 static pr_store_position_t
@@ -111,7 +111,7 @@
   const gt_gate_t *gate = arg;
 
   if (gate->store_follower)
-    gt_follow_epoch (gate->store_follower, epoch);
+    gt_follow_observe_epoch (gate->store_follower, epoch);
 }
 
 static el_time_t
@@ -119,7 +119,7 @@
 {
   const gt_gate_t *gate = arg;
 
-  return gate->store_follower ? gt_follow_known (gate->store_follower) : 0;
+  return gate->store_follower ? gt_follow_synced_at (gate->store_follower) : 0;
 }
 
 static size_t
--- a/gate/store.c
+++ b/gate/store.c
@@ -30,14 +30,14 @@
 
 /** Adds a listener, which is called on each new epoch. */
 void
-gt_store_join (gt_store_t *store, gt_store_part_t *listener)
+gt_store_join (gt_store_t *store, gt_store_listener_t *listener)
 {
   DL_APPEND (store->listeners, listener);
 }
 
 /** Removes a listener. */
 void
-gt_store_leave (gt_store_t *store, gt_store_part_t *listener)
+gt_store_leave (gt_store_t *store, gt_store_listener_t *listener)
 {
   DL_DELETE (store->listeners, listener);
 }
@@ -46,8 +46,8 @@
 listeners_notify (void *arg, el_time_t now)
 {
   gt_store_t *store = arg;
-  gt_store_part_t *listener;
-  gt_store_part_t *next;
+  gt_store_listener_t *listener;
+  gt_store_listener_t *next;
 
   (void)now;
   DL_FOREACH_SAFE (store->listeners, listener, next)
@@ -58,7 +58,7 @@
     nothing. Listeners are called from the loop, as one of them may be handling
     an answer now. The first epoch heard of is not a change. */
 void
-gt_store_epoch (gt_store_t *store, uint64_t epoch, const char *by)
+gt_store_observe_epoch (gt_store_t *store, uint64_t epoch, const char *by)
 {
   uint64_t before = store->epoch;
   int first = !store->known;
@@ -95,7 +95,7 @@
       store->known = 1;
       return 1;
     }
-  gt_store_epoch (store, epoch, "store");
+  gt_store_observe_epoch (store, epoch, "store");
   if (epoch == store->epoch)
     return 1;
   store->counts.former++;
@@ -170,7 +170,7 @@
 
 /** Returns the time left until the store accepts calls again. */
 el_time_t
-gt_store_rest_left (const gt_store_t *store)
+gt_store_retry_after (const gt_store_t *store)
 {
   el_time_t now = net_clock_now (store->clock);
 
@@ -193,7 +193,8 @@
   store->counts.failures++;
   wait = wait / 2 + el_random (&store->random) % (wait / 2 + 1);
   gt_store_apply_retry_after (store, result);
-  return wait > gt_store_rest_left (store) ? wait : gt_store_rest_left (store);
+  return wait > gt_store_retry_after (store) ? wait
+                                             : gt_store_retry_after (store);
 }
 
 /** Frees the items of a list. */
--- a/gate/store.h
+++ b/gate/store.h
@@ -77,27 +77,27 @@
   GT_STORE_READ_START,
   GT_STORE_READ_HISTORY, /**< the requested changes are no longer kept */
   GT_STORE_READ_EPOCH,   /**< the store began a new epoch */
-  GT_STORE_READS         /**< number of causes */
+  GT_STORE_READ_CAUSES   /**< number of causes */
 } gt_store_read_cause_t;
 
 typedef struct gt_store_counts
 {
   uint64_t calls;
   uint64_t failures;
-  uint64_t rests;                 /**< refusals with a new retry-after time */
-  uint64_t reads[GT_STORE_READS]; /**< complete reads, by cause */
-  uint64_t epochs;                /**< new epochs seen after the first one */
-  uint64_t former;                /**< answers from previous epochs */
+  uint64_t rests; /**< refusals with a new retry-after time */
+  uint64_t reads[GT_STORE_READ_CAUSES]; /**< complete reads, by cause */
+  uint64_t epochs; /**< new epochs seen after the first one */
+  uint64_t former; /**< answers from previous epochs */
 } gt_store_counts_t;
 
 /** A listener that is called when the store has begun a new epoch. */
-typedef struct gt_store_part
+typedef struct gt_store_listener
 {
   void (*epoch) (void *arg);
   void *arg;
-  struct gt_store_part *prev;
-  struct gt_store_part *next;
-} gt_store_part_t;
+  struct gt_store_listener *prev;
+  struct gt_store_listener *next;
+} gt_store_listener_t;
 
 /** One store; all its users on this host share its counters, its latest epoch
     and the retry-after time. */
@@ -112,13 +112,14 @@
   el_time_t retry_at; /**< the store asked for no calls before */
   uint64_t epoch;     /**< the latest known */
   int known;          /**< an answer came, here or at another host */
-  gt_store_part_t *listeners;
+  gt_store_listener_t *listeners;
   el_timer_t notify_timer; /**< calls the listeners from the loop */
 } gt_store_t;
 
-void gt_store_join (gt_store_t *store, gt_store_part_t *listener);
-void gt_store_leave (gt_store_t *store, gt_store_part_t *listener);
-void gt_store_epoch (gt_store_t *store, uint64_t epoch, const char *by);
+void gt_store_join (gt_store_t *store, gt_store_listener_t *listener);
+void gt_store_leave (gt_store_t *store, gt_store_listener_t *listener);
+void gt_store_observe_epoch (gt_store_t *store, uint64_t epoch,
+                             const char *by);
 net_exchange_t *gt_store_call (gt_store_t *store, const char *method,
                                const el_buf_t *path, const el_buf_t *body,
                                el_time_t timeout, net_result_cb done,
@@ -127,7 +128,7 @@
                                  const net_result_t *result);
 el_time_t gt_store_backoff (gt_store_t *store, const net_result_t *result,
                             unsigned failures);
-el_time_t gt_store_rest_left (const gt_store_t *store);
+el_time_t gt_store_retry_after (const gt_store_t *store);
 
 /* A mirror of the keys below a prefix. */
 
@@ -137,39 +138,40 @@
 {
   gt_store_t *store;
   el_str_t prefix;
-  uint64_t wait_ms; /**< longest wait of one watch */
-  el_time_t gather; /**< pause after changes, so that a burst of changes takes
-                         one call */
+  uint64_t wait_ms;      /**< longest wait of one watch */
+  el_time_t batch_delay; /**< pause after changes, so that a burst of changes
+                         takes one call */
   /** Called for a key that is new, changed or removed. Returns 0 if the value
       carries a version of its own that is older than the known one. */
   int (*item) (void *arg, const pr_store_item_t *item);
-  el_time_t news_old; /**< answers of other hosts whose data are older than
+  el_time_t news_max_age; /**< answers of other hosts whose data are older than
                            this come from a host that cannot reach the store */
   /** Asks another host for the changes after a position; OLD is the number of
       unusable answers in a row. Returns 0 if this host should ask the store
       itself; may be NULL. */
-  int (*ask) (void *arg, pr_store_position_t after, unsigned old,
-              pr_store_update_cb done, void *done_arg);
+  int (*ask_peer) (void *arg, pr_store_position_t after, unsigned old,
+                   pr_store_update_cb done, void *done_arg);
   /** Called when the store has answered after another host had no usable
       answer: that host is at fault. */
-  void (*blame) (void *arg);
+  void (*peer_failed) (void *arg);
   /** Called when all changes made before AS_OF, by the clock, are known. */
   void (*known) (void *arg, el_time_t as_of);
   void *arg;
 } gt_follow_options_t;
 
 gt_follow_t *gt_follow_new (const gt_follow_options_t *options);
-int gt_follow_tell (const gt_follow_t *follow, pr_store_position_t after,
-                    pr_store_update_t *out);
+int gt_follow_changes_since (const gt_follow_t *follow,
+                             pr_store_position_t after,
+                             pr_store_update_t *out);
 pr_store_position_t gt_follow_position (const gt_follow_t *follow);
-void gt_follow_epoch (gt_follow_t *follow, uint64_t epoch);
-el_time_t gt_follow_known (const gt_follow_t *follow);
+void gt_follow_observe_epoch (gt_follow_t *follow, uint64_t epoch);
+el_time_t gt_follow_synced_at (const gt_follow_t *follow);
 void gt_follow_free (gt_follow_t *follow);
 
 /* A key that the store removes after a time. */
 
-void gt_store_keep (gt_store_t *store, el_str_t key, el_str_t value,
-                    uint64_t ttl_ms, el_time_t wait);
+void gt_store_put_leased (gt_store_t *store, el_str_t key, el_str_t value,
+                          uint64_t ttl_ms, el_time_t wait);
 
 /* A leader lease: a duty that at most one host has at a time. */
 
--- a/gate/store_duty.c
+++ b/gate/store_duty.c
@@ -42,7 +42,7 @@
   el_time_t valid_until; /* the lease does not expire before */
   el_time_t not_before;  /* not requested before: the holder of the previous
                             epoch may not know of the new one yet */
-  gt_store_part_t listener;
+  gt_store_listener_t listener;
   net_exchange_t *call;
   el_timer_t timer;
   unsigned failures;
@@ -271,7 +271,7 @@
 static el_time_t
 duty_delay (const gt_duty_t *duty, el_time_t now)
 {
-  el_time_t retry_after = gt_store_rest_left (duty->options.store);
+  el_time_t retry_after = gt_store_retry_after (duty->options.store);
   el_time_t epoch = now < duty->not_before ? duty->not_before - now : 0;
 
   return retry_after > epoch ? retry_after : epoch;
--- a/gate/store_follow.c
+++ b/gate/store_follow.c
@@ -40,7 +40,7 @@
 struct gt_follow
 {
   gt_follow_options_t options;
-  gt_store_part_t listener;
+  gt_store_listener_t listener;
   gt_keys_t *keys;
   net_exchange_t *call;
   uint64_t call_epoch; /* the latest when the call was sent */
@@ -98,7 +98,7 @@
   gt_follow_t *follow = arg;
 
   (void)now;
-  gt_keys_settle (follow->keys);
+  gt_keys_release_held (follow->keys);
   changes_finish (follow, "settled", follow->at, 0);
 }
 
@@ -139,7 +139,7 @@
   follow->fallback_wait = 0;
   follow->fallback_due = 0;
   if (follow->ask_store)
-    follow->options.blame (follow->options.arg);
+    follow->options.peer_failed (follow->options.arg);
   follow->ask_store = 0;
 }
 
@@ -171,10 +171,10 @@
     {
       follow->read_position
           = (pr_store_position_t){ store->epoch, list->revision };
-      gt_keys_begin (follow->keys);
+      gt_keys_begin_snapshot (follow->keys);
     }
   for (i = 0; i < list->n; i++)
-    gt_keys_item (follow->keys, follow->read_position.epoch, &list->items[i]);
+    gt_keys_apply (follow->keys, follow->read_position.epoch, &list->items[i]);
   el_buf_reset (&follow->page_cursor);
   if (list->more && list->n)
     {
@@ -183,7 +183,7 @@
     }
   store->counts.reads[follow->read_cause]++;
   follow->complete = 1;
-  gt_keys_end (follow->keys, follow->read_position);
+  gt_keys_end_snapshot (follow->keys, follow->read_position);
   follow->at = follow->read_position;
   changes_finish (follow, "store", before, 1);
   follow_set_synced (follow, follow->read_started_at);
@@ -210,7 +210,7 @@
   else
     page_apply (follow, &list);
   gt_store_list_free (&list);
-  if (follow->complete && follow->options.ask)
+  if (follow->complete && follow->options.ask_peer)
     follow_schedule (follow, AFTER_READ_DELAY);
   else
     follow_run (follow, 0);
@@ -245,7 +245,7 @@
   size_t i;
 
   for (i = 0; i < list->n; i++)
-    gt_keys_item (follow->keys, follow->at.epoch, &list->items[i]);
+    gt_keys_apply (follow->keys, follow->at.epoch, &list->items[i]);
   if (list->revision > follow->at.revision)
     follow->at.revision = list->revision;
   changes_finish (follow, "store", before, 0);
@@ -271,9 +271,9 @@
     {
       follow_recovered (follow);
       changes_apply (follow, &list);
-      pause = list.n && follow->options.gather;
+      pause = list.n && follow->options.batch_delay;
       if (pause)
-        follow_schedule (follow, follow->options.gather);
+        follow_schedule (follow, follow->options.batch_delay);
       else
         follow_run (follow, 0);
     }
@@ -318,11 +318,11 @@
   size_t i;
 
   if (news->whole)
-    gt_keys_begin (follow->keys);
+    gt_keys_begin_snapshot (follow->keys);
   for (i = 0; i < news->n; i++)
-    gt_keys_item (follow->keys, news->at.epoch, &news->items[i]);
+    gt_keys_apply (follow->keys, news->at.epoch, &news->items[i]);
   if (news->whole)
-    gt_keys_end (follow->keys, news->at);
+    gt_keys_end_snapshot (follow->keys, news->at);
   if (pr_store_position_cmp (news->at, follow->at) > 0)
     follow->at = news->at;
   changes_finish (follow, "host", before, news->whole);
@@ -335,7 +335,7 @@
 news_usable (const gt_follow_t *follow, const pr_store_update_t *news,
              el_time_t now)
 {
-  return news && news->as_of + follow->options.news_old >= now
+  return news && news->as_of + follow->options.news_max_age >= now
          && !follow_stale (follow, news->at)
          && (news->whole || news->at.epoch == follow->at.epoch);
 }
@@ -350,7 +350,7 @@
 
   follow->peer_pending = 0;
   if (news)
-    gt_follow_epoch (follow, news->at.epoch);
+    gt_follow_observe_epoch (follow, news->at.epoch);
   if (!news_usable (follow, news, now))
     {
       news_rejected (follow, now);
@@ -368,9 +368,10 @@
 {
   gt_follow_options_t *o = &follow->options;
 
-  follow->peer_pending = o->ask && follow->complete && !follow->ask_store
-                         && o->ask (o->arg, follow->at, follow->stale_answers,
-                                    news_done, follow);
+  follow->peer_pending
+      = o->ask_peer && follow->complete && !follow->ask_store
+        && o->ask_peer (o->arg, follow->at, follow->stale_answers, news_done,
+                        follow);
   return follow->peer_pending;
 }
 
@@ -413,7 +414,7 @@
 follow_run (void *arg, el_time_t now)
 {
   gt_follow_t *follow = arg;
-  el_time_t retry_after = gt_store_rest_left (follow->options.store);
+  el_time_t retry_after = gt_store_retry_after (follow->options.store);
 
   (void)now;
   if (follow_ask_peer (follow))
@@ -474,13 +475,13 @@
    removal since then is known; returns 0 if that epoch is not known here yet.
    The items belong to the follower; the caller frees the list. */
 int
-gt_follow_tell (const gt_follow_t *follow, pr_store_position_t after,
-                pr_store_update_t *out)
+gt_follow_changes_since (const gt_follow_t *follow, pr_store_position_t after,
+                         pr_store_update_t *out)
 {
   *out = (pr_store_update_t){ .at = follow->at, .as_of = follow->synced_at };
   if (after.epoch > follow->at.epoch)
     return 0;
-  gt_keys_tell (follow->keys, after, out);
+  gt_keys_changes_since (follow->keys, after, out);
   return 1;
 }
 
@@ -493,14 +494,14 @@
 
 /** Takes note that, as another host says, the store has begun EPOCH. */
 void
-gt_follow_epoch (gt_follow_t *follow, uint64_t epoch)
+gt_follow_observe_epoch (gt_follow_t *follow, uint64_t epoch)
 {
-  gt_store_epoch (follow->options.store, epoch, "host");
+  gt_store_observe_epoch (follow->options.store, epoch, "host");
 }
 
 /** Returns the time before which all changes are known; 0 if none are. */
 el_time_t
-gt_follow_known (const gt_follow_t *follow)
+gt_follow_synced_at (const gt_follow_t *follow)
 {
   return follow->synced_at;
 }
--- a/gate/store_keys.c
+++ b/gate/store_keys.c
@@ -10,7 +10,7 @@
  * A store restored from an older copy lacks what was written since that copy,
  * and has again what was removed since, until the writers have repeated their
  * changes. Differences of both kinds in the first snapshot of an epoch are
- * therefore held back until gt_keys_settle; a change reported after the
+ * therefore held back until gt_keys_release_held; a change reported after the
  * snapshot takes effect at once.
  */
 #include <stdlib.h>
@@ -143,7 +143,7 @@
 /** Applies ITEM, a change made in EPOCH. A new epoch in which a key has its
     known state changes only the key's position. */
 void
-gt_keys_item (gt_keys_t *keys, uint64_t epoch, const pr_store_item_t *item)
+gt_keys_apply (gt_keys_t *keys, uint64_t epoch, const pr_store_item_t *item)
 {
   keys_entry_t *key = key_get (keys, item->key);
   pr_store_position_t at = { epoch, item->revision };
@@ -165,9 +165,9 @@
     key_apply (keys, key, item);
 }
 
-/** Begins a snapshot: all keys will be passed to gt_keys_item. */
+/** Begins a snapshot: all keys will be passed to gt_keys_apply. */
 void
-gt_keys_begin (gt_keys_t *keys)
+gt_keys_begin_snapshot (gt_keys_t *keys)
 {
   keys->snapshot++;
   keys->in_snapshot = 1;
@@ -177,7 +177,7 @@
     it are removed; in the first snapshot of an epoch their removal is held
     back. */
 void
-gt_keys_end (gt_keys_t *keys, pr_store_position_t at)
+gt_keys_end_snapshot (gt_keys_t *keys, pr_store_position_t at)
 {
   keys_entry_t *key;
   keys_entry_t *next;
@@ -205,7 +205,7 @@
 
 /** Passes to the callback what was held back and has not changed since. */
 void
-gt_keys_settle (gt_keys_t *keys)
+gt_keys_release_held (gt_keys_t *keys)
 {
   keys_entry_t *key;
   keys_entry_t *next;
@@ -226,8 +226,8 @@
     removal since then is known. The strings belong to KEYS; the caller frees
     the list. */
 void
-gt_keys_tell (const gt_keys_t *keys, pr_store_position_t after,
-              pr_store_update_t *out)
+gt_keys_changes_since (const gt_keys_t *keys, pr_store_position_t after,
+                       pr_store_update_t *out)
 {
   const keys_entry_t *key;
 
--- a/gate/store_keys.h
+++ b/gate/store_keys.h
@@ -25,18 +25,19 @@
 {
   size_t taken; /**< changes passed to the callback */
   size_t older; /**< changes older than the known one, ignored */
-  size_t held;  /**< changes of a new epoch that wait for gt_keys_settle */
+  size_t
+      held; /**< changes of a new epoch that wait for gt_keys_release_held */
 } gt_keys_counts_t;
 
 gt_keys_t *gt_keys_new (const gt_keys_options_t *options);
 void gt_keys_free (gt_keys_t *keys);
-void gt_keys_item (gt_keys_t *keys, uint64_t epoch,
-                   const pr_store_item_t *item);
-void gt_keys_begin (gt_keys_t *keys);
-void gt_keys_end (gt_keys_t *keys, pr_store_position_t at);
-void gt_keys_settle (gt_keys_t *keys);
-void gt_keys_tell (const gt_keys_t *keys, pr_store_position_t after,
-                   pr_store_update_t *out);
+void gt_keys_apply (gt_keys_t *keys, uint64_t epoch,
+                    const pr_store_item_t *item);
+void gt_keys_begin_snapshot (gt_keys_t *keys);
+void gt_keys_end_snapshot (gt_keys_t *keys, pr_store_position_t at);
+void gt_keys_release_held (gt_keys_t *keys);
+void gt_keys_changes_since (const gt_keys_t *keys, pr_store_position_t after,
+                            pr_store_update_t *out);
 gt_keys_counts_t gt_keys_counts_take (gt_keys_t *keys);
 
 #endif
--- a/gate/store_keep.c
+++ b/gate/store_put.c
@@ -102,7 +102,7 @@
   leased_put_t *put = arg;
   el_buf_t path = { NULL, 0, 0 };
   el_buf_t body = { NULL, 0, 0 };
-  el_time_t retry_after = gt_store_rest_left (put->store);
+  el_time_t retry_after = gt_store_retry_after (put->store);
 
   (void)now;
   if (retry_after)
@@ -120,8 +120,8 @@
 /** Writes VALUE under KEY, after WAIT, for TTL_MS; a key that exists is left
     as it is. */
 void
-gt_store_keep (gt_store_t *store, el_str_t key, el_str_t value,
-               uint64_t ttl_ms, el_time_t wait)
+gt_store_put_leased (gt_store_t *store, el_str_t key, el_str_t value,
+                     uint64_t ttl_ms, el_time_t wait)
 {
   leased_put_t *put = el_alloc (sizeof *put);
 
--- a/tests/t_epoch.c
+++ b/tests/t_epoch.c
@@ -58,7 +58,7 @@
                                  .revision = revision,
                                  .gone = !value };
 
-  gt_keys_item (keys, epoch, &item);
+  gt_keys_apply (keys, epoch, &item);
 }
 
 /* Guards against a change that is dropped as its revision is not above the one
@@ -102,17 +102,17 @@
   pr_store_update_t news = { 0 };
 
   keys_put (keys, 1, 5, "a");
-  gt_keys_item (keys, 1, &other);
-  gt_keys_begin (keys);
-  gt_keys_item (keys, 2, &other);
+  gt_keys_apply (keys, 1, &other);
+  gt_keys_begin_snapshot (keys);
+  gt_keys_apply (keys, 2, &other);
   keys_put (keys, 2, 4, "b");
-  gt_keys_end (keys, (pr_store_position_t){ 2, 4 });
+  gt_keys_end_snapshot (keys, (pr_store_position_t){ 2, 4 });
   seen_is (&seen, "+k=a +o=x +k=b ");
-  gt_keys_tell (keys, (pr_store_position_t){ 1, 9 }, &news);
+  gt_keys_changes_since (keys, (pr_store_position_t){ 1, 9 }, &news);
   ck_assert_int_eq (news.whole, 1);
   ck_assert_uint_eq (news.n, 2);
   free (news.items);
-  gt_keys_tell (keys, (pr_store_position_t){ 2, 4 }, &news);
+  gt_keys_changes_since (keys, (pr_store_position_t){ 2, 4 }, &news);
   ck_assert_int_eq (news.whole, 0);
   free (news.items);
   gt_keys_free (keys);
@@ -131,7 +131,7 @@
   keys_put (keys, 1, 5, "v66");
   seen.refuse = 1;
   keys_put (keys, 2, 3, "v59");
-  gt_keys_tell (keys, (pr_store_position_t){ 1, 0 }, &news);
+  gt_keys_changes_since (keys, (pr_store_position_t){ 1, 0 }, &news);
   ck_assert (el_str_eq (news.items[0].value, EL_STR ("v66")));
   free (news.items);
   gt_keys_free (keys);
@@ -151,15 +151,15 @@
   int changed = _i;
 
   keys_put (keys, 1, 5, "a");
-  gt_keys_item (keys, 1, &gone[0]);
-  gt_keys_item (keys, 1, &gone[1]);
-  gt_keys_begin (keys);
-  gt_keys_item (keys, 2, &gone[0]);
-  gt_keys_end (keys, (pr_store_position_t){ 2, 4 });
+  gt_keys_apply (keys, 1, &gone[0]);
+  gt_keys_apply (keys, 1, &gone[1]);
+  gt_keys_begin_snapshot (keys);
+  gt_keys_apply (keys, 2, &gone[0]);
+  gt_keys_end_snapshot (keys, (pr_store_position_t){ 2, 4 });
   seen_is (&seen, "+k=a +g=1 -g= ");
   if (changed)
     keys_put (keys, 2, 5, "a");
-  gt_keys_settle (keys);
+  gt_keys_release_held (keys);
   seen_is (&seen,
            changed ? "+k=a +g=1 -g= +k=a +g=1 " : "+k=a +g=1 -g= -k=a +g=1 ");
   gt_keys_free (keys);
@@ -366,7 +366,7 @@
 
   SCRIPT ({ GRANTED ("1"), KEEP }, { CLAIMED ("1"), KEEP });
   duty = duty_script (&store);
-  gt_store_epoch (&store, 2, "host");
+  gt_store_observe_epoch (&store, 2, "host");
   ck_assert (!gt_duty_held (duty, net_clock_now (&test_clock)));
 }
 END_TEST
@@ -390,7 +390,7 @@
   SCRIPT ({ GRANTED ("2"), KEEP }, { CLAIMED ("2"), KEEP });
   store.address = el_str (script.address);
   duty = gt_duty_new (&options);
-  gt_store_epoch (&store, 2, "host");
+  gt_store_observe_epoch (&store, 2, "host");
   run_for (20 * EL_MSEC);
   gt_duty_want (duty, 1);
   run_for (800 * EL_MSEC);
--- a/tests/t_store.c
+++ b/tests/t_store.c
@@ -151,9 +151,9 @@
                                   .prefix = EL_STR ("p/"),
                                   .wait_ms = 100,
                                   .item = followed_item,
-                                  .news_old = 1500 * EL_MSEC,
-                                  .ask = ask_old,
-                                  .blame = blame_none,
+                                  .news_max_age = 1500 * EL_MSEC,
+                                  .ask_peer = ask_old,
+                                  .peer_failed = blame_none,
                                   .known = followed_known,
                                   .arg = &seen };
   gt_follow_t *follow;
@@ -205,9 +205,9 @@
                                   .prefix = EL_STR ("p/"),
                                   .wait_ms = 100,
                                   .item = followed_item,
-                                  .news_old = 1500 * EL_MSEC,
-                                  .ask = ask_old_later,
-                                  .blame = blame_none,
+                                  .news_max_age = 1500 * EL_MSEC,
+                                  .ask_peer = ask_old_later,
+                                  .peer_failed = blame_none,
                                   .known = followed_known,
                                   .arg = &host };
   gt_follow_t *follow;
@@ -266,13 +266,13 @@
     uv_run (&loop, UV_RUN_ONCE);
   duty = gt_duty_new (&duty_options);
   gt_duty_want (duty, 1);
-  gt_store_keep (&store, EL_STR ("k"), EL_STR ("v"), 1000, 0);
+  gt_store_put_leased (&store, EL_STR ("k"), EL_STR ("v"), 1000, 0);
   run_for (480 * EL_MSEC);
   ck_assert_uint_eq (store.counts.calls, 1);
   while (store.counts.rests < 2)
     uv_run (&loop, UV_RUN_ONCE);
-  ck_assert_uint_le (gt_store_rest_left (&store), 2500 * EL_MSEC);
-  ck_assert_uint_ge (gt_store_rest_left (&store), 1900 * EL_MSEC);
+  ck_assert_uint_le (gt_store_retry_after (&store), 2500 * EL_MSEC);
+  ck_assert_uint_ge (gt_store_retry_after (&store), 1900 * EL_MSEC);
   gt_follow_free (follow);
 }
 END_TEST
