--- a/route/course.c
+++ b/route/course.c
@@ -3,21 +3,22 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * What follows an attempt at a relayed request, and the budget of repeats.
+ * Retries of relayed requests: what follows an attempt, and the retry budget
+ * that all hosts share.
  */
 #include <string.h>
 
 #include "relay.h"
 
-/* Most endpoints that one request is offered to, when none of them ran it. */
+/* Most attempts per request, including those that provably did not run. */
 #define SENDS_MAX 4
-/* The same once its caller has a part of its stream: there is more to lose,
-   and it waits between them, 1.2 s in all. */
+/* The same once the caller has received a part of the stream: more is lost if
+   it fails, and the attempts are spaced out, over 1.2 s in all. */
 #define SENDS_STARTED_MAX 8
-/* A repeat with less time than this left would be late work for nobody. */
+/* No retry with less time than this left: nobody would wait for its answer. */
 #define RETRY_TIME_MIN (30 * EL_MSEC)
-/* Part of the common budget that hosts use: their windows do not begin
-   together. */
+/* Fraction of the shared budget that the hosts use; the rest is a margin, as
+   their windows are not aligned. */
 #define BUDGET_SHARE 0.85
 
 static int
@@ -26,8 +27,8 @@
   return rule->kind == RT_SAFE || (rule->kind == RT_STREAM && rule->resumable);
 }
 
-/** What to do after an attempt; LEFT is the time that the request has, BUDGET
-    whether a repeat is within the budget of all. */
+/** Decides what follows an attempt. LEFT is the time that the request has
+   left, BUDGET whether the shared budget allows a retry. */
 rt_next_t
 rt_course_next (rt_course_t *state, const rt_rule_t *rule,
                 const rt_attempt_t *attempt, int budget, el_time_t left)
@@ -50,9 +51,9 @@
   return state->may_run ? RT_NEXT_FAIL : RT_NEXT_REFUSE;
 }
 
-/** A budget of RATIO repeats a request and SLACK besides in any WINDOW, for
-    all hosts together. A process that began at BORN takes nothing of the slack
-    in its first window. */
+/** Initializes a budget for all hosts together: RATIO retries per request plus
+    SLACK retries in any WINDOW. A process that started at BORN uses no slack
+   in its first window. */
 void
 rt_spend_open (rt_spend_t *pool, double ratio, double slack, el_time_t window,
                el_time_t born)
@@ -80,7 +81,7 @@
     }
 }
 
-/** A request came. */
+/** Counts a request. */
 void
 rt_spend_asked (rt_spend_t *pool, el_time_t now)
 {
@@ -88,8 +89,9 @@
   pool->requests[pool->at % RT_WINDOW_SLOTS]++;
 }
 
-/** Whether this host's part of the budget has a repeat left. The part grows
-   when hosts die only after a window: what they spent still counts. */
+/** Whether this host's portion of the budget has a retry left. The portion
+   grows only a window after other hosts died, as what they spent still counts.
+ */
 int
 rt_spend_left (rt_spend_t *pool, el_time_t now, size_t hosts)
 {
@@ -115,7 +117,7 @@
   return (double)(spent + 1) <= BUDGET_SHARE * most;
 }
 
-/** Take one repeat from this host's part; gives 0 when it is spent. */
+/** Takes a retry from this host's portion. Returns 0 if none is left. */
 int
 rt_spend_take (rt_spend_t *pool, el_time_t now, size_t hosts)
 {
--- a/route/digest.c
+++ b/route/digest.c
@@ -3,9 +3,9 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * What a request is known by when it comes again: its id is another each
- * time, but it asks for the same. SHA-256 begun with a key that only the hosts
- * know, so that no caller can aim at the digest of another one's request.
+ * Identifies a repeated request by its content, as each repetition has a new
+ * id. The digest is SHA-256 with a prefixed key that only the hosts know, so
+ * that no caller can forge the digest of another caller's request.
  */
 #include <string.h>
 
@@ -13,7 +13,8 @@
 
 #include "relay.h"
 
-/* Each part with its length, so that no two lists of parts are alike. */
+/* Adds a part with its length, so that different lists of parts have different
+   inputs. */
 static void
 digest_add (EVP_MD_CTX *ctx, el_str_t part)
 {
@@ -23,7 +24,7 @@
   EVP_DigestUpdate (ctx, part.ptr, part.len);
 }
 
-/** The digest of what is ASKED under the hosts' KEY; never 0. */
+/** The digest of ASKED under the hosts' KEY; never 0. */
 rt_digest_t
 rt_digest (el_str_t key, const rt_asked_t *asked)
 {
@@ -44,7 +45,7 @@
   return digest ? digest : 1;
 }
 
-/** DIGEST as logs and operators write it. */
+/** Formats DIGEST in hexadecimal, as in logs and in the admin interface. */
 void
 rt_digest_hex (rt_digest_t digest, char out[RT_DIGEST_HEX + 1])
 {
@@ -56,7 +57,7 @@
   out[RT_DIGEST_HEX] = '\0';
 }
 
-/** Read what rt_digest_hex writes; gives 0 when it is none. */
+/** Parses the output of rt_digest_hex. Returns 0 if TEXT is malformed or 0. */
 int
 rt_digest_read (el_str_t text, rt_digest_t *out)
 {
--- a/route/estimate.c
+++ b/route/estimate.c
@@ -3,34 +3,35 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * What one more stream would meet at an engine: how full its memory would be,
- * how much slower a token step, what waits to be read, how long for a place.
- * Taken from what the engine reported, some hundred milliseconds ago, and from
- * what this host sent since then, as the other hosts are taken to do the same.
+ * Estimates the cost of one more stream at an engine: memory use, slowdown of
+ * a decode step, prefill queue, and wait for a slot. The inputs are the
+ * engine's last load report, some hundred milliseconds old, and what this host
+ * has sent since; the other hosts are assumed to have sent as much.
  */
 #include "relay.h"
 
-/* An engine whose memory is full of streams costs half as much again; past
-   FILL_KNEE it soon costs more than another hall, since the newest streams
-   are put back when it runs out. */
+/* Slowdown in proportion to memory use: FILL_PENALTY at full memory. Past
+   FILL_KNEE a steeper term is added, which soon costs more than another hall,
+   since an engine that runs out of memory preempts its newest streams. */
 #define FILL_PENALTY 0.5
 #define FILL_KNEE 0.75
 #define FILL_KNEE_SLOPE 40.0
-/* What an engine reported counts for this long. */
+/* How long a load report is used. */
 #define REPORT_TTL (4 * EL_SEC)
-/* A token step takes this many times as long with the usual number of streams
-   as with one. */
+/* Duration of a decode step under typical load, relative to that with one
+   stream. */
 #define LOADED_STEP_FACTOR 1.5
-/* Load pattern: engines of a hall are lost, the others' streams take longer,
-   and the slots of the engines with the first layers run out while memory and
-   time of all engines are half used. Past SLOTS_KNEE of the slots an engine
-   costs more as a first one, at all of them as much as leaving the hall. */
+/* Guards against this load pattern: some engines of a hall fail, streams on
+   the others take longer, and the engines with the first layers run out of
+   slots while all engines use half their memory and time. An engine costs more
+   as the first one past SLOTS_KNEE of its slots; with all slots taken it costs
+   as much as leaving the hall. */
 #define SLOTS_KNEE 0.85
 #define SLOTS_PENALTY_MS 100.0
 
-/* What this host adds to a number that the engine fresh when the host had
-   THEN, and now has NOW: all hosts of the hall are taken to have added as
-   much. */
+/* Change since the engine's load report, when this host's own number was
+   AT_REPORT; now it is NOW. All hosts of the hall are assumed to have added as
+   much. Without a FRESH report the whole of NOW counts. */
 static double
 extrapolate (const rt_fleet_t *fleet, int fresh, double at_report, double now)
 {
@@ -64,7 +65,8 @@
   return 1 + FILL_PENALTY * fill + FILL_KNEE_SLOPE * over;
 }
 
-/* Reading one token in one layer, while others write between the reads. */
+/* Prefill time per token and layer, with decode steps of other streams in
+   between. */
 static double
 read_ms (const rt_model_t *model, const rt_card_t *card)
 {
@@ -88,8 +90,8 @@
   return taken > SLOTS_KNEE ? SLOTS_PENALTY_MS * (taken - SLOTS_KNEE) : 0;
 }
 
-/** What a stream of TOKENS would meet at TARGET, an engine with one of the
-    model's cards. */
+/** Estimates the cost of a stream of TOKENS at TARGET, an engine with one of
+   the model's accelerator types. */
 rt_estimate_t
 rt_estimate (const rt_fleet_t *fleet, const rt_model_t *model,
              const rt_target_t *target, double tokens, el_time_t now)
--- a/route/fall.c
+++ b/route/fall.c
@@ -3,21 +3,21 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Orders that engines end after. What an operator says of a card may be wrong,
- * and each engine of its kind falls under the order that was worked out from
- * it, starts again empty, and is given the same one: all of them, every few
- * seconds, for ever.
+ * Detects layer orders that crash engines. If an accelerator type is
+ * configured wrongly, its engines crash under the orders computed from it,
+ * restart empty and get the same order again: all engines of that type, every
+ * few seconds, indefinitely.
  */
 #include <string.h>
 
 #include "relay.h"
 
-/* Engines that ended under an order before another one showed it: one or two
-   may have ended for a reason of their own. */
+/* Engine failures under an order, without a success in between, that withdraw
+   it. One or two may have another cause. */
 #define FAILURES_MAX 3
 
-/** What an order is known by: as many layers on such a card, whichever they
-    are. */
+/** Digest of an order: of the service, the accelerator type and the number of
+    layers, not of which layers they are. */
 rt_digest_t
 rt_order_digest (el_str_t key, const rt_order_t *order)
 {
@@ -42,8 +42,8 @@
   return NULL;
 }
 
-/** An engine ended under its order; gives 1 when no other
-    should be given that order. */
+/** Counts an engine that exited under its order. Returns 1 if the order should
+    not be given to any other engine. */
 int
 rt_falls_ended (rt_falls_t *failures, rt_digest_t digest)
 {
@@ -57,7 +57,7 @@
   return ++failure->n == FAILURES_MAX;
 }
 
-/** An engine shows what it was ordered. */
+/** Resets the failures of an order that an engine carried out. */
 void
 rt_falls_done (rt_falls_t *failures, rt_digest_t digest)
 {
--- a/route/layout.c
+++ b/route/layout.c
@@ -3,9 +3,9 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Where layers are placed: each empty engine takes the range that its hall
- * needs most. Engines that hold layers stay as they are, but for spare copies,
- * which are moved where a hall lacks layers and no engine is empty.
+ * Layer placement: each empty engine is assigned the range that its hall needs
+ * most. Loaded engines are left alone, except for redundant copies, which are
+ * moved if a hall lacks layers and no engine is empty.
  */
 #include <string.h>
 
@@ -13,20 +13,21 @@
 
 #define LAYERS_MAX 256
 #define HALLS_MAX 32
-/* How often a hall's engines must be able to hold the model. Memory is either
-   room for streams or spare copies of layers: a hall whose engines hold it
-   once is stopped by each loss, one with more copies puts streams back. */
+/* Copies of the model that a hall's engines should be able to hold. Memory
+   holds either KV cache or copies of layers: with one copy each loss of an
+   engine stops the hall, with more copies streams get preempted for lack of
+   memory. */
 #define MODEL_COPIES 1.25
-/* The most room that an engine is given, as a share of its slots' worth of
-   usual requests: streams go to the quick engines first, and memory that none
-   of them uses is better one more layer, fewer engines in a line and more
-   copies. Load pattern: a hall without its large engines. Fleets whose memory
-   is scarce have less room anyway. */
+/* Most KV cache reserved on an engine, as a fraction of what typical requests
+   in all its slots need. Streams go to the fast engines first, and memory that
+   no stream uses is better spent on another layer: chains get shorter and
+   copies more. The load pattern behind it is a hall without its large engines.
+   Fleets with little memory reserve less anyway. */
 #define ROOM_SLOT_SHARE 0.75
-/* The room is looked for in such steps, down to one usual request. */
+/* The reserve is reduced by this factor, down to one typical request. */
 #define ROOM_DECAY 0.95
 
-/** The card of that name; NULL when the model does not list it. */
+/** The accelerator type NAME; NULL if the model does not list it. */
 const rt_card_t *
 rt_model_card (const rt_model_t *model, el_str_t name)
 {
@@ -38,7 +39,7 @@
   return NULL;
 }
 
-/* A hall, and the tokens that should fit beside the layers of its engines. */
+/* A hall, and the tokens of KV cache that its engines reserve. */
 typedef struct layout_hall
 {
   el_str_t name;
@@ -57,8 +58,8 @@
   size_t n;
 } layout_t;
 
-/* The most layers on a card that leave room for ROOM tokens beside them; at
-   least one when one fits at all. */
+/* Most layers that fit on a card with KV cache for ROOM tokens; at least one
+   if one fits without any. */
 static unsigned
 card_layers (const rt_model_t *model, const rt_card_t *card, double room)
 {
@@ -90,8 +91,8 @@
     cover[first]++;
 }
 
-/* How many engines of a hall, or of all when HALL is empty, hold or will hold
-   each layer. */
+/* Counts for each layer the engines that hold or will hold it, in HALL or, if
+   that is empty, in all halls. */
 static void
 layout_cover (const layout_t *layout, el_str_t hall, unsigned *cover)
 {
@@ -128,7 +129,7 @@
          && !order_for (layout->out, layout->n, target);
 }
 
-/* The card of TARGET when it is an engine that is laid out. */
+/* The accelerator type of TARGET; NULL if it is not placed. */
 static const rt_card_t *
 layout_card (const layout_t *layout, const rt_target_t *target)
 {
@@ -138,7 +139,8 @@
   return rt_model_card (&layout->service->model, target->facts.card);
 }
 
-/* Layers that the engines of a hall can hold together beside ROOM tokens. */
+/* Total layers that the engines of a hall can hold with KV cache for ROOM
+   tokens each. */
 static unsigned
 hall_layers (const layout_t *layout, el_str_t hall, double room)
 {
@@ -156,7 +158,8 @@
   return n;
 }
 
-/* The most tokens that one engine is given room for, by its slots. */
+/* Most tokens of KV cache reserved per engine, by the largest number of slots.
+ */
 static double
 hall_max_room (const layout_t *layout, el_str_t hall)
 {
@@ -171,7 +174,7 @@
   return ROOM_SLOT_SHARE * (double)slots * layout->service->model.usual_tokens;
 }
 
-/* As much room as leaves COPIES of the model in the hall. */
+/* The largest reserve that leaves MODEL_COPIES of the model in the hall. */
 static double
 hall_room (const layout_t *layout, el_str_t hall)
 {
@@ -201,7 +204,7 @@
   return hall;
 }
 
-/* Layers for an engine; 0 when it is none that is laid out. */
+/* Number of layers for an engine; 0 if it is not placed. */
 static unsigned
 target_layers (layout_t *layout, const rt_target_t *target)
 {
@@ -213,7 +216,7 @@
                       layout_hall (layout, target->facts.hall)->room);
 }
 
-/* Whether the engines of a hall can hold the model without others. */
+/* Whether the engines of a hall can hold the whole model. */
 static int
 hall_self_sufficient (layout_t *layout, el_str_t hall)
 {
@@ -221,8 +224,8 @@
          >= layout->service->model.layers;
 }
 
-/* Milliseconds that a layer adds to a token at an engine, its part of the way
-   from one engine to the next included. */
+/* Token latency per layer at an engine, including its share of the latency to
+   the next engine. */
 static double
 layer_ms (const rt_model_t *model, const rt_card_t *card, unsigned n)
 {
@@ -230,8 +233,8 @@
          + RT_HOP_MS / (double)n;
 }
 
-/* The empty engine where a layer costs a token least: the quick ones make a
-   hall's line, the others its copies. */
+/* The empty engine with the least latency per layer. So the fast engines form
+   a hall's chain, and the others hold the copies. */
 static rt_target_t *
 layout_fastest (layout_t *layout, unsigned *layers)
 {
@@ -259,10 +262,10 @@
   return best;
 }
 
-/* Where a range of N layers begins: at the first of the layers that nobody
-   holds. When all are held it is a spare copy, and ends at the last of those
-   that the fewest hold: large engines hold the first layers, so that copies
-   from the end stand in for the most engines. */
+/* First layer of a new range of N layers: the first layer that no engine
+   holds. If all are held, the range is a redundant copy and ends at the last
+   of the layers with the fewest holders: large engines hold the first layers,
+   so copies from the end can replace the most engines. */
 static unsigned
 range_begin (const unsigned *cover, unsigned layers, unsigned n)
 {
@@ -282,8 +285,8 @@
   return least + n > layers ? layers - n : least;
 }
 
-/** Fill OUT with orders for engines that hold nothing yet; PENDING are orders
-    given whose outcome is not seen. Gives their number. */
+/** Fills OUT with orders for empty engines. PENDING are orders given whose
+    outcome is not known yet. Returns the number of new orders. */
 size_t
 rt_layout_next (rt_fleet_t *fleet, const rt_service_t *service,
                 const rt_order_t *pending, size_t npending, rt_order_t *out,
@@ -314,8 +317,7 @@
   return layout.n;
 }
 
-/* Whether TARGET could give up what it holds: others of its hall hold all of
-   it, too. */
+/* Whether TARGET is redundant: others of its hall hold all its layers too. */
 static int
 target_is_spare (const layout_t *layout, const rt_target_t *target,
                  const unsigned *cover)
@@ -334,7 +336,7 @@
   return 1;
 }
 
-/* The first layer that nobody holds; LAYERS when all are held. */
+/* The first layer that no engine holds; LAYERS if all are held. */
 static unsigned
 cover_gap (const unsigned *cover, unsigned layers)
 {
@@ -345,8 +347,8 @@
   return from;
 }
 
-/* The spare engine of a hall whose move fills most of the hole at FROM; the
-   least used one of those that are alike. */
+/* The redundant engine of a hall that can fill most of the gap at FROM; among
+   equals the one in the fewest chains. */
 static rt_target_t *
 layout_pick_spare (layout_t *layout, el_str_t hall, const unsigned *cover,
                    unsigned from, unsigned *layers)
@@ -391,7 +393,7 @@
   return 0;
 }
 
-/* Whether TARGET is the first of its hall in the list. */
+/* Whether TARGET is the first of its hall in the list of endpoints. */
 static int
 is_first_of_hall (const layout_t *layout, const rt_target_t *target)
 {
@@ -430,8 +432,9 @@
     }
 }
 
-/** Fill OUT with orders that move spare copies where a hall lacks layers and
-    no empty engine is left. Gives their number. */
+/** Fills OUT with orders that move redundant copies to layers that a hall
+   lacks, for use when no empty engine is left. Returns the number of orders.
+ */
 size_t
 rt_layout_repair (rt_fleet_t *fleet, const rt_service_t *service,
                   const rt_order_t *pending, size_t npending, rt_order_t *out,
--- a/route/line.c
+++ b/route/line.c
@@ -3,9 +3,9 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Choice of a line of engines: the cheapest way through the layers over what
- * the engines hold. An engine may run any part of what it holds, so lines are
- * searched over layers and halls, not over whole engines.
+ * Selects a chain of engines: the shortest path through the model's layers,
+ * over the layers that the engines hold. An engine may run any part of its
+ * range, so the search runs over layers and halls rather than over engines.
  */
 #include <float.h>
 #include <stdlib.h>
@@ -16,26 +16,29 @@
 #define LAYERS_MAX 256
 #define HALLS_MAX 32
 #define CANDIDATES_MAX 512
-/* Milliseconds of a token's time that a line may cost more before it leaves
-   its hall, with a pipe that would just carry all streams if each went through
-   it once; more where it would carry fewer, as all share it. */
+/* Cost of leaving the hall, in milliseconds of token latency, beyond the
+   network latency. Holds while the link between the halls could carry every
+   stream once, and rises in proportion when it could not, as all streams share
+   it. */
 #define CROSSING_MS 4.0
-/* Share of chance in the cost, so that hosts do not all choose the same. */
+/* Most jitter in the cost, so that hosts do not all choose the same engines.
+ */
 #define COST_JITTER 0.15
-/* What a part costs that already holds the stream's tokens. */
+/* Cost factor of a part that already has the stream's KV cache. */
 #define KEPT_PART_FACTOR 0.3
-/* A millisecond that others wait to be read in a part weighs this much of one
-   of a token's time: a first event that is late is late once and for all, but
-   a stream is read in one of its line's ten parts or so at a time. */
+/* Weight of a millisecond of prefill queue against one of token latency. A
+   delayed first event is a cost that occurs once, but a stream is prefilled in
+   only one of its chain's ten or so parts at a time. */
 #define PREFILL_WAIT_WEIGHT 0.01
-/* An engine that was asked for a sign of life answers sooner than this; one
-   that did not is passed by where there is another. */
+/* A live engine answers a health check within this time. One that has not is
+   avoided if there is another. */
 #define CHECK_GRACE (10 * EL_MSEC)
 
 typedef struct chain_node
 {
   double cost;
-  const struct chain_candidate *candidate; /* the part that ends here */
+  const struct chain_candidate
+      *candidate; /* engine of the part that ends here */
   unsigned from;
   unsigned from_hall;
 } chain_node_t;
@@ -44,38 +47,39 @@
 {
   rt_target_t *target;
   unsigned hall;
-  double layer_ms; /* of a token step */
+  double layer_ms; /* decode time per layer */
   rt_estimate_t estimate;
 } chain_candidate_t;
 
-/* Which engines a search may take. */
+/* Which engines a search may use. */
 typedef enum chain_trust
 {
-  TRUST_HEALTHY, /* nothing speaks against them */
-  TRUST_USABLE,  /* those whose sign of life is awaited, and those that a
-                    suspect may end, too */
-  TRUST_ANY      /* those that are set aside, too */
+  TRUST_HEALTHY, /* no reason to avoid them */
+  TRUST_USABLE,  /* also those with an overdue health check, and those that a
+                    suspect request may crash */
+  TRUST_ANY      /* also those that are set aside */
 } chain_trust_t;
 
 typedef struct chain_search
 {
-  const rt_line_t *old;     /* its parts are cheaper */
-  const rt_target_t *first; /* runs the first part, and no other */
-  const rt_target_t *begin; /* a new line begins with it; NULL: with any */
+  const rt_line_t *old;     /* chain to reroute: its parts are cheaper */
+  const rt_target_t *first; /* engine of the first part; runs no other part */
+  const rt_target_t
+      *begin; /* required first engine of a new chain; NULL: any */
   chain_trust_t trust;
   el_time_t now;
-  double tokens;      /* of the stream */
-  double crossing_ms; /* that leaving a hall costs a token */
+  double tokens;      /* expected length of the stream */
+  double crossing_ms; /* cost of leaving a hall */
   unsigned layers;
   el_str_t halls[HALLS_MAX];
   unsigned nhalls;
   chain_candidate_t candidates[CANDIDATES_MAX];
   size_t ncandidates;
-  unsigned char boundary[LAYERS_MAX + 1]; /* where a part may end */
+  unsigned char boundary[LAYERS_MAX + 1]; /* layers at which a part may end */
   chain_node_t node[LAYERS_MAX + 1][HALLS_MAX];
 } chain_search_t;
 
-/* Whether the engine of part I runs a part before it. */
+/* Whether the engine of part I also runs an earlier part. */
 static int
 part_before (const rt_line_t *chain, size_t i)
 {
@@ -87,7 +91,8 @@
   return 0;
 }
 
-/** Whether the parts run every layer once and in order, no engine twice. */
+/** Whether the parts run every layer once and in order, and no engine twice.
+ */
 int
 rt_line_valid (const rt_line_t *chain, unsigned layers)
 {
@@ -150,8 +155,8 @@
   search->boundary[target->facts.end] = 1;
 }
 
-/* What leaving a hall costs a token. What streams there are is learned within
-   seconds; until then the pipe is taken to carry them. */
+/* Cost of leaving a hall. The token rate is known a few seconds after the
+   start; until then the link is assumed to carry all streams. */
 static double
 crossing_ms (const rt_model_t *model, const rt_fleet_t *fleet, el_time_t now)
 {
@@ -199,8 +204,8 @@
       search->node[at][h].cost = DBL_MAX;
 }
 
-/* What the layers from FROM to TO cost at C. A part that already holds the
-   stream's tokens does not read them. */
+/* Cost of running the layers from FROM to TO at C. A part that already has the
+   stream's KV cache skips the prefill. */
 static double
 part_cost (const chain_search_t *search, const chain_candidate_t *c,
            unsigned from, unsigned to)
@@ -237,7 +242,8 @@
     }
 }
 
-/* Whether TARGET runs the layers just before AT: an engine is passed once. */
+/* Whether TARGET runs the layers just before AT, or the kept first part: an
+   engine runs one part. */
 static int
 search_ended_by (const chain_search_t *search, unsigned at, unsigned hall,
                  const rt_target_t *target)
@@ -271,7 +277,8 @@
       }
 }
 
-/* Read the way back from the last layer to BEGIN; gives 0 without one. */
+/* Collects the parts from the last layer back to BEGIN. Returns 0 if there is
+   no path. */
 static int
 search_backtrack (const chain_search_t *search, unsigned begin, rt_line_t *out)
 {
@@ -307,8 +314,8 @@
   return 1;
 }
 
-/* An engine that the search leaves and comes back to runs what lies between,
-   too: it holds one range, and is named once. */
+/* Merges parts of the same engine. An engine holds one contiguous range, so it
+   can also run the layers in between, and then occurs once. */
 static void
 chain_collapse (rt_line_t *chain)
 {
@@ -327,7 +334,8 @@
         }
 }
 
-/* Whether the search found a line; OUT is empty without one. */
+/* Returns 1 if the search found a valid chain, which it stores in OUT. OUT is
+   empty otherwise. */
 static int
 search_result (const chain_search_t *search, unsigned begin, rt_line_t *out)
 {
@@ -341,7 +349,7 @@
   return 0;
 }
 
-/* Search a line for a new stream. */
+/* Searches a chain for a new stream. */
 static int
 chain_search (chain_search_t *search, rt_fleet_t *fleet, el_time_t now,
               const rt_line_want_t *want, rt_line_t *out)
@@ -354,7 +362,7 @@
   return search_result (search, 0, out);
 }
 
-/* Search a line over the engines that TRUST takes. */
+/* Searches a chain over the engines that TRUST admits. */
 static int
 chain_pick (rt_fleet_t *fleet, el_time_t now, const rt_line_want_t *want,
             chain_trust_t trust, rt_line_t *out)
@@ -372,8 +380,9 @@
   return found;
 }
 
-/** A line for a new stream; gives 0 when the engines do not hold all layers.
-    Engines that are set aside are taken when there is no line without them. */
+/** Selects a chain for a new stream. Returns 0 if the engines do not hold all
+    layers. Engines that are set aside are used only if there is no chain
+    without them. */
 int
 rt_line_pick (rt_fleet_t *fleet, el_time_t now, const rt_line_want_t *want,
               rt_line_t *out)
@@ -395,7 +404,8 @@
   return (x > y) - (x < y);
 }
 
-/* When the rests of the service's engines end, in order. */
+/* Lists the times at which rests of the service's engines end, in ascending
+   order. */
 static size_t
 rest_ends (const rt_fleet_t *fleet, el_time_t now, el_str_t service,
            el_time_t **out)
@@ -412,10 +422,10 @@
   return n;
 }
 
-/** When there will be a line again that only rests keep from being, as soon as
-    so many of them are over; 0 where there is one, or where there will be
-   none. Rests that end later take nothing away, so that the moment is found by
-    halves: 11 searches where 1,900 engines rest. */
+/** The time at which enough rests have ended for a chain to exist; 0 if there
+   is one now, or if there is none even after all rests. Each rest that ends
+   only adds engines, so binary search finds the time: 11 searches for 1,900
+   resting engines. */
 el_time_t
 rt_line_opens (rt_fleet_t *fleet, el_time_t now, const rt_line_want_t *want)
 {
@@ -444,7 +454,7 @@
   return opens;
 }
 
-/* Search a line that begins as SEARCH's old one does. */
+/* Searches a chain that keeps the first part of SEARCH's old one. */
 static int
 chain_search_around (chain_search_t *search, rt_fleet_t *fleet, el_time_t now,
                      const rt_service_t *service, const rt_tried_t *tried,
@@ -470,8 +480,9 @@
   return search_result (search, first->to, out);
 }
 
-/** A line that begins as OLD does and goes around the engines in TRIED; parts
-    of OLD that can stay are kept. Gives 0 when there is none. */
+/** Selects a chain that keeps OLD's first part and avoids the engines in
+   TRIED. Other parts of OLD are kept where possible. Returns 0 if there is
+   none. */
 int
 rt_line_around (rt_fleet_t *fleet, el_time_t now, const rt_service_t *service,
                 const rt_line_t *old, const rt_tried_t *tried, rt_line_t *out)
--- a/route/line_use.c
+++ b/route/line_use.c
@@ -3,11 +3,11 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Lines in use: what they pass, and what they put on their engines.
+ * Chains in use: their engines, and the load that they add to them.
  */
 #include "relay.h"
 
-/** Whether the line passes TARGET. */
+/** Whether CHAIN includes TARGET. */
 int
 rt_line_has (const rt_line_t *chain, const rt_target_t *target)
 {
@@ -19,7 +19,7 @@
   return 0;
 }
 
-/** The engine of LINE at ADDRESS; NULL without it. */
+/** The engine of CHAIN at ADDRESS; NULL if there is none. */
 rt_target_t *
 rt_line_engine (const rt_line_t *chain, el_str_t address)
 {
@@ -31,8 +31,8 @@
   return NULL;
 }
 
-/** The part of LINE by which TARGET runs the layers from FROM to TO; NULL
-    without it. LINE may be NULL. */
+/** The part of CHAIN in which TARGET runs exactly the layers from FROM to TO;
+    NULL if there is none. CHAIN may be NULL. */
 const struct rt_part *
 rt_line_part (const rt_line_t *chain, const rt_target_t *target, unsigned from,
               unsigned to)
@@ -46,7 +46,7 @@
   return NULL;
 }
 
-/** Whether the line leaves the hall of its first engine. */
+/** Whether CHAIN includes an engine outside the hall of its first one. */
 int
 rt_line_crosses (const rt_line_t *chain)
 {
@@ -65,9 +65,9 @@
   return part->to - part->from;
 }
 
-/** The line is in use: its engines stay in memory and count as loaded. UNREAD
-    tokens are to be read by each part, but for those that OLD has, too: they
-    go on with what they have. OLD may be NULL. */
+/** Puts CHAIN into use: takes references to its engines and adds its load to
+    them. Each part has UNREAD tokens to prefill, except the parts that OLD has
+    too, which keep their progress. OLD may be NULL. */
 void
 rt_line_hold (rt_line_t *chain, const rt_line_t *old, double unread)
 {
@@ -87,7 +87,7 @@
     }
 }
 
-/* All parts have read what there was. */
+/* All parts have completed their prefill. */
 static void
 chain_prefilled (rt_line_t *chain)
 {
@@ -103,7 +103,8 @@
   chain->prefilling = 0;
 }
 
-/** An event came at NOW: all parts live and have read what there was. */
+/** An event of the stream arrived at NOW: all engines are alive and have
+    completed their prefill. */
 void
 rt_line_event (rt_line_t *chain, el_time_t now)
 {
@@ -114,8 +115,8 @@
     chain->part[i].target->alive = now;
 }
 
-/** The engine of LINE that this host gave most to hold, of those that are not
-    in OLD; NULL without any. */
+/** The engine of CHAIN, outside OLD, that holds the most KV cache of this
+   host's streams; NULL if there is none. */
 rt_target_t *
 rt_line_fullest (const rt_line_t *chain, const rt_line_t *old)
 {
@@ -133,7 +134,7 @@
   return fullest;
 }
 
-/** The line is no longer in use. */
+/** Ends the use of CHAIN: removes its load and releases its engines. */
 void
 rt_line_release (rt_line_t *chain)
 {
--- a/route/rules.c
+++ b/route/rules.c
@@ -3,14 +3,15 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * One configuration of relayed requests: which rule a request falls under,
- * whose a key is.
+ * The configuration of relayed requests: looks up the rule for a request, the
+ * customer of an API key, and services.
  */
 #include <string.h>
 
 #include "relay.h"
 
-/** Rules whose strings will point into JSON; takes over the reference. */
+/** Creates empty rules whose strings will point into JSON; takes over the
+    reference. */
 rt_rules_t *
 rt_rules_new (json_t *json)
 {
@@ -21,7 +22,7 @@
   return rules;
 }
 
-/* Host and prefix, with a byte between them that neither holds. */
+/* Joins host and prefix with a separator that occurs in neither. */
 static char *
 index_key (el_str_t host, el_str_t prefix, size_t *len)
 {
@@ -35,7 +36,7 @@
   return key;
 }
 
-/** Make what the look-ups use, once all is filled in. */
+/** Builds the hash tables, once the arrays are filled in. */
 void
 rt_rules_index (rt_rules_t *rules)
 {
@@ -65,7 +66,7 @@
     }
 }
 
-/** Keep RULES in memory until rt_rules_unref. */
+/** Takes a reference to RULES; rt_rules_unref releases it. */
 rt_rules_t *
 rt_rules_ref (rt_rules_t *rules)
 {
@@ -73,7 +74,8 @@
   return rules;
 }
 
-/** Let go of RULES, which may be NULL; the last one frees them. */
+/** Releases a reference to RULES; the last one frees them. RULES may be NULL.
+ */
 void
 rt_rules_unref (rt_rules_t *rules)
 {
@@ -98,8 +100,7 @@
   free (rules);
 }
 
-/** The rule of a host name whose prefix begins PATH and is the longest; NULL
-    without one. */
+/** The rule of HOST with the longest prefix of PATH; NULL if there is none. */
 const rt_rule_t *
 rt_rules_match (const rt_rules_t *rules, el_str_t host, el_str_t path)
 {
@@ -119,7 +120,7 @@
   return rule;
 }
 
-/** The key with this text; NULL when no customer has it. */
+/** The API key with this text; NULL if no customer has it. */
 const rt_key_t *
 rt_rules_key (const rt_rules_t *rules, el_str_t text)
 {
@@ -130,7 +131,7 @@
   return key;
 }
 
-/** The service named NAME; NULL without one. */
+/** The service NAME; NULL if there is none. */
 const rt_service_t *
 rt_rules_service (const rt_rules_t *rules, el_str_t name)
 {
@@ -141,7 +142,7 @@
   return service;
 }
 
-/** The service that a request of RULE goes to, by weight; DRAW is random. */
+/** Selects by weight the service for a request of RULE; DRAW is random. */
 el_str_t
 rt_rule_service (const rt_rule_t *rule, uint64_t draw)
 {
