--- a/route/digest.c
+++ b/route/digest.c
@@ -24,9 +24,9 @@
   EVP_DigestUpdate (ctx, part.ptr, part.len);
 }
 
-/** The digest of ASKED under the hosts' KEY; never 0. */
+/** The digest of INPUT under the hosts' KEY; never 0. */
 rt_digest_t
-rt_digest (el_str_t key, const rt_asked_t *asked)
+rt_digest (el_str_t key, const rt_asked_t *input)
 {
   unsigned char hash[EVP_MAX_MD_SIZE];
   EVP_MD_CTX *ctx = EVP_MD_CTX_new ();
@@ -34,11 +34,11 @@
 
   EVP_DigestInit_ex (ctx, EVP_sha256 (), NULL);
   digest_add (ctx, key);
-  digest_add (ctx, asked->customer);
-  digest_add (ctx, asked->method);
-  digest_add (ctx, asked->host);
-  digest_add (ctx, asked->path);
-  digest_add (ctx, asked->body);
+  digest_add (ctx, input->customer);
+  digest_add (ctx, input->method);
+  digest_add (ctx, input->host);
+  digest_add (ctx, input->path);
+  digest_add (ctx, input->body);
   EVP_DigestFinal_ex (ctx, hash, NULL);
   EVP_MD_CTX_free (ctx);
   memcpy (&digest, hash, sizeof digest);
--- a/route/fall.c
+++ b/route/fall.c
@@ -22,13 +22,13 @@
 rt_order_digest (el_str_t key, const rt_order_t *order)
 {
   const unsigned layers = order->end - order->first;
-  const rt_asked_t asked
+  const rt_asked_t input
       = { .method = EL_STR ("order"),
           .host = order->target->facts.service,
           .path = order->target->facts.card,
           .body = { (const char *)&layers, sizeof layers } };
 
-  return rt_digest (key, &asked);
+  return rt_digest (key, &input);
 }
 
 static rt_fall_t *
--- a/route/fleet.c
+++ b/route/fleet.c
@@ -127,8 +127,8 @@
   free (target);
 }
 
-/** Whether FACTS and TARGET are of the same process, as far as start times are
-    known. */
+/** Whether listed attributes and TARGET are of the same process, as far as
+   start times are known. */
 int
 rt_target_same_start (const rt_target_t *target, const rt_facts_t *facts)
 {
--- a/route/line_use.c
+++ b/route/line_use.c
@@ -66,8 +66,8 @@
 }
 
 /** Puts CHAIN into use: takes references to its engines and adds its load to
-    them. Each part has UNREAD tokens to prefill, except the parts that OLD has
-    too, which keep their progress. OLD may be NULL. */
+    them. Each part has the given number of tokens to prefill, except the parts
+    that OLD has too, which keep their progress. OLD may be NULL. */
 void
 rt_line_hold (rt_line_t *chain, const rt_line_t *old, double unread)
 {
--- a/route/relay.h
+++ b/route/relay.h
@@ -163,14 +163,14 @@
   unsigned running;   /**< requests of this host in flight there */
   unsigned lines;     /**< streams of this host whose chain includes it */
   double held;        /**< this host's streams, in tokens times layers */
-  double unread;      /**< part of it that is not prefilled yet */
+  double unread;      /**< part of that load that is not prefilled yet */
   el_time_t alive;    /**< time of the last event of a stream through it */
   double pace; /**< slowdown relative to its accelerator type; 0: unknown,
                   taken as 1 */
-  double fill; /**< KV memory in use, as reported at TOLD */
-  double held_at_report;      /**< HELD at that time */
-  double taken;               /**< running and queued requests, as reported */
-  unsigned running_at_report; /**< RUNNING at that time */
+  double fill; /**< KV memory in use, as last reported */
+  double held_at_report; /**< load of this host's streams at that report */
+  double taken; /**< running and queued requests per slot, as last reported */
+  unsigned running_at_report; /**< RUNNING at that report */
   el_time_t told;             /**< time of the last load report; 0: none yet */
   el_time_t asked; /**< when the outstanding health check was sent; 0: none is
                       outstanding */
@@ -319,11 +319,11 @@
 const rt_card_t *rt_model_card (const rt_model_t *model, el_str_t name);
 size_t rt_layout_next (rt_fleet_t *fleet, const rt_service_t *service,
                        const rt_order_t *pending, size_t npending,
-                       rt_order_t *out, size_t most);
+                       rt_order_t *out, size_t max_orders);
 
 size_t rt_layout_repair (rt_fleet_t *fleet, const rt_service_t *service,
                          const rt_order_t *pending, size_t npending,
-                         rt_order_t *out, size_t most);
+                         rt_order_t *out, size_t max_orders);
 
 /* Digests of requests and orders, and orders that engines fail under. */
 
@@ -342,7 +342,7 @@
 
 #define RT_DIGEST_HEX 16
 
-rt_digest_t rt_digest (el_str_t key, const rt_asked_t *asked);
+rt_digest_t rt_digest (el_str_t key, const rt_asked_t *input);
 void rt_digest_hex (rt_digest_t digest, char out[RT_DIGEST_HEX + 1]);
 int rt_digest_read (el_str_t text, rt_digest_t *out);
 rt_digest_t rt_order_digest (el_str_t key, const rt_order_t *order);
