--- a/route/access.c
+++ b/route/access.c
@@ -144,7 +144,7 @@
 }
 
 /** A request failed there. Returns 1 if it is set aside now. With IMMEDIATE
-   one failure is enough. */
+    one failure is enough. */
 int
 rt_access_failed (rt_access_t *access, el_time_t now,
                   const rt_avoid_t *ejection, int immediate)
--- a/route/course.c
+++ b/route/course.c
@@ -28,7 +28,7 @@
 }
 
 /** Decides what follows an attempt. LEFT is the time that the request has
-   left, BUDGET whether the shared budget allows a retry. */
+    left, BUDGET whether the shared budget allows a retry. */
 rt_next_t
 rt_course_next (rt_course_t *state, const rt_rule_t *rule,
                 const rt_attempt_t *attempt, int budget, el_time_t left)
@@ -53,7 +53,7 @@
 
 /** Initializes a budget for all hosts together: RATIO retries per request plus
     SLACK retries in any WINDOW. A process that started at BORN uses no slack
-   in its first window. */
+    in its first window. */
 void
 rt_spend_open (rt_spend_t *pool, double ratio, double slack, el_time_t window,
                el_time_t born)
@@ -90,8 +90,8 @@
 }
 
 /** Whether this host's portion of the budget has a retry left. The portion
-   grows only a window after other hosts died, as what they spent still counts.
- */
+    grows only a window after other hosts died, as what they spent still
+    counts. */
 int
 rt_spend_left (rt_spend_t *pool, el_time_t now, size_t hosts)
 {
--- a/route/estimate.c
+++ b/route/estimate.c
@@ -91,7 +91,7 @@
 }
 
 /** Estimates the cost of a stream of TOKENS at TARGET, an engine with one of
-   the model's accelerator types. */
+    the model's accelerator types. */
 rt_estimate_t
 rt_estimate (const rt_fleet_t *fleet, const rt_model_t *model,
              const rt_target_t *target, double tokens, el_time_t now)
--- a/route/fleet.c
+++ b/route/fleet.c
@@ -14,8 +14,8 @@
 static const rt_avoid_t ejection = {
   .after = 2, .first = 200 * EL_MSEC, .doublings = 4, .most = 3200 * EL_MSEC
 };
-/* How long an engine without capacity is set aside; streams end all the time.
- */
+/* How long an engine without capacity is set aside; streams end all the
+   time. */
 #define BUSY_HOLD (100 * EL_MSEC)
 /* Updates of an endpoint's entry take about a second to arrive. */
 #define CHANGED_HOLD (1000 * EL_MSEC)
@@ -32,7 +32,7 @@
 
 /* State of an endpoint process that is not listed. Entries expire while the
    store is unreachable, and return. */
-typedef struct entry
+typedef struct unlisted
 {
   el_str_t id;
   uint64_t born;
@@ -116,8 +116,8 @@
   to->card = el_str_dup (from->card);
 }
 
-/** Releases a reference to TARGET; the last one frees it. TARGET may be NULL.
- */
+/** Releases a reference to TARGET; the last one frees it. TARGET may be
+    NULL. */
 void
 rt_target_unref (rt_target_t *target)
 {
@@ -128,7 +128,7 @@
 }
 
 /** Whether listed attributes and TARGET are of the same process, as far as
-   start times are known. */
+    start times are known. */
 int
 rt_target_same_start (const rt_target_t *target, const rt_facts_t *facts)
 {
@@ -263,7 +263,7 @@
 }
 
 /** Calls LEFT for each draining process: those listed, and those among the
-   MOST newest unlisted entries. */
+    MOST newest unlisted entries. */
 void
 rt_fleet_left (const rt_fleet_t *fleet, size_t most, rt_left_cb left,
                void *arg)
@@ -493,7 +493,7 @@
 
 /** Selects an endpoint of SERVICE for a request from HALL; NULL if none may be
     used. If all are set aside, one of them is used anyway unless it rests or
-   is draining. */
+    is draining. */
 rt_target_t *
 rt_fleet_pick (rt_fleet_t *fleet, el_time_t now, el_str_t service,
                el_str_t hall, const rt_tried_t *tried)
@@ -523,10 +523,10 @@
 }
 
 /** Selects the endpoint of SERVICE for a suspect request; NULL if there is
-   none. An engine must hold the first layers. Rendezvous hashing with DRAW
-   makes all hosts choose the same endpoint, and spreads suspects over
-   different ones. An endpoint that another suspect may be about to crash is
-   skipped. */
+    none. An engine must hold the first layers. Rendezvous hashing with DRAW
+    makes all hosts choose the same endpoint, and spreads suspects over
+    different ones. An endpoint that another suspect may be about to crash is
+    skipped. */
 rt_target_t *
 rt_fleet_apart (const rt_fleet_t *fleet, el_time_t now, el_str_t service,
                 uint64_t draw, const rt_tried_t *tried)
--- a/route/layout.c
+++ b/route/layout.c
@@ -158,8 +158,8 @@
   return n;
 }
 
-/* Most tokens of KV cache reserved per engine, by the largest number of slots.
- */
+/* Most tokens of KV cache reserved per engine, by the largest number of
+   slots. */
 static double
 hall_max_room (const layout_t *layout, el_str_t hall)
 {
@@ -433,8 +433,8 @@
 }
 
 /** Fills OUT with orders that move redundant copies to layers that a hall
-   lacks, for use when no empty engine is left. Returns the number of orders.
- */
+    lacks, for use when no empty engine is left. Returns the number of
+    orders. */
 size_t
 rt_layout_repair (rt_fleet_t *fleet, const rt_service_t *service,
                   const rt_order_t *pending, size_t npending, rt_order_t *out,
--- a/route/line.c
+++ b/route/line.c
@@ -21,8 +21,8 @@
    stream once, and rises in proportion when it could not, as all streams share
    it. */
 #define CROSSING_MS 4.0
-/* Most jitter in the cost, so that hosts do not all choose the same engines.
- */
+/* Most jitter in the cost, so that hosts do not all choose the same
+   engines. */
 #define COST_JITTER 0.15
 /* Cost factor of a part that already has the stream's KV cache. */
 #define KEPT_PART_FACTOR 0.3
@@ -37,8 +37,7 @@
 typedef struct chain_node
 {
   double cost;
-  const struct chain_candidate
-      *candidate; /* engine of the part that ends here */
+  const struct chain_candidate *candidate; /* of the part up to here */
   unsigned from;
   unsigned from_hall;
 } chain_node_t;
@@ -64,8 +63,7 @@
 {
   const rt_line_t *old;     /* chain to reroute: its parts are cheaper */
   const rt_target_t *first; /* engine of the first part; runs no other part */
-  const rt_target_t
-      *begin; /* required first engine of a new chain; NULL: any */
+  const rt_target_t *begin; /* required first engine; NULL: any */
   chain_trust_t trust;
   el_time_t now;
   double tokens;      /* expected length of the stream */
@@ -91,8 +89,8 @@
   return 0;
 }
 
-/** Whether the parts run every layer once and in order, and no engine twice.
- */
+/** Whether the parts run every layer once and in order, and no engine
+    twice. */
 int
 rt_line_valid (const rt_line_t *chain, unsigned layers)
 {
@@ -423,9 +421,9 @@
 }
 
 /** The time at which enough rests have ended for a chain to exist; 0 if there
-   is one now, or if there is none even after all rests. Each rest that ends
-   only adds engines, so binary search finds the time: 11 searches for 1,900
-   resting engines. */
+    is one now, or if there is none even after all rests. Each rest that ends
+    only adds engines, so binary search finds the time: 11 searches for 1,900
+    resting engines. */
 el_time_t
 rt_line_opens (rt_fleet_t *fleet, el_time_t now, const rt_line_want_t *want)
 {
@@ -481,8 +479,8 @@
 }
 
 /** Selects a chain that keeps OLD's first part and avoids the engines in
-   TRIED. Other parts of OLD are kept where possible. Returns 0 if there is
-   none. */
+    TRIED. Other parts of OLD are kept where possible. Returns 0 if there is
+    none. */
 int
 rt_line_around (rt_fleet_t *fleet, el_time_t now, const rt_service_t *service,
                 const rt_line_t *old, const rt_tried_t *tried, rt_line_t *out)
--- a/route/line_use.c
+++ b/route/line_use.c
@@ -116,7 +116,7 @@
 }
 
 /** The engine of CHAIN, outside OLD, that holds the most KV cache of this
-   host's streams; NULL if there is none. */
+    host's streams; NULL if there is none. */
 rt_target_t *
 rt_line_fullest (const rt_line_t *chain, const rt_line_t *old)
 {
--- a/route/relay.h
+++ b/route/relay.h
@@ -259,8 +259,8 @@
 /** Most engines of a chain. */
 #define RT_LINE_MAX 32
 
-/** Engines that run a model's layers as a pipeline: every layer once, in
- * order. */
+/** Engines that run a model's layers as a pipeline: every layer once, in *
+    order. */
 typedef struct rt_line
 {
   struct rt_part
@@ -398,8 +398,8 @@
 
 /* The retry budget that all hosts share. Each spends its own portion. */
 
-/** Slots of the sliding window: ten full ones and the newest, which is
- * partial. */
+/** Slots of the sliding window: ten full ones and the newest, which is *
+    partial. */
 #define RT_WINDOW_SLOTS 11
 
 typedef struct rt_spend
--- a/route/rules.c
+++ b/route/rules.c
@@ -74,8 +74,8 @@
   return rules;
 }
 
-/** Releases a reference to RULES; the last one frees them. RULES may be NULL.
- */
+/** Releases a reference to RULES; the last one frees them. RULES may be
+    NULL. */
 void
 rt_rules_unref (rt_rules_t *rules)
 {
