--- a/route/line_use.c
+++ b/route/line_use.c
@@ -87,7 +87,7 @@
     }
 }
 
-/* All parts have completed their prefill. */
+/* Marks all parts as prefilled and removes their prefill load. */
 static void
 chain_prefilled (rt_line_t *chain)
 {
