--- a/route/fall.c
+++ b/route/fall.c
@@ -3,66 +3,66 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Orders that engines end after. What an operator says of a card may be wrong,
- * and each engine of its kind falls under the order that was worked out from
- * it, starts again empty, and is given the same one: all of them, every few
- * seconds, for ever.
+ * Detects layer orders that crash engines. If an accelerator type is
+ * configured wrongly, its engines crash under the orders computed from it,
+ * restart empty and get the same order again: all engines of that type, every
+ * few seconds, indefinitely.
  */
 #include <string.h>
 
 #include "relay.h"
 
-/* Engines that ended under an order before another one showed it: one or two
-   may have ended for a reason of their own. */
-#define FALLS_MOST 3
+/* Engine failures under an order, without a success in between, that withdraw
+   it. One or two may have another cause. */
+#define FAILURES_MAX 3
 
-/** What an order is known by: as many layers on such a card, whichever they
-    are. */
+/** Digest of an order: of the service, the accelerator type and the number of
+    layers, not of which layers they are. */
 rt_digest_t
 rt_order_digest (el_str_t key, const rt_order_t *order)
 {
   const unsigned layers = order->end - order->first;
-  const rt_asked_t asked
+  const rt_asked_t input
       = { .method = EL_STR ("order"),
           .host = order->target->facts.service,
           .path = order->target->facts.card,
           .body = { (const char *)&layers, sizeof layers } };
 
-  return rt_digest (key, &asked);
+  return rt_digest (key, &input);
 }
 
 static rt_fall_t *
-fall_find (rt_falls_t *falls, rt_digest_t digest)
+failure_find (rt_falls_t *failures, rt_digest_t digest)
 {
   size_t i;
 
   for (i = 0; i < RT_FALLS; i++)
-    if (falls->list[i].digest == digest)
-      return &falls->list[i];
+    if (failures->list[i].digest == digest)
+      return &failures->list[i];
   return NULL;
 }
 
-/** An engine ended under its order; gives 1 when no other
-    should be given that order. */
+/** Counts an engine that exited under its order. Returns 1 if the order should
+    not be given to any other engine. */
 int
-rt_falls_ended (rt_falls_t *falls, rt_digest_t digest)
+rt_falls_ended (rt_falls_t *failures, rt_digest_t digest)
 {
-  rt_fall_t *fall = fall_find (falls, digest);
+  rt_fall_t *failure = failure_find (failures, digest);
 
-  if (!fall)
+  if (!failure)
     {
-      fall = &falls->list[falls->next++ % RT_FALLS];
-      *fall = (rt_fall_t){ .digest = digest };
+      failure = &failures->list[failures->next++ % RT_FALLS];
+      *failure = (rt_fall_t){ .digest = digest };
     }
-  return ++fall->n == FALLS_MOST;
+  return ++failure->n == FAILURES_MAX;
 }
 
-/** An engine shows what it was ordered. */
+/** Resets the failures of an order that an engine carried out. */
 void
-rt_falls_done (rt_falls_t *falls, rt_digest_t digest)
+rt_falls_done (rt_falls_t *failures, rt_digest_t digest)
 {
-  rt_fall_t *fall = fall_find (falls, digest);
+  rt_fall_t *failure = failure_find (failures, digest);
 
-  if (fall)
-    *fall = (rt_fall_t){ 0 };
+  if (failure)
+    *failure = (rt_fall_t){ 0 };
 }
--- a/route/layout.c
+++ b/route/layout.c
@@ -3,9 +3,9 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Where layers are placed: each empty engine takes the range that its hall
- * needs most. Engines that hold layers stay as they are, but for spare copies,
- * which are moved where a hall lacks layers and no engine is empty.
+ * Layer placement: each empty engine is assigned the range that its hall needs
+ * most. Loaded engines are left alone, except for redundant copies, which are
+ * moved if a hall lacks layers and no engine is empty.
  */
 #include <string.h>
 
@@ -13,20 +13,21 @@
 
 #define LAYERS_MAX 256
 #define HALLS_MAX 32
-/* How often a hall's engines must be able to hold the model. Memory is either
-   room for streams or spare copies of layers: a hall whose engines hold it
-   once is stopped by each loss, one with more copies puts streams back. */
-#define COPIES 1.25
-/* The most room that an engine is given, as a share of its slots' worth of
-   usual requests: streams go to the quick engines first, and memory that none
-   of them uses is better one more layer, fewer engines in a line and more
-   copies. Load pattern: a hall without its large engines. Fleets whose memory
-   is scarce have less room anyway. */
-#define ROOM_SLOTS 0.75
-/* The room is looked for in such steps, down to one usual request. */
-#define ROOM_STEP 0.95
-
-/** The card of that name; NULL when the model does not list it. */
+/* Copies of the model that a hall's engines should be able to hold. Memory
+   holds either KV cache or copies of layers: with one copy each loss of an
+   engine stops the hall, with more copies streams get preempted for lack of
+   memory. */
+#define MODEL_COPIES 1.25
+/* Most KV cache reserved on an engine, as a fraction of what typical requests
+   in all its slots need. Streams go to the fast engines first, and memory that
+   no stream uses is better spent on another layer: chains get shorter and
+   copies more. The load pattern behind it is a hall without its large engines.
+   Fleets with little memory reserve less anyway. */
+#define ROOM_SLOT_SHARE 0.75
+/* The reserve is reduced by this factor, down to one typical request. */
+#define ROOM_DECAY 0.95
+
+/** The accelerator type NAME; NULL if the model does not list it. */
 const rt_card_t *
 rt_model_card (const rt_model_t *model, el_str_t name)
 {
@@ -38,7 +39,7 @@
   return NULL;
 }
 
-/* A hall, and the tokens that should fit beside the layers of its engines. */
+/* A hall, and the tokens of KV cache that its engines reserve. */
 typedef struct layout_hall
 {
   el_str_t name;
@@ -57,8 +58,8 @@
   size_t n;
 } layout_t;
 
-/* The most layers on a card that leave room for ROOM tokens beside them; at
-   least one when one fits at all. */
+/* Most layers that fit on a card with KV cache for ROOM tokens; at least one
+   if one fits without any. */
 static unsigned
 card_layers (const rt_model_t *model, const rt_card_t *card, double room)
 {
@@ -90,8 +91,8 @@
     cover[first]++;
 }
 
-/* How many engines of a hall, or of all when HALL is empty, hold or will hold
-   each layer. */
+/* Counts for each layer the engines that hold or will hold it, in HALL or, if
+   that is empty, in all halls. */
 static void
 layout_cover (const layout_t *layout, el_str_t hall, unsigned *cover)
 {
@@ -119,7 +120,7 @@
 }
 
 static int
-layout_empty (const layout_t *layout, const rt_target_t *target)
+target_is_empty (const layout_t *layout, const rt_target_t *target)
 {
   return el_str_eq (target->facts.service, layout->service->name)
          && !rt_target_leaves (target) && !target->access.gone
@@ -128,7 +129,7 @@
          && !order_for (layout->out, layout->n, target);
 }
 
-/* The card of TARGET when it is an engine that is laid out. */
+/* The accelerator type of TARGET; NULL if it is not placed. */
 static const rt_card_t *
 layout_card (const layout_t *layout, const rt_target_t *target)
 {
@@ -138,7 +139,8 @@
   return rt_model_card (&layout->service->model, target->facts.card);
 }
 
-/* Layers that the engines of a hall can hold together beside ROOM tokens. */
+/* Total layers that the engines of a hall can hold with KV cache for ROOM
+   tokens each. */
 static unsigned
 hall_layers (const layout_t *layout, el_str_t hall, double room)
 {
@@ -156,9 +158,10 @@
   return n;
 }
 
-/* The most tokens that one engine is given room for, by its slots. */
+/* Most tokens of KV cache reserved per engine, by the largest number of
+   slots. */
 static double
-hall_most (const layout_t *layout, el_str_t hall)
+hall_max_room (const layout_t *layout, el_str_t hall)
 {
   rt_target_t *target;
   uint64_t slots = 1;
@@ -168,19 +171,19 @@
     if (layout_card (layout, target) && el_str_eq (target->facts.hall, hall)
         && target->facts.slots > slots)
       slots = target->facts.slots;
-  return ROOM_SLOTS * (double)slots * layout->service->model.usual_tokens;
+  return ROOM_SLOT_SHARE * (double)slots * layout->service->model.usual_tokens;
 }
 
-/* As much room as leaves COPIES of the model in the hall. */
+/* The largest reserve that leaves MODEL_COPIES of the model in the hall. */
 static double
 hall_room (const layout_t *layout, el_str_t hall)
 {
   const rt_model_t *model = &layout->service->model;
-  double room = hall_most (layout, hall);
+  double room = hall_max_room (layout, hall);
 
   while (room > model->usual_tokens
-         && hall_layers (layout, hall, room) < COPIES * model->layers)
-    room *= ROOM_STEP;
+         && hall_layers (layout, hall, room) < MODEL_COPIES * model->layers)
+    room *= ROOM_DECAY;
   return room;
 }
 
@@ -201,7 +204,7 @@
   return hall;
 }
 
-/* Layers for an engine; 0 when it is none that is laid out. */
+/* Number of layers for an engine; 0 if it is not placed. */
 static unsigned
 target_layers (layout_t *layout, const rt_target_t *target)
 {
@@ -213,16 +216,16 @@
                       layout_hall (layout, target->facts.hall)->room);
 }
 
-/* Whether the engines of a hall can hold the model without others. */
+/* Whether the engines of a hall can hold the whole model. */
 static int
-hall_alone (layout_t *layout, el_str_t hall)
+hall_self_sufficient (layout_t *layout, el_str_t hall)
 {
   return hall_layers (layout, hall, layout_hall (layout, hall)->room)
          >= layout->service->model.layers;
 }
 
-/* Milliseconds that a layer adds to a token at an engine, its part of the way
-   from one engine to the next included. */
+/* Token latency per layer at an engine, including its share of the latency to
+   the next engine. */
 static double
 layer_ms (const rt_model_t *model, const rt_card_t *card, unsigned n)
 {
@@ -230,10 +233,10 @@
          + RT_HOP_MS / (double)n;
 }
 
-/* The empty engine where a layer costs a token least: the quick ones make a
-   hall's line, the others its copies. */
+/* The empty engine with the least latency per layer. So the fast engines form
+   a hall's chain, and the others hold the copies. */
 static rt_target_t *
-layout_quickest (layout_t *layout, unsigned *layers)
+layout_fastest (layout_t *layout, unsigned *layers)
 {
   rt_target_t *best = NULL;
   rt_target_t *target;
@@ -242,8 +245,9 @@
   for (target = rt_fleet_first (layout->fleet); target;
        target = target->hh.next)
     {
-      unsigned n
-          = layout_empty (layout, target) ? target_layers (layout, target) : 0;
+      unsigned n = target_is_empty (layout, target)
+                       ? target_layers (layout, target)
+                       : 0;
       double ms;
 
       if (n == 0)
@@ -258,12 +262,12 @@
   return best;
 }
 
-/* Where a range of N layers begins: at the first of the layers that nobody
-   holds. When all are held it is a spare copy, and ends at the last of those
-   that the fewest hold: large engines hold the first layers, so that copies
-   from the end stand in for the most engines. */
+/* First layer of a new range of N layers: the first layer that no engine
+   holds. If all are held, the range is a redundant copy and ends at the last
+   of the layers with the fewest holders: large engines hold the first layers,
+   so copies from the end can replace the most engines. */
 static unsigned
-layout_begin (const unsigned *cover, unsigned layers, unsigned n)
+range_begin (const unsigned *cover, unsigned layers, unsigned n)
 {
   unsigned least = 0;
   unsigned last = 0;
@@ -281,12 +285,12 @@
   return least + n > layers ? layers - n : least;
 }
 
-/** Fill OUT with orders for engines that hold nothing yet; PENDING are orders
-    given whose outcome is not seen. Gives their number. */
+/** Fills OUT with orders for empty engines. PENDING are orders given whose
+    outcome is not known yet. Returns the number of new orders. */
 size_t
 rt_layout_next (rt_fleet_t *fleet, const rt_service_t *service,
                 const rt_order_t *pending, size_t npending, rt_order_t *out,
-                size_t most)
+                size_t max_orders)
 {
   layout_t layout = { .service = service,
                       .fleet = fleet,
@@ -301,23 +305,22 @@
 
   if (service->model.layers == 0 || service->model.layers > LAYERS_MAX)
     return 0;
-  while (layout.n < most && (target = layout_quickest (&layout, &n)))
+  while (layout.n < max_orders && (target = layout_fastest (&layout, &n)))
     {
       hall = target->facts.hall;
-      if (!hall_alone (&layout, hall))
+      if (!hall_self_sufficient (&layout, hall))
         hall = (el_str_t){ NULL, 0 };
       layout_cover (&layout, hall, cover);
-      begin = layout_begin (cover, service->model.layers, n);
+      begin = range_begin (cover, service->model.layers, n);
       out[layout.n++] = (rt_order_t){ target, begin, begin + n };
     }
   return layout.n;
 }
 
-/* Whether TARGET could give up what it holds: others of its hall hold all of
-   it, too. */
+/* Whether TARGET is redundant: others of its hall hold all its layers too. */
 static int
-layout_spare (const layout_t *layout, const rt_target_t *target,
-              const unsigned *cover)
+target_is_spare (const layout_t *layout, const rt_target_t *target,
+                 const unsigned *cover)
 {
   unsigned i;
 
@@ -333,9 +336,9 @@
   return 1;
 }
 
-/* The first layer that nobody holds; LAYERS when all are held. */
+/* The first layer that no engine holds; LAYERS if all are held. */
 static unsigned
-cover_hole (const unsigned *cover, unsigned layers)
+cover_gap (const unsigned *cover, unsigned layers)
 {
   unsigned from = 0;
 
@@ -344,30 +347,30 @@
   return from;
 }
 
-/* The spare engine of a hall whose move fills most of the hole at FROM; the
-   least used one of those that are alike. */
+/* The redundant engine of a hall that can fill most of the gap at FROM; among
+   equals the one in the fewest chains. */
 static rt_target_t *
-layout_mover (layout_t *layout, el_str_t hall, const unsigned *cover,
-              unsigned from, unsigned *layers)
+layout_pick_spare (layout_t *layout, el_str_t hall, const unsigned *cover,
+                   unsigned from, unsigned *layers)
 {
   const rt_model_t *model = &layout->service->model;
   rt_target_t *best = NULL;
   rt_target_t *target;
-  unsigned hole = 0;
+  unsigned gap = 0;
   unsigned n;
 
-  while (from + hole < model->layers && !cover[from + hole])
-    hole++;
+  while (from + gap < model->layers && !cover[from + gap])
+    gap++;
   *layers = 0;
   for (target = rt_fleet_first (layout->fleet); target;
        target = target->hh.next)
     {
       if (!el_str_eq (target->facts.hall, hall)
-          || !layout_spare (layout, target, cover))
+          || !target_is_spare (layout, target, cover))
         continue;
       n = target_layers (layout, target);
-      if (n > hole)
-        n = hole;
+      if (n > gap)
+        n = gap;
       if (n < *layers
           || (best && n == *layers && target->lines >= best->lines))
         continue;
@@ -390,9 +393,9 @@
   return 0;
 }
 
-/* Whether TARGET is the first of its hall in the list. */
+/* Whether TARGET is the first of its hall in the list of endpoints. */
 static int
-hall_first (const layout_t *layout, const rt_target_t *target)
+is_first_of_hall (const layout_t *layout, const rt_target_t *target)
 {
   const rt_target_t *other;
 
@@ -404,7 +407,7 @@
 }
 
 static void
-hall_repair (layout_t *layout, el_str_t hall, size_t most)
+hall_repair (layout_t *layout, el_str_t hall, size_t max_orders)
 {
   unsigned layers = layout->service->model.layers;
   unsigned cover[LAYERS_MAX];
@@ -414,13 +417,13 @@
 
   if (hall_pending (layout, hall))
     return;
-  while (layout->n < most)
+  while (layout->n < max_orders)
     {
       layout_cover (layout, hall, cover);
-      from = cover_hole (cover, layers);
-      if (from == layers || !hall_alone (layout, hall))
+      from = cover_gap (cover, layers);
+      if (from == layers || !hall_self_sufficient (layout, hall))
         return;
-      target = layout_mover (layout, hall, cover, from, &n);
+      target = layout_pick_spare (layout, hall, cover, from, &n);
       if (!target)
         return;
       if (from + n > layers)
@@ -429,12 +432,13 @@
     }
 }
 
-/** Fill OUT with orders that move spare copies where a hall lacks layers and
-    no empty engine is left. Gives their number. */
+/** Fills OUT with orders that move redundant copies to layers that a hall
+    lacks, for use when no empty engine is left. Returns the number of
+    orders. */
 size_t
 rt_layout_repair (rt_fleet_t *fleet, const rt_service_t *service,
                   const rt_order_t *pending, size_t npending, rt_order_t *out,
-                  size_t most)
+                  size_t max_orders)
 {
   layout_t layout = { .service = service,
                       .fleet = fleet,
@@ -447,7 +451,7 @@
     return 0;
   for (target = rt_fleet_first (fleet); target; target = target->hh.next)
     if (el_str_eq (target->facts.service, service->name)
-        && hall_first (&layout, target))
-      hall_repair (&layout, target->facts.hall, most);
+        && is_first_of_hall (&layout, target))
+      hall_repair (&layout, target->facts.hall, max_orders);
   return layout.n;
 }
--- a/route/line_use.c
+++ b/route/line_use.c
@@ -3,58 +3,58 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Lines in use: what they pass, and what they put on their engines.
+ * Chains in use: their engines, and the load that they add to them.
  */
 #include "relay.h"
 
-/** Whether the line passes TARGET. */
+/** Whether CHAIN includes TARGET. */
 int
-rt_line_has (const rt_line_t *line, const rt_target_t *target)
+rt_line_has (const rt_line_t *chain, const rt_target_t *target)
 {
   size_t i;
 
-  for (i = 0; i < line->n; i++)
-    if (line->part[i].target == target)
+  for (i = 0; i < chain->n; i++)
+    if (chain->part[i].target == target)
       return 1;
   return 0;
 }
 
-/** The engine of LINE at ADDRESS; NULL without it. */
+/** The engine of CHAIN at ADDRESS; NULL if there is none. */
 rt_target_t *
-rt_line_engine (const rt_line_t *line, el_str_t address)
+rt_line_engine (const rt_line_t *chain, el_str_t address)
 {
   size_t i;
 
-  for (i = 0; i < line->n; i++)
-    if (el_str_eq (line->part[i].target->facts.address, address))
-      return line->part[i].target;
+  for (i = 0; i < chain->n; i++)
+    if (el_str_eq (chain->part[i].target->facts.address, address))
+      return chain->part[i].target;
   return NULL;
 }
 
-/** The part of LINE by which TARGET runs the layers from FROM to TO; NULL
-    without it. LINE may be NULL. */
+/** The part of CHAIN in which TARGET runs exactly the layers from FROM to TO;
+    NULL if there is none. CHAIN may be NULL. */
 const struct rt_part *
-rt_line_part (const rt_line_t *line, const rt_target_t *target, unsigned from,
+rt_line_part (const rt_line_t *chain, const rt_target_t *target, unsigned from,
               unsigned to)
 {
   size_t i;
 
-  for (i = 0; line && i < line->n; i++)
-    if (line->part[i].target == target && line->part[i].from == from
-        && line->part[i].to == to)
-      return &line->part[i];
+  for (i = 0; chain && i < chain->n; i++)
+    if (chain->part[i].target == target && chain->part[i].from == from
+        && chain->part[i].to == to)
+      return &chain->part[i];
   return NULL;
 }
 
-/** Whether the line leaves the hall of its first engine. */
+/** Whether CHAIN includes an engine outside the hall of its first one. */
 int
-rt_line_crosses (const rt_line_t *line)
+rt_line_crosses (const rt_line_t *chain)
 {
   size_t i;
 
-  for (i = 1; i < line->n; i++)
-    if (!el_str_eq (line->part[i].target->facts.hall,
-                    line->part[0].target->facts.hall))
+  for (i = 1; i < chain->n; i++)
+    if (!el_str_eq (chain->part[i].target->facts.hall,
+                    chain->part[0].target->facts.hall))
       return 1;
   return 0;
 }
@@ -65,66 +65,67 @@
   return part->to - part->from;
 }
 
-/** The line is in use: its engines stay in memory and count as loaded. UNREAD
-    tokens are to be read by each part, but for those that OLD has, too: they
-    go on with what they have. OLD may be NULL. */
+/** Puts CHAIN into use: takes references to its engines and adds its load to
+    them. Each part has the given number of tokens to prefill, except the parts
+    that OLD has too, which keep their progress. OLD may be NULL. */
 void
-rt_line_hold (rt_line_t *line, const rt_line_t *old, double unread)
+rt_line_hold (rt_line_t *chain, const rt_line_t *old, double unread)
 {
   size_t i;
 
-  line->reading = 1;
-  for (i = 0; i < line->n; i++)
+  chain->prefilling = 1;
+  for (i = 0; i < chain->n; i++)
     {
-      struct rt_part *part = &line->part[i];
+      struct rt_part *part = &chain->part[i];
       const struct rt_part *kept
           = rt_line_part (old, part->target, part->from, part->to);
 
       part->unread = kept ? kept->unread : unread;
       rt_target_ref (part->target)->lines++;
-      part->target->held += line->tokens * part_layers (part);
+      part->target->held += chain->tokens * part_layers (part);
       part->target->unread += part->unread * part_layers (part);
     }
 }
 
-/* All parts have read what there was. */
+/* Marks all parts as prefilled and removes their prefill load. */
 static void
-line_read (rt_line_t *line)
+chain_prefilled (rt_line_t *chain)
 {
   size_t i;
 
-  for (i = 0; line->reading && i < line->n; i++)
+  for (i = 0; chain->prefilling && i < chain->n; i++)
     {
-      struct rt_part *part = &line->part[i];
+      struct rt_part *part = &chain->part[i];
 
       part->target->unread -= part->unread * part_layers (part);
       part->unread = 0;
     }
-  line->reading = 0;
+  chain->prefilling = 0;
 }
 
-/** An event came at NOW: all parts live and have read what there was. */
+/** An event of the stream arrived at NOW: all engines are alive and have
+    completed their prefill. */
 void
-rt_line_event (rt_line_t *line, el_time_t now)
+rt_line_event (rt_line_t *chain, el_time_t now)
 {
   size_t i;
 
-  line_read (line);
-  for (i = 0; i < line->n; i++)
-    line->part[i].target->alive = now;
+  chain_prefilled (chain);
+  for (i = 0; i < chain->n; i++)
+    chain->part[i].target->alive = now;
 }
 
-/** The engine of LINE that this host gave most to hold, of those that are not
-    in OLD; NULL without any. */
+/** The engine of CHAIN, outside OLD, that holds the most KV cache of this
+    host's streams; NULL if there is none. */
 rt_target_t *
-rt_line_fullest (const rt_line_t *line, const rt_line_t *old)
+rt_line_fullest (const rt_line_t *chain, const rt_line_t *old)
 {
   rt_target_t *fullest = NULL;
   size_t i;
 
-  for (i = 0; i < line->n; i++)
+  for (i = 0; i < chain->n; i++)
     {
-      rt_target_t *target = line->part[i].target;
+      rt_target_t *target = chain->part[i].target;
 
       if (!rt_line_has (old, target)
           && (!fullest || target->held > fullest->held))
@@ -133,20 +134,20 @@
   return fullest;
 }
 
-/** The line is no longer in use. */
+/** Ends the use of CHAIN: removes its load and releases its engines. */
 void
-rt_line_release (rt_line_t *line)
+rt_line_release (rt_line_t *chain)
 {
   size_t i;
 
-  line_read (line);
-  for (i = 0; i < line->n; i++)
+  chain_prefilled (chain);
+  for (i = 0; i < chain->n; i++)
     {
-      struct rt_part *part = &line->part[i];
+      struct rt_part *part = &chain->part[i];
 
       part->target->lines--;
-      part->target->held -= line->tokens * part_layers (part);
+      part->target->held -= chain->tokens * part_layers (part);
       rt_target_unref (part->target);
     }
-  line->n = 0;
+  chain->n = 0;
 }
