--- a/bench/bench_core.c
+++ b/bench/bench_core.c
@@ -321,11 +321,11 @@
 digest (void)
 {
   char body[800] = "";
-  const rt_asked_t asked = { .customer = EL_STR ("parking"),
-                             .method = EL_STR ("POST"),
-                             .host = EL_STR ("rel.example"),
-                             .path = EL_STR ("/chat/x"),
-                             .body = { body, sizeof body } };
+  const rt_digest_input_t asked = { .customer = EL_STR ("parking"),
+                                    .method = EL_STR ("POST"),
+                                    .host = EL_STR ("rel.example"),
+                                    .path = EL_STR ("/chat/x"),
+                                    .body = { body, sizeof body } };
   uint64_t began = bench_ns ();
   unsigned i;
 
@@ -357,7 +357,7 @@
 rests (unsigned endpoints)
 {
   rt_fleet_t *fleet = rt_fleet_new (1);
-  rt_facts_t facts = { .service = EL_STR ("s"),
+  rt_attrs_t attrs = { .service = EL_STR ("s"),
                        .address = EL_STR ("10.0.0.1:80"),
                        .hall = EL_STR ("h"),
                        .slots = 6 };
@@ -370,21 +370,21 @@
   for (i = 0; i < endpoints; i++)
     {
       snprintf (id, sizeof id, "i-%u", i);
-      facts.id = el_str (id);
-      rt_fleet_set (fleet, &facts);
+      attrs.id = el_str (id);
+      rt_fleet_update (fleet, &attrs);
     }
   none_ns = picks_ns (fleet);
   heap = bench_heap ();
   for (i = 0; i < endpoints; i += 2)
     {
       snprintf (id, sizeof id, "i-%u", i);
-      rt_fleet_rests (fleet, rt_fleet_find (fleet, el_str (id)), EL_SEC,
-                      60 * EL_SEC);
+      rt_fleet_rest (fleet, rt_fleet_find (fleet, el_str (id)), EL_SEC,
+                     60 * EL_SEC);
     }
   half_ns = picks_ns (fleet);
   printf ("bench=rests endpoints=%u access_bytes=%zu bytes_per_rest=%zu "
           "pick_ns=%.0f pick_half_rest_ns=%.0f\n",
-          endpoints, sizeof (rt_access_t),
+          endpoints, sizeof (rt_avail_t),
           (bench_heap () - heap) / (endpoints / 2), none_ns, half_ns);
   rt_fleet_free (fleet);
 }
--- a/bench/bench_rest.c
+++ b/bench/bench_rest.c
@@ -206,15 +206,14 @@
   rt_target_busy (target, sim->now);
   if (!way->rests)
     return;
-  sim->f.rests += rt_access_rest (&target->access, sim->now, ASKED,
-                                  way->spread ? el_random (&sim->random) : 0);
+  sim->f.rests += rt_avail_rest (&target->avail, sim->now, ASKED,
+                                 way->spread ? el_random (&sim->random) : 0);
   if (!way->trial)
-    target->access.trial = 0;
+    target->avail.trial = 0;
   if (way->limit)
     sim->limits[host][i] = target->running > 1 ? target->running / 2.0 : 1;
   for (other = 0; way->told && other < sites[sim->site].hosts; other++)
-    rt_access_busy (&sim->targets[other][i]->access, sim->now,
-                    NEWS + ASKED / 3);
+    rt_avail_busy (&sim->targets[other][i]->avail, sim->now, NEWS + ASKED / 3);
 }
 
 /* Send to the endpoint that HOST chooses; gives 0 when there is none. */
@@ -228,14 +227,14 @@
 
   if (!target)
     return 0;
-  i = (unsigned)strtoul (target->facts.id.ptr, NULL, 10);
+  i = (unsigned)strtoul (target->attrs.id.ptr, NULL, 10);
   if (sim->limits[host][i] > 0 && target->running >= sim->limits[host][i])
     {
       rt_tried_add (tried, target);
       return tried->n < RT_TRIED_MAX;
     }
   endpoint = &sim->endpoints[i];
-  rt_access_sent (&target->access, sim->now);
+  rt_avail_sent (&target->avail, sim->now);
   sim->f.sends++;
   sim->lately[i]++;
   if (!turns_away (sim, i))
@@ -280,7 +279,7 @@
   if (run->answered || (sim->now < run->began + ANSWER && sim->now < run->end))
     return;
   run->answered = 1;
-  rt_access_answered (&sim->targets[run->host][i]->access);
+  rt_avail_answered (&sim->targets[run->host][i]->avail);
 }
 
 static void
@@ -301,7 +300,7 @@
           continue;
         }
       target->running--;
-      rt_target_served (target, sim->now - run->began);
+      rt_target_succeeded (target, sim->now - run->began);
       *at = run->next;
       endpoint->n--;
       free (run);
@@ -346,14 +345,14 @@
       sim->fleets[h] = rt_fleet_new (h * 2 + 1);
       for (i = 0; i < sites[sim->site].endpoints; i++)
         {
-          rt_facts_t facts = { .service = SERVICE,
+          rt_attrs_t attrs = { .service = SERVICE,
                                .address = SERVICE,
                                .hall = HALL,
                                .slots = sites[sim->site].slots };
 
           snprintf (id, sizeof id, "%u", i);
-          facts.id = el_str (id);
-          sim->targets[h][i] = rt_fleet_set (sim->fleets[h], &facts);
+          attrs.id = el_str (id);
+          sim->targets[h][i] = rt_fleet_update (sim->fleets[h], &attrs);
         }
     }
 }
--- a/elmarchd/frontend.c
+++ b/elmarchd/frontend.c
@@ -110,17 +110,17 @@
    at level info. Every host logs that an endpoint is leaving, as the time
    until it stops using the endpoint is limited for each host. */
 static void
-endpoint_log (frontend_t *frontend, const rt_facts_t *facts, const char *what,
+endpoint_log (frontend_t *frontend, const rt_attrs_t *attrs, const char *what,
               uint64_t revision)
 {
-  int notable = facts->leaving || gt_gate_is_hall_leader (frontend->gate);
+  int notable = attrs->leaving || gt_gate_is_hall_leader (frontend->gate);
   el_time_t now = net_clock_now (gt_gate_clock (frontend->gate));
 
   EL_LOG (notable ? EL_LOG_INFO : EL_LOG_DEBUG, what,
-          EL_FS ("endpoint", facts->id), EL_FS ("service", facts->service),
-          EL_FS ("address", facts->address), EL_FS ("hall", facts->hall),
-          EL_FS ("card", facts->card), EL_FN ("leaving", facts->leaving),
-          EL_FN ("first", facts->first), EL_FN ("end", facts->end),
+          EL_FS ("endpoint", attrs->id), EL_FS ("service", attrs->service),
+          EL_FS ("address", attrs->address), EL_FS ("hall", attrs->hall),
+          EL_FS ("card", attrs->card), EL_FN ("leaving", attrs->leaving),
+          EL_FN ("first", attrs->first), EL_FN ("end", attrs->end),
           EL_FN ("epoch", frontend->store.epoch), EL_FN ("revision", revision),
           EL_FN ("known_age_us", now - frontend->store_as_of));
 }
@@ -135,7 +135,7 @@
 
   if (!target)
     return;
-  endpoint_log (frontend, &target->facts, what, item->revision);
+  endpoint_log (frontend, &target->attrs, what, item->revision);
   gt_relays_engine_gone (frontend->relays, target);
   rt_fleet_remove (frontend->fleet, pf_endpoint_id (item->key));
 }
@@ -147,7 +147,7 @@
 {
   frontend_t *frontend = arg;
   rt_target_t *target;
-  rt_facts_t facts;
+  rt_attrs_t attrs;
   json_t *keep;
   el_err_t err;
 
@@ -156,13 +156,13 @@
       endpoint_removed (frontend, item, "endpoint_gone");
       return;
     }
-  if (pf_facts_read (item->key, item->value, &facts, &keep, &err))
+  if (pf_facts_read (item->key, item->value, &attrs, &keep, &err))
     {
-      target = rt_fleet_find (frontend->fleet, facts.id);
-      if (target && !rt_target_same_start (target, &facts))
+      target = rt_fleet_find (frontend->fleet, attrs.id);
+      if (target && !rt_target_same_start (target, &attrs))
         endpoint_removed (frontend, item, "endpoint_restarted");
-      endpoint_log (frontend, &facts, "endpoint", item->revision);
-      target = rt_fleet_set (frontend->fleet, &facts);
+      endpoint_log (frontend, &attrs, "endpoint", item->revision);
+      target = rt_fleet_update (frontend->fleet, &attrs);
       target->epoch = frontend->store.epoch;
       target->listed = net_clock_now (gt_gate_clock (frontend->gate));
       gt_relays_engine_changed (frontend->relays, target);
@@ -210,8 +210,8 @@
   for (target = rt_fleet_first (frontend->fleet); target;
        target = target->hh.next)
     {
-      frontend->gauge_placed += target->facts.end > target->facts.first;
-      frontend->gauge_leaving += rt_target_leaves (target);
+      frontend->gauge_placed += target->attrs.end > target->attrs.first;
+      frontend->gauge_leaving += rt_target_is_leaving (target);
     }
 }
 
--- a/gate/api_admin.c
+++ b/gate/api_admin.c
@@ -300,7 +300,7 @@
 {
   rt_digest_t digest;
 
-  if (!rt_digest_read (rest, &digest))
+  if (!rt_digest_parse (rest, &digest))
     gt_api_error (gate, req, 400, "bad-digest", "takes 16 hexadecimal digits");
   else if (!gate->relay_hooks.unblock
            || !gate->relay_hooks.unblock (gate->relay_hooks.arg, digest))
--- a/gate/engine.c
+++ b/gate/engine.c
@@ -10,7 +10,7 @@
 #include <stdio.h>
 #include <string.h>
 
-#include "access.h"
+#include "avail.h"
 #include "libgate.h"
 
 #define SESSION_NAME_MAX 64
@@ -70,7 +70,7 @@
     if (el_str_eq (code, el_str (refusals[i].code)))
       {
         event->fail = refusals[i].fail;
-        if (rest.len && !el_str_to_time (rest, RT_REST_MOST, &event->rest))
+        if (rest.len && !el_str_to_time (rest, RT_REST_MAX, &event->rest))
           EL_LOG (EL_LOG_WARN, "rest_unread", EL_FS ("value", rest));
         return 1;
       }
--- a/gate/gate_relay.h
+++ b/gate/gate_relay.h
@@ -36,7 +36,7 @@
 
 /** Result of asking an engine where a stream is stalled. */
 typedef void (*gt_stalled_cb) (void *arg, int answered, el_str_t address,
-                               const rt_asks_t *asks);
+                               const rt_hints_t *asks);
 /** Result of a health check. */
 typedef enum gt_check_result
 {
@@ -47,11 +47,11 @@
 
 /** Result of a health check; LOAD is NULL if the engine did not report any. */
 typedef void (*gt_check_cb) (void *arg, gt_check_result_t result,
-                             const rt_load_t *load, const rt_asks_t *asks);
+                             const rt_load_t *load, const rt_hints_t *asks);
 /** Result of a reroute. If not DONE, AT_FAULT is the address of the engine
     that can't take its part, or empty if none was named. */
 typedef void (*gt_reroute_cb) (void *arg, int done, el_str_t at_fault,
-                               const rt_asks_t *asks);
+                               const rt_hints_t *asks);
 
 /** Priority of a stream's prompt among those queued at an engine. */
 typedef enum gt_priority
@@ -66,9 +66,9 @@
 {
   gt_relay_headers_t names;
   const char *priorities[GT_PRIORITIES]; /**< header values */
-  void (*write_line) (const rt_line_t *line, el_buf_t *out);
+  void (*write_line) (const rt_chain_t *line, el_buf_t *out);
   /** Reads the backoff and draining state that a response head announces. */
-  void (*read_asks) (const net_result_t *head, rt_asks_t *out);
+  void (*read_asks) (const net_result_t *head, rt_hints_t *out);
   /** Asks the first engine of a pipeline which engine the stream ID is
       waiting for. The exchange can be cancelled. */
   net_exchange_t *(*query_stalled) (net_client_t *client,
@@ -79,7 +79,7 @@
                             gt_check_cb done, void *arg);
   /** Tells the first engine to move the stream ID to another pipeline. */
   net_exchange_t *(*reroute) (net_client_t *client, el_str_t id,
-                              const rt_line_t *line, gt_reroute_cb done,
+                              const rt_chain_t *line, gt_reroute_cb done,
                               void *arg);
 } gt_relay_dialect_t;
 
@@ -172,15 +172,16 @@
 void gt_relays_check_engine (gt_relays_t *relays, rt_target_t *engine,
                              el_time_t since);
 int gt_relays_order_blocked (gt_relays_t *relays, const rt_order_t *order);
-void gt_relays_order_crashed (gt_relays_t *relays, rt_falls_t *falls,
+void gt_relays_order_crashed (gt_relays_t *relays, rt_order_failures_t *falls,
                               const rt_order_t *order);
-void gt_relays_order_done (const gt_relays_t *relays, rt_falls_t *falls,
+void gt_relays_order_done (const gt_relays_t *relays,
+                           rt_order_failures_t *falls,
                            const rt_order_t *order);
 int gt_relays_unblock (gt_relays_t *relays, rt_digest_t digest);
 json_t *gt_relays_suspects (gt_relays_t *relays);
 json_t *gt_relays_closed_endpoints (gt_relays_t *relays);
 void gt_relays_asked (gt_relays_t *relays, rt_target_t *target,
-                      const rt_asks_t *asks, el_str_t by);
+                      const rt_hints_t *asks, el_str_t by);
 void gt_relays_peers_heard (gt_relays_t *relays);
 void gt_relays_store_epoch_began (gt_relays_t *relays);
 void gt_relays_persist_blocked (gt_relays_t *relays);
--- a/gate/librelay.h
+++ b/gate/librelay.h
@@ -17,7 +17,7 @@
 typedef struct relay_service
 {
   char *name;
-  rt_spend_t retry_budget;
+  rt_shared_budget_t retry_budget;
   uint64_t backoff_us; /* total backoff of its endpoints */
   UT_hash_handle hh;
 } relay_service_t;
@@ -78,22 +78,22 @@
   /* Current attempt. */
   net_exchange_t *exchange;
   rt_target_t *target; /* the endpoint, or the pipeline's first engine */
-  rt_line_t line;
+  rt_chain_t line;
   el_time_t sent;
   el_time_t head_at; /* response head received: the request is executing; 0: no
                       head yet */
   rt_digest_t digest; /* 0: not computed yet */
-  rt_course_t course;
+  rt_attempts_t course;
   rt_tried_t tried;
   el_timer_t retry_timer; /* delay before the next attempt */
   unsigned turns;
-  unsigned waits; /* for an endpoint, since the last event */
-  int refused;    /* the response proves that the request was not executed */
-  int crossed;    /* the response carries another request's id */
-  rt_asks_t asks; /* backoff and draining state announced by the response */
-  int stream;     /* the response is forwarded event by event */
-  double prompt;  /* prompt length in tokens */
-  double tokens;  /* estimated tokens of prompt and response */
+  unsigned waits;  /* for an endpoint, since the last event */
+  int refused;     /* the response proves that the request was not executed */
+  int crossed;     /* the response carries another request's id */
+  rt_hints_t asks; /* backoff and draining state announced by the response */
+  int stream;      /* the response is forwarded event by event */
+  double prompt;   /* prompt length in tokens */
+  double tokens;   /* estimated tokens of prompt and response */
 
   /* Response to the caller. */
   int response_started;
@@ -117,7 +117,7 @@
   unsigned stall_checks;
   unsigned reroutes; /* reroutes refused since the last event */
   rt_tried_t avoid;  /* engines that a reroute has to bypass */
-  rt_line_t reroute_line;
+  rt_chain_t reroute_line;
 
   gt_relay_t *prev;
   gt_relay_t *next;
--- a/gate/planner.c
+++ b/gate/planner.c
@@ -50,7 +50,7 @@
   gt_planner_options_t options;
   el_timer_t timer;
   planner_order_t *orders;
-  rt_falls_t falls;
+  rt_order_failures_t falls;
   unsigned gap_ticks;    /* ticks in a row that found a hall without a layer */
   size_t endpoint_count; /* at the last tick */
   el_time_t count_changed_at; /* when endpoint_count changed */
@@ -67,7 +67,7 @@
 
 static void
 order_done (void *arg, gt_order_state_t state, int status,
-            const rt_asks_t *asks)
+            const rt_hints_t *asks)
 {
   static const char *const states[] = { [GT_ORDER_BEGUN] = "begun",
                                         [GT_ORDER_REFUSED] = "refused",
@@ -78,7 +78,7 @@
   gt_relays_asked (order->planner->options.relays, order->order.target, asks,
                    EL_STR ("order"));
   EL_LOG (EL_LOG_INFO, "order_answered",
-          EL_FS ("engine", order->order.target->facts.id),
+          EL_FS ("engine", order->order.target->attrs.id),
           EL_FN ("first", order->order.first), EL_FN ("end", order->order.end),
           EL_FC ("state", states[state]), EL_FN ("status", status));
   if (state == GT_ORDER_UNKNOWN && !order->finished)
@@ -91,9 +91,9 @@
 static int
 order_applied (const planner_order_t *order)
 {
-  const rt_facts_t *facts = &order->order.target->facts;
+  const rt_attrs_t *attrs = &order->order.target->attrs;
 
-  return facts->first == order->order.first && facts->end == order->order.end;
+  return attrs->first == order->order.first && attrs->end == order->order.end;
 }
 
 /* Drops orders whose result is in the engine's entry, whose engine is gone, or
@@ -108,7 +108,7 @@
   {
     const rt_target_t *target = order->order.target;
 
-    if (!target->access.gone && now < order->sent_at + ORDER_RETRY
+    if (!target->avail.gone && now < order->sent_at + ORDER_RETRY
         && !order_applied (order))
       continue;
     if (!order->finished && order_applied (order))
@@ -141,7 +141,7 @@
         gt_relays_order_crashed (relays, &planner->falls, &order->order);
       }
     else if (now > order->sent_at && now < order->sent_at + CRASH_WINDOW
-             && !target->access.gone)
+             && !target->avail.gone)
       gt_relays_check_engine (relays, target, order->sent_at);
   }
 }
@@ -165,7 +165,7 @@
 
   /* An engine that asked for no requests for a while is not lost and needs no
      replacement: it gets its order when that time is over. */
-  if (rt_access_rest_left (&order->target->access, now)
+  if (rt_avail_rest_left (&order->target->avail, now)
       || gt_relays_order_blocked (planner->options.relays, order))
     return;
   sent = el_alloc (sizeof *sent);
@@ -176,9 +176,9 @@
   rt_target_ref (order->target);
   DL_APPEND (planner->orders, sent);
   EL_LOG (EL_LOG_INFO, "order_given",
-          EL_FS ("engine", order->target->facts.id),
-          EL_FS ("card", order->target->facts.card),
-          EL_FS ("hall", order->target->facts.hall),
+          EL_FS ("engine", order->target->attrs.id),
+          EL_FS ("card", order->target->attrs.card),
+          EL_FS ("hall", order->target->attrs.hall),
           EL_FN ("first", order->first), EL_FN ("end", order->end));
   planner->options.place (planner->options.client, &sent->order, order_done,
                           sent);
@@ -194,8 +194,8 @@
   size_t n;
   size_t i;
 
-  n = rt_layout_next (planner->options.fleet, service, pending, npending,
-                      orders, ORDERS_MAX - npending);
+  n = rt_layout_assign (planner->options.fleet, service, pending, npending,
+                        orders, ORDERS_MAX - npending);
   for (i = 0; i < n; i++)
     order_dispatch (planner, &orders[i], now);
   if (n)
--- a/gate/planner.h
+++ b/gate/planner.h
@@ -21,7 +21,7 @@
 } gt_order_state_t;
 
 typedef void (*gt_order_cb) (void *arg, gt_order_state_t state, int status,
-                             const rt_asks_t *asks);
+                             const rt_hints_t *asks);
 
 typedef struct gt_planner_options
 {
--- a/gate/relay.c
+++ b/gate/relay.c
@@ -232,7 +232,7 @@
   uint64_t answer = 0;
   uint64_t expected_tokens;
 
-  relay->prompt = relay->service->model.usual_tokens;
+  relay->prompt = relay->service->model.typical_tokens;
   relay->tokens = relay->prompt;
   if (!el_str_to_u64 (el_str_cut (&rest, ','), &prompt))
     return;
@@ -256,9 +256,9 @@
     return service;
   service = el_alloc (sizeof *service);
   service->name = (char *)(uintptr_t)el_str_dup (name).ptr;
-  rt_spend_open (&service->retry_budget, relays->options.repeat_ratio,
-                 relays->options.repeat_slack, relays->options.repeat_window,
-                 relays->started_at);
+  rt_shared_budget_init (&service->retry_budget, relays->options.repeat_ratio,
+                         relays->options.repeat_slack,
+                         relays->options.repeat_window, relays->started_at);
   HASH_ADD_KEYPTR (hh, relays->services, service->name, (unsigned)name.len,
                    service);
   return service;
@@ -272,7 +272,7 @@
   gt_relays_t *relays = relay->relays;
   const gt_relay_options_t *o = &relays->options;
 
-  if (rt_spend_take (
+  if (rt_shared_budget_take (
           &relay_service (relays, relay->service->name)->retry_budget,
           net_clock_now (o->clock), o->hosts (o->arg)))
     return 1;
@@ -286,7 +286,7 @@
 {
   const gt_relay_options_t *o = &relay->relays->options;
 
-  return rt_spend_left (
+  return rt_shared_budget_available (
       &relay_service (relay->relays, relay->service->name)->retry_budget,
       net_clock_now (o->clock), o->hosts (o->arg));
 }
@@ -297,11 +297,11 @@
 relay_digest (gt_relay_t *relay)
 {
   const h2o_req_t *req = relay->req;
-  rt_asked_t asked = { .customer = relay->customer,
-                       .method = net_req_method (req),
-                       .host = host_name (req),
-                       .path = { req->path.base, req->path.len },
-                       .body = net_req_body (req) };
+  rt_digest_input_t asked = { .customer = relay->customer,
+                              .method = net_req_method (req),
+                              .host = host_name (req),
+                              .path = { req->path.base, req->path.len },
+                              .body = net_req_body (req) };
 
   if (!relay->digest)
     relay->digest = rt_digest (relay->relays->options.key, &asked);
@@ -317,7 +317,7 @@
 
   if (!relay_admit (relay))
     return;
-  service = rt_rule_service (relay->rule, el_random (&relays->random));
+  service = rt_rule_pick_service (relay->rule, el_random (&relays->random));
   relay->service = rt_rules_service (relay->rules, service);
   if (!relay->service)
     {
@@ -325,8 +325,8 @@
       return;
     }
   relay_estimate_tokens (relay);
-  rt_spend_asked (&relay_service (relays, service)->retry_budget,
-                  relay->received);
+  rt_shared_budget_add_request (&relay_service (relays, service)->retry_budget,
+                                relay->received);
   if (!relay_suspect_admit (relay))
     return;
   relay_start_deadline (relay);
--- a/gate/relay_attempt.c
+++ b/gate/relay_attempt.c
@@ -38,7 +38,7 @@
 static void
 attempt_release (gt_relay_t *relay)
 {
-  rt_line_release (&relay->line);
+  rt_chain_release (&relay->line);
   if (relay->target)
     {
       relay->target->running--;
@@ -90,16 +90,16 @@
 attempt_pick_line (gt_relay_t *relay, rt_target_t *first, el_time_t now)
 {
   const gt_relay_options_t *o = &relay->relays->options;
-  rt_line_want_t want = { .service = relay->service,
-                          .hall = o->hall,
-                          .tokens = relay->tokens,
-                          .tried = &relay->tried,
-                          .first = first };
+  rt_chain_query_t want = { .service = relay->service,
+                            .hall = o->hall,
+                            .tokens = relay->tokens,
+                            .tried = &relay->tried,
+                            .first = first };
 
-  if (rt_line_pick (o->fleet, now, &want, &relay->line))
+  if (rt_chain_pick (o->fleet, now, &want, &relay->line))
     return 1;
   want.first = NULL;
-  return first && rt_line_pick (o->fleet, now, &want, &relay->line);
+  return first && rt_chain_pick (o->fleet, now, &want, &relay->line);
 }
 
 /* Picks the target of the next attempt. Returns 0 if there is none. */
@@ -110,7 +110,7 @@
   const gt_relay_options_t *o = &relays->options;
   rt_target_t *isolated = relay_suspect_pick_target (relay, now);
 
-  rt_fleet_share (o->fleet, o->hall_hosts (o->arg), o->hosts (o->arg));
+  rt_fleet_set_hosts (o->fleet, o->hall_hosts (o->arg), o->hosts (o->arg));
   if (!is_pipelined (relay))
     relay->target = isolated
                         ? isolated
@@ -118,10 +118,10 @@
                                          o->hall, &relay->tried);
   else if (attempt_pick_line (relay, isolated, now))
     {
-      rt_line_hold (&relay->line, NULL,
-                    relay->nevents ? relay->tokens : relay->prompt);
+      rt_chain_acquire (&relay->line, NULL,
+                        relay->nevents ? relay->tokens : relay->prompt);
       if (relay->course.sent == 0)
-        rt_fleet_sent (o->fleet, now, relay->tokens);
+        rt_fleet_stream_sent (o->fleet, now, relay->tokens);
       relay->target = relay->line.part[0].target;
     }
   if (!relay->target)
@@ -161,7 +161,7 @@
     return; /* forwarded by an earlier attempt */
   now = net_clock_now (relays->options.clock);
   relay_blame_life_sign (relays, relay->target);
-  rt_line_event (&relay->line, now);
+  rt_chain_progress (&relay->line, now);
   relay_watch_event (relay, now - relay->last_progress);
   record_event_time (relay, now);
   relay->last_event = now;
@@ -219,7 +219,7 @@
   const gt_relay_headers_t *names = &relay->relays->options.dialect->names;
   el_str_t address = net_result_header (result, names->at_fault);
   rt_target_t *named
-      = address.len ? rt_line_engine (&relay->line, address) : NULL;
+      = address.len ? rt_chain_engine_at (&relay->line, address) : NULL;
 
   return named ? named : relay->target;
 }
@@ -269,7 +269,7 @@
   rt_target_t *fault = relay_fault_target (relay, result);
 
   if (attempt->answered && !attempt->failed)
-    rt_target_served (relay->target, now - relay->sent);
+    rt_target_succeeded (relay->target, now - relay->sent);
   else if (attempt->verdict == EL_NOT_RUN && result->status == 421)
     rt_target_changed (fault, now);
   else if (attempt->verdict == EL_NOT_RUN && result->net == NET_OK)
@@ -311,7 +311,7 @@
 {
   relay->relays->counts.kept++;
   EL_LOG (EL_LOG_INFO, "kept_back", EL_FS ("request", relay->id),
-          EL_FS ("endpoint", relay->target->facts.id));
+          EL_FS ("endpoint", relay->target->attrs.id));
   attempt_release (relay);
   relay_attempt (relay);
 }
@@ -358,14 +358,14 @@
 {
   el_time_t now = net_clock_now (relay->relays->options.clock);
   el_time_t left = relay->deadline > now ? relay->deadline - now : 0;
-  rt_course_t before = relay->course;
+  rt_attempts_t before = relay->course;
   rt_next_t next
-      = rt_course_next (&relay->course, relay->rule, attempt, 1, left);
+      = rt_attempts_next (&relay->course, relay->rule, attempt, 1, left);
 
-  if (next != RT_NEXT_AGAIN || relay_retry_take (relay))
+  if (next != RT_NEXT_RETRY || relay_retry_take (relay))
     return next;
   relay->course = before;
-  return rt_course_next (&relay->course, relay->rule, attempt, 0, left);
+  return rt_attempts_next (&relay->course, relay->rule, attempt, 0, left);
 }
 
 /* Forwards the endpoint's response with its buffered body. */
@@ -420,7 +420,7 @@
   if (!relay->response_started)
     el_buf_reset (&relay->out);
   relay_events_reset (&relay->events);
-  if (next == RT_NEXT_AGAIN)
+  if (next == RT_NEXT_RETRY)
     attempt_retry (relay, result->net == NET_BROKEN);
   else if (relay->response_started)
     relay_respond_abort (relay, "no endpoint goes on with it");
@@ -463,7 +463,7 @@
   const h2o_req_t *req = relay->req;
   relay_head_t head;
   net_send_t send
-      = { .address = relay->target->facts.address,
+      = { .address = relay->target->attrs.address,
           .host = { req->authority.base, req->authority.len },
           .method = net_req_method (req),
           .path = { req->path.base, req->path.len },
@@ -483,7 +483,7 @@
   relay->stream = 0;
   relay->sent = now;
   relay->head_at = 0;
-  relay->asks = (rt_asks_t){ 0 };
+  relay->asks = (rt_hints_t){ 0 };
   relay->relays->counts.attempts++;
   relay_log_sent (relay, now);
   relay_backoff_sent (relay, now);
--- a/gate/relay_backoff.c
+++ b/gate/relay_backoff.c
@@ -4,7 +4,7 @@
  */
 /** @file
  * Backoff and draining that endpoints announce in their responses. They
- * apply to every later pick (route/access.h), whether a request, a health
+ * apply to every later pick (route/avail.h), whether a request, a health
  * check or an order brought the response.
  */
 #include "librelay.h"
@@ -28,20 +28,20 @@
   relay_backoff_t *backoff = arg;
   gt_relays_t *relays = backoff->relays;
   const rt_target_t *target = backoff->target;
-  el_time_t left = rt_access_rest_left (&target->access, now);
-  el_time_t lasted = now - target->access.rest_began;
+  el_time_t left = rt_avail_rest_left (&target->avail, now);
+  el_time_t lasted = now - target->avail.rest_start;
 
   if (left)
     {
       net_clock_set (relays->options.clock, &backoff->timer, left);
       return;
     }
-  EL_LOG (EL_LOG_INFO, "rest_over", EL_FS ("endpoint", target->facts.id),
-          EL_FN ("born", target->facts.born), EL_FN ("us", lasted),
-          EL_FN ("running", target->running), EL_FN ("lines", target->lines),
-          EL_FN ("gone", target->access.gone));
+  EL_LOG (EL_LOG_INFO, "rest_over", EL_FS ("endpoint", target->attrs.id),
+          EL_FN ("born", target->attrs.born), EL_FN ("us", lasted),
+          EL_FN ("running", target->running), EL_FN ("lines", target->chains),
+          EL_FN ("gone", target->avail.gone));
   relays->counts.rest_us += lasted;
-  relay_service (relays, target->facts.service)->backoff_us += lasted;
+  relay_service (relays, target->attrs.service)->backoff_us += lasted;
   HASH_DEL (relays->backoffs, backoff);
   rt_target_unref (backoff->target);
   free (backoff);
@@ -66,14 +66,14 @@
       HASH_ADD_PTR (relays->backoffs, target, backoff);
     }
   net_clock_set (relays->options.clock, &backoff->timer,
-                 rt_access_rest_left (&target->access, now));
+                 rt_avail_rest_left (&target->avail, now));
   relays->counts.rests++;
-  EL_LOG (EL_LOG_INFO, "rest_begins", EL_FS ("endpoint", target->facts.id),
-          EL_FN ("born", target->facts.born),
-          EL_FS ("service", target->facts.service), EL_FS ("by", by),
+  EL_LOG (EL_LOG_INFO, "rest_begins", EL_FS ("endpoint", target->attrs.id),
+          EL_FN ("born", target->attrs.born),
+          EL_FS ("service", target->attrs.service), EL_FS ("by", by),
           EL_FN ("asked_us", asked),
-          EL_FN ("left_us", rt_access_rest_left (&target->access, now)),
-          EL_FN ("running", target->running), EL_FN ("lines", target->lines),
+          EL_FN ("left_us", rt_avail_rest_left (&target->avail, now)),
+          EL_FN ("running", target->running), EL_FN ("lines", target->chains),
           EL_FN ("resting", HASH_COUNT (relays->backoffs)));
 }
 
@@ -81,10 +81,10 @@
 draining_log (gt_relays_t *relays, const rt_target_t *target, el_str_t by)
 {
   relays->counts.leaves++;
-  EL_LOG (EL_LOG_INFO, "endpoint_leaves", EL_FS ("endpoint", target->facts.id),
-          EL_FN ("born", target->facts.born),
-          EL_FS ("service", target->facts.service), EL_FS ("by", by),
-          EL_FN ("running", target->running), EL_FN ("lines", target->lines));
+  EL_LOG (EL_LOG_INFO, "endpoint_leaves", EL_FS ("endpoint", target->attrs.id),
+          EL_FN ("born", target->attrs.born),
+          EL_FS ("service", target->attrs.service), EL_FS ("by", by),
+          EL_FN ("running", target->running), EL_FN ("lines", target->chains));
 }
 
 /** Gossips that START is draining. The message id is derived from the fact,
@@ -107,9 +107,9 @@
 {
   const rt_instance_t instance = rt_target_instance (target);
 
-  if (rt_target_leaves (target))
+  if (rt_target_is_leaving (target))
     return;
-  rt_target_leave (target);
+  rt_target_mark_leaving (target);
   draining_log (relays, target, by);
   relay_drain_announce (relays, &instance);
 }
@@ -119,7 +119,7 @@
 relay_drain_received (gt_relays_t *relays, const co_rumor_t *rumor,
                       const relay_fact_t *fact)
 {
-  const rt_target_t *target = rt_fleet_leaves (
+  const rt_target_t *target = rt_fleet_mark_leaving (
       relays->options.fleet, el_str (fact->instance.id), fact->instance.born);
 
   (void)rumor;
@@ -131,13 +131,13 @@
     BY, a request id, a check or an order. */
 void
 gt_relays_asked (gt_relays_t *relays, rt_target_t *target,
-                 const rt_asks_t *asks, el_str_t by)
+                 const rt_hints_t *asks, el_str_t by)
 {
   if (asks->leaves)
     draining_learned (relays, target, by);
   if (asks->rest
-      && rt_fleet_rests (relays->options.fleet, target,
-                         net_clock_now (relays->options.clock), asks->rest))
+      && rt_fleet_rest (relays->options.fleet, target,
+                        net_clock_now (relays->options.clock), asks->rest))
     backoff_start (relays, target, asks->rest, by);
 }
 
@@ -153,7 +153,7 @@
   gt_relays_asked (relay->relays, relay->target, &relay->asks, relay->id);
   if (fault != relay->target)
     gt_relays_asked (relay->relays, fault,
-                     &(rt_asks_t){ .rest = relay->asks.rest }, relay->id);
+                     &(rt_hints_t){ .rest = relay->asks.rest }, relay->id);
 }
 
 /* Calls EACH for the endpoints that RELAY is sent to. */
@@ -174,8 +174,8 @@
 sent_to (gt_relay_t *relay, rt_target_t *target, el_time_t now)
 {
   relay->relays->counts.in_rest
-      += rt_access_rest_left (&target->access, now) > 0;
-  rt_access_sent (&target->access, now);
+      += rt_avail_rest_left (&target->avail, now) > 0;
+  rt_avail_sent (&target->avail, now);
 }
 
 /** Records that RELAY is sent. */
@@ -193,9 +193,10 @@
   size_t i;
 
   for (i = 0; i < relay->line.n; i++)
-    if (rt_access_open (&relay->line.part[i].target->access, now) == RT_CLOSED)
+    if (rt_avail_level_at (&relay->line.part[i].target->avail, now)
+        == RT_AVAIL_NONE)
       return 0;
-  return rt_access_open (&relay->target->access, now) != RT_CLOSED;
+  return rt_avail_level_at (&relay->target->avail, now) != RT_AVAIL_NONE;
 }
 
 static void
@@ -203,7 +204,7 @@
 {
   (void)relay;
   (void)now;
-  rt_access_answered (&target->access);
+  rt_avail_answered (&target->avail);
 }
 
 /** Records that RELAY is executing where it was sent. */
@@ -220,17 +221,17 @@
 {
   const gt_relay_options_t *o = &relay->relays->options;
   const rt_tried_t none = { .n = 0 };
-  const rt_line_want_t want = { .service = relay->service,
-                                .hall = o->hall,
-                                .tokens = relay->tokens,
-                                .tried = &none };
+  const rt_chain_query_t want = { .service = relay->service,
+                                  .hall = o->hall,
+                                  .tokens = relay->tokens,
+                                  .tried = &none };
   el_time_t opens;
 
   if (!relay->relays->backoffs)
     return 0;
   opens = relay->service->model.layers
-              ? rt_line_opens (o->fleet, now, &want)
-              : rt_fleet_opens (o->fleet, now, relay->service->name);
+              ? rt_chain_available_at (o->fleet, now, &want)
+              : rt_fleet_available_at (o->fleet, now, relay->service->name);
   return opens > now ? opens - now : 0;
 }
 
@@ -248,17 +249,17 @@
   for (target = rt_fleet_first (relays->options.fleet); target;
        target = target->hh.next)
     {
-      rt_why_t why = rt_access_why (&target->access, now);
+      rt_unavail_t why = rt_avail_reason_at (&target->avail, now);
 
-      if (rt_access_open (&target->access, now) != RT_CLOSED)
+      if (rt_avail_level_at (&target->avail, now) != RT_AVAIL_NONE)
         continue;
       json_array_append_new (
           list,
           json_pack ("{s:s%,s:I,s:s,s:I,s:i}", "endpoint",
-                     target->facts.id.ptr, target->facts.id.len, "born",
-                     (json_int_t)target->facts.born, "why", rt_why_name (why),
-                     "restLeftUs",
-                     (json_int_t)rt_access_rest_left (&target->access, now),
+                     target->attrs.id.ptr, target->attrs.id.len, "born",
+                     (json_int_t)target->attrs.born, "why",
+                     rt_unavail_name (why), "restLeftUs",
+                     (json_int_t)rt_avail_rest_left (&target->avail, now),
                      "running", (int)target->running));
     }
   for (service = relays->services; service; service = service->hh.next)
--- a/gate/relay_blame.c
+++ b/gate/relay_blame.c
@@ -115,7 +115,7 @@
           .ran = now - (relay->head_at ? relay->head_at : relay->sent),
           .first = target == relay->target };
 
-  if (!rt_target_leaves (target))
+  if (!rt_target_is_leaving (target))
     pending_add (relays->blame, target, &report);
 }
 
@@ -157,8 +157,8 @@
 static void
 log_crash (const rt_target_t *target, const char *evidence, size_t runs)
 {
-  EL_LOG (EL_LOG_WARN, "endpoint_ended", EL_FS ("endpoint", target->facts.id),
-          EL_FS ("address", target->facts.address), EL_FC ("sign", evidence),
+  EL_LOG (EL_LOG_WARN, "endpoint_ended", EL_FS ("endpoint", target->attrs.id),
+          EL_FS ("address", target->attrs.address), EL_FC ("sign", evidence),
           EL_FN ("runs", runs));
 }
 
@@ -223,7 +223,7 @@
 
   for (other = rt_fleet_first (relays->options.fleet); other;
        other = other->hh.next)
-    if (other != target && other->facts.end > other->facts.first
+    if (other != target && other->attrs.end > other->attrs.first
         && rt_target_usable (other, now))
       return other;
   return NULL;
@@ -318,7 +318,7 @@
                                      .at = now,
                                      .detected_at = now };
 
-  if (rt_target_leaves (target))
+  if (rt_target_is_leaving (target))
     return;
   rt_target_ref (target);
   pending_confirm (relays, target, "gone");
@@ -380,8 +380,8 @@
   const gt_relay_options_t *o = &relays->options;
   rt_target_t *target = rt_fleet_find (o->fleet, el_str (instance->id));
 
-  if (target && target->facts.born == instance->born && o->dialect->check
-      && target->facts.end > target->facts.first
+  if (target && target->attrs.born == instance->born && o->dialect->check
+      && target->attrs.end > target->attrs.first
       && rt_blame_needs_witness (relays->blame->table, instance, o->witness)
       && el_random (&relays->random) % o->hosts (o->arg) < EXTRA_CHECKERS)
     relay_check_unless_recent (relays, target,
--- a/gate/relay_block.c
+++ b/gate/relay_block.c
@@ -135,7 +135,7 @@
 /** ORDER's engine crashed while carrying it out. A resulting block is sent to
     all hosts, so that the next planner knows of it. */
 void
-gt_relays_order_crashed (gt_relays_t *relays, rt_falls_t *falls,
+gt_relays_order_crashed (gt_relays_t *relays, rt_order_failures_t *falls,
                          const rt_order_t *order)
 {
   const rt_digest_t digest = rt_order_digest (relays->options.key, order);
@@ -147,10 +147,10 @@
                               .holds = before.holds + 1 };
 
   EL_LOG (EL_LOG_WARN, "engine_fell",
-          EL_FS ("engine", order->target->facts.id),
-          EL_FS ("card", order->target->facts.card),
+          EL_FS ("engine", order->target->attrs.id),
+          EL_FS ("card", order->target->attrs.card),
           EL_FN ("layers", order->end - order->first));
-  if (!rt_falls_ended (falls, digest)
+  if (!rt_order_failures_add (falls, digest)
       || !apply_block (relays, digest, 0,
                        net_clock_now (relays->options.clock), fact.holds,
                        "orders"))
@@ -162,10 +162,11 @@
 
 /** ORDER's engine holds the layers it was ordered to hold. */
 void
-gt_relays_order_done (const gt_relays_t *relays, rt_falls_t *falls,
+gt_relays_order_done (const gt_relays_t *relays, rt_order_failures_t *falls,
                       const rt_order_t *order)
 {
-  rt_falls_done (falls, rt_order_digest (relays->options.key, order));
+  rt_order_failures_clear (falls,
+                           rt_order_digest (relays->options.key, order));
 }
 
 static void
--- a/gate/relay_check.c
+++ b/gate/relay_check.c
@@ -71,7 +71,7 @@
   gt_relay_t *next;
 
   DL_FOREACH_SAFE (relays->running, relay, next)
-  if (!relay->ended && relay->exchange && rt_line_has (&relay->line, engine))
+  if (!relay->ended && relay->exchange && rt_chain_has (&relay->line, engine))
     each (relay, engine);
 }
 
@@ -81,11 +81,11 @@
 check_engine_restarted (gt_relays_t *relays, rt_target_t *engine,
                         const rt_load_t *load)
 {
-  EL_LOG (EL_LOG_INFO, "engine_restarted", EL_FS ("engine", engine->facts.id),
-          EL_FN ("born", load->born), EL_FN ("former", engine->facts.born),
-          EL_FN ("lines", engine->lines));
-  engine->facts.first = 0;
-  engine->facts.end = 0;
+  EL_LOG (EL_LOG_INFO, "engine_restarted", EL_FS ("engine", engine->attrs.id),
+          EL_FN ("born", load->born), EL_FN ("former", engine->attrs.born),
+          EL_FN ("lines", engine->chains));
+  engine->attrs.first = 0;
+  engine->attrs.end = 0;
   rt_target_changed (engine, net_clock_now (relays->options.clock));
   check_each_stream (relays, engine, relay_watch_engine_silent);
 }
@@ -100,20 +100,20 @@
   int was_slow = engine->pace >= SLOW_PACE;
   int slow = load->pace >= SLOW_PACE;
 
-  if (load->born && engine->facts.born && load->born != engine->facts.born)
+  if (load->born && engine->attrs.born && load->born != engine->attrs.born)
     {
       /* An older start's report was delayed. */
-      if (load->born > engine->facts.born
-          && engine->facts.end > engine->facts.first)
+      if (load->born > engine->attrs.born
+          && engine->attrs.end > engine->attrs.first)
         check_engine_restarted (relays, engine, load);
       return;
     }
-  if (!rt_target_told (engine, load, at) || slow == was_slow)
+  if (!rt_target_report (engine, load, at) || slow == was_slow)
     return;
   EL_LOG (EL_LOG_INFO, slow ? "engine_slow" : "engine_well",
-          EL_FS ("engine", engine->facts.id),
+          EL_FS ("engine", engine->attrs.id),
           EL_FN ("pace_percent", (uint64_t)(load->pace * 100)),
-          EL_FN ("lines", engine->lines));
+          EL_FN ("lines", engine->chains));
   if (slow)
     check_each_stream (relays, engine, relay_watch_engine_slow);
 }
@@ -123,7 +123,7 @@
 void
 gt_relays_engine_changed (gt_relays_t *relays, rt_target_t *engine)
 {
-  if (engine->lines)
+  if (engine->chains)
     check_each_stream (relays, engine, relay_watch_layers_released);
 }
 
@@ -142,19 +142,19 @@
 
 static void
 check_done (void *arg, gt_check_result_t result, const rt_load_t *load,
-            const rt_asks_t *asks)
+            const rt_hints_t *asks)
 {
   relay_check_t *check = arg;
   gt_relays_t *relays = check->relays;
   rt_target_t *engine = check->engine;
   int answered = result == GT_CHECK_OK;
-  int was_silent = engine->access.silent;
+  int was_silent = engine->avail.silent;
 
   check->request = NULL;
   net_clock_cancel (relays->options.clock, &check->timeout);
   gt_relays_asked (relays, engine, asks, EL_STR ("check"));
   engine->asked = 0;
-  engine->access.silent = !answered;
+  engine->avail.silent = !answered;
   if (result == GT_CHECK_REFUSED && !engine->refused_at)
     engine->refused_at = check->asked;
   if (answered)
@@ -169,9 +169,9 @@
     return;
   if (answered == was_silent)
     EL_LOG (EL_LOG_INFO, answered ? "engine_back" : "engine_silent",
-            EL_FS ("engine", engine->facts.id),
-            EL_FS ("address", engine->facts.address),
-            EL_FN ("lines", engine->lines));
+            EL_FS ("engine", engine->attrs.id),
+            EL_FS ("address", engine->attrs.address),
+            EL_FN ("lines", engine->chains));
   if (answered)
     return;
   relays->counts.silent++;
@@ -179,7 +179,7 @@
   check_each_stream (relays, engine, relay_watch_engine_silent);
   if (result == GT_CHECK_REFUSED)
     relay_blame_connect_refused (relays, engine);
-  if (engine->access.gone)
+  if (engine->avail.gone)
     check_free (check);
   else
     net_clock_set (relays->options.clock, &check->recheck, SILENT_RECHECK);
@@ -191,7 +191,7 @@
 static void
 check_timeout (void *arg, el_time_t now)
 {
-  static const rt_asks_t nothing;
+  static const rt_hints_t nothing;
   relay_check_t *check = arg;
   const gt_relays_t *relays = check->relays;
   int delayed = now > check->timeout.due + LATE_TIMER;
@@ -199,15 +199,16 @@
 
   if (delayed
       || (now < check->asked + CHECK_TIMEOUT_MAX
-          && (!peer_answered || check->engine->alive > check->asked)))
+          && (!peer_answered || check->engine->last_event_at > check->asked)))
     {
       net_clock_set (relays->options.clock, &check->timeout, LATE_TIMER);
       return;
     }
   net_client_cancel (check->request);
-  check_done (
-      check, check->engine->alive > check->asked ? GT_CHECK_OK : GT_CHECK_NONE,
-      NULL, &nothing);
+  check_done (check,
+              check->engine->last_event_at > check->asked ? GT_CHECK_OK
+                                                          : GT_CHECK_NONE,
+              NULL, &nothing);
 }
 
 static void
@@ -219,7 +220,7 @@
   if (check->request)
     return;
   net_clock_cancel (o->clock, &check->recheck);
-  if (check->engine->access.gone)
+  if (check->engine->avail.gone)
     {
       check_free (check);
       return;
@@ -260,12 +261,12 @@
   relay_check_t *check = check_get (relays, engine);
   el_time_t due;
 
-  if (check->request || engine->access.silent)
+  if (check->request || engine->avail.silent)
     return;
   if (now > check->last_stall + CHECK_INTERVAL_RESET)
     check->min_interval = CHECK_INTERVAL_MIN;
   if (check->min_interval >= POLLED_INTERVAL
-      && now < engine->told + POLLED_MAX_AGE)
+      && now < engine->reported_at + POLLED_MAX_AGE)
     return;
   due = check->last_stall + check->min_interval;
   if (due < check->asked + CHECK_INTERVAL_MIN)
--- a/gate/relay_epoch.c
+++ b/gate/relay_epoch.c
@@ -73,6 +73,6 @@
 {
   if (relays->rules)
     rules_announce (relays);
-  rt_fleet_left (relays->options.fleet, DRAINING_MAX, draining_announce,
-                 relays);
+  rt_fleet_visit_leaving (relays->options.fleet, DRAINING_MAX,
+                          draining_announce, relays);
 }
--- a/gate/relay_head.c
+++ b/gate/relay_head.c
@@ -75,7 +75,7 @@
   snprintf (head->time_left, sizeof head->time_left, "%" PRIu64,
             (relay->deadline - now) / EL_MSEC);
   head_add (head, dialect->names.time_left, el_str (head->time_left));
-  head_add (head, dialect->names.expect, relay->target->facts.id);
+  head_add (head, dialect->names.expect, relay->target->attrs.id);
   head_add (head, dialect->names.customer, relay->customer);
   if (relay->has_id)
     {
--- a/gate/relay_log.c
+++ b/gate/relay_log.c
@@ -9,7 +9,7 @@
 #include "librelay.h"
 
 static const char *const next_names[] = { [RT_NEXT_PASS] = "pass",
-                                          [RT_NEXT_AGAIN] = "again",
+                                          [RT_NEXT_RETRY] = "again",
                                           [RT_NEXT_REFUSE] = "refuse",
                                           [RT_NEXT_FAIL] = "fail" };
 static const char *const outcome_names[]
@@ -30,7 +30,7 @@
       EL_LOG_INFO, event, EL_FS ("request", relay->id),
       EL_FS ("rule", relay->rule ? relay->rule->name : el_str ("-")),
       EL_FS ("customer", relay->customer),
-      EL_FS ("endpoint", target ? target->facts.id : el_str ("-")),
+      EL_FS ("endpoint", target ? target->attrs.id : el_str ("-")),
       EL_FN ("parts", relay->line.n), EL_FN ("attempts", relay->course.sent),
       EL_FN ("may_have_run", relay->course.may_run), EL_FN ("status", status),
       EL_FC ("reason", reason), EL_FN ("events", relay->nevents),
@@ -47,19 +47,21 @@
 relay_log_sent (const gt_relay_t *relay, el_time_t now)
 {
   const rt_target_t *target = relay->target;
-  EL_LOG (
-      EL_LOG_INFO, "sent", EL_FS ("request", relay->id),
-      EL_FS ("endpoint", target->facts.id), EL_FN ("born", target->facts.born),
-      EL_FN ("attempt", relay->course.sent + 1),
-      EL_FN ("parts", relay->line.n),
-      EL_FC ("against", rt_why_name (rt_access_why (&target->access, now))),
-      EL_FN ("rest_left_us", rt_access_rest_left (&target->access, now)),
-      EL_FN ("leaving", rt_target_leaves (target)),
-      EL_FN ("running", target->running),
-      EL_FN ("told_age_us", target->told ? now - target->told : 0),
-      EL_FN ("listed_epoch", target->epoch),
-      EL_FN ("listed_age_us", target->listed ? now - target->listed : 0),
-      EL_FN ("known_age_us", now - relay->relays->rules_as_of));
+  EL_LOG (EL_LOG_INFO, "sent", EL_FS ("request", relay->id),
+          EL_FS ("endpoint", target->attrs.id),
+          EL_FN ("born", target->attrs.born),
+          EL_FN ("attempt", relay->course.sent + 1),
+          EL_FN ("parts", relay->line.n),
+          EL_FC ("against",
+                 rt_unavail_name (rt_avail_reason_at (&target->avail, now))),
+          EL_FN ("rest_left_us", rt_avail_rest_left (&target->avail, now)),
+          EL_FN ("leaving", rt_target_is_leaving (target)),
+          EL_FN ("running", target->running),
+          EL_FN ("told_age_us",
+                 target->reported_at ? now - target->reported_at : 0),
+          EL_FN ("listed_epoch", target->epoch),
+          EL_FN ("listed_age_us", target->listed ? now - target->listed : 0),
+          EL_FN ("known_age_us", now - relay->relays->rules_as_of));
 }
 
 /** Logs an attempt whose response was not simply forwarded; NEXT follows. */
@@ -76,7 +78,7 @@
   dialect->write_line (&relay->line, &line);
   EL_LOG (
       EL_LOG_INFO, "attempt_failed", EL_FS ("request", relay->id),
-      EL_FC ("digest", digest), EL_FS ("endpoint", relay->target->facts.id),
+      EL_FC ("digest", digest), EL_FS ("endpoint", relay->target->attrs.id),
       EL_FC ("net", outcome_names[result->net]),
       EL_FN ("status", result->status),
       EL_FC ("verdict", el_verdict_name (attempt->verdict)),
--- a/gate/relay_poll.c
+++ b/gate/relay_poll.c
@@ -25,14 +25,15 @@
 static int
 poll_covers (const gt_relays_t *relays, const rt_target_t *engine)
 {
-  return engine->facts.end > engine->facts.first && !rt_target_leaves (engine)
-         && el_str_eq (engine->facts.hall, relays->options.hall);
+  return engine->attrs.end > engine->attrs.first
+         && !rt_target_is_leaving (engine)
+         && el_str_eq (engine->attrs.hall, relays->options.hall);
 }
 
 static el_time_t
 poll_interval (const rt_target_t *engine)
 {
-  int slots_busy = engine->facts.first == 0 && engine->taken > POLL_BUSY_SLOTS;
+  int slots_busy = engine->attrs.first == 0 && engine->taken > POLL_BUSY_SLOTS;
 
   if (slots_busy || engine->fill > POLL_BUSY_FILL
       || engine->pace > POLL_SLOW_PACE)
@@ -49,7 +50,7 @@
 
   for (engine = rt_fleet_first (relays->options.fleet); engine;
        engine = engine->hh.next)
-    if (engine->lines)
+    if (engine->chains)
       gt_relays_engine_changed (relays, engine);
 }
 
@@ -69,7 +70,7 @@
     return;
   for (engine = rt_fleet_first (o->fleet); engine; engine = engine->hh.next)
     if (poll_covers (relays, engine) && i++ % POLL_SLICES == relays->poll_slice
-        && !rt_access_rest_left (&engine->access, now))
+        && !rt_avail_rest_left (&engine->avail, now))
       relay_check_unless_recent (relays, engine, now - poll_interval (engine));
   if (relays->poll_slice == 0)
     o->poll_done (o->arg);
@@ -104,15 +105,15 @@
 
   *out = el_alloc ((rt_fleet_count (o->fleet) + 1) * sizeof **out);
   for (engine = rt_fleet_first (o->fleet); engine; engine = engine->hh.next)
-    if (poll_covers (relays, engine) && engine->told
-        && now < engine->told + REPORT_MAX_AGE)
-      (*out)[n++] = (pr_engine_report_t){ .id = engine->facts.id,
-                                          .born = engine->facts.born,
+    if (poll_covers (relays, engine) && engine->reported_at
+        && now < engine->reported_at + REPORT_MAX_AGE)
+      (*out)[n++] = (pr_engine_report_t){ .id = engine->attrs.id,
+                                          .born = engine->attrs.born,
                                           .fill = engine->fill,
                                           .pace = engine->pace,
                                           .taken = engine->taken,
-                                          .age = now - engine->told,
-                                          .silent = engine->access.silent };
+                                          .age = now - engine->reported_at,
+                                          .silent = engine->avail.silent };
   return n;
 }
 
--- a/gate/relay_suspect.c
+++ b/gate/relay_suspect.c
@@ -57,7 +57,7 @@
 pick_isolated_target (gt_relay_t *relay, const rt_blame_status_t *status,
                       el_time_t now)
 {
-  return rt_fleet_apart (
+  return rt_fleet_pick_isolated (
       relay->relays->options.fleet, now, relay->service->name,
       relay_digest (relay) + status->crashes, &relay->tried);
 }
@@ -105,7 +105,7 @@
   if (!target)
     return NULL;
   relay->relays->counts.apart++;
-  rt_access_proof (&target->access, now, PROBATION_TIME);
+  rt_avail_suspect_sent (&target->avail, now, PROBATION_TIME);
   return target;
 }
 
--- a/gate/relay_watch.c
+++ b/gate/relay_watch.c
@@ -37,7 +37,7 @@
 static void watch_tick (void *arg, el_time_t now);
 static void watch_move_stream (gt_relay_t *relay);
 static void watch_reroute_done (void *arg, int done, el_str_t at_fault,
-                                const rt_asks_t *asks);
+                                const rt_hints_t *asks);
 
 static el_time_t
 stall_timeout (const gt_relay_t *relay)
@@ -74,7 +74,7 @@
   if (relay->query)
     net_client_cancel (relay->query);
   relay->query = NULL;
-  rt_line_release (&relay->reroute_line);
+  rt_chain_release (&relay->reroute_line);
 }
 
 /** Starts watching a stream that was just sent. */
@@ -121,7 +121,7 @@
 {
   const gt_relay_options_t *o = &relay->relays->options;
 
-  rt_line_hold (&relay->reroute_line, &relay->line, relay->tokens);
+  rt_chain_acquire (&relay->reroute_line, &relay->line, relay->tokens);
   relay->query = o->dialect->reroute (
       o->client, relay->id, &relay->reroute_line, watch_reroute_done, relay);
 }
@@ -152,14 +152,14 @@
 static void
 watch_reroute_failed (gt_relay_t *relay, el_str_t at_fault)
 {
-  rt_target_t *engine = rt_line_engine (&relay->reroute_line, at_fault);
+  rt_target_t *engine = rt_chain_engine_at (&relay->reroute_line, at_fault);
 
   /* If none is named, one of the new engines has no room. */
   if (!engine)
-    engine = rt_line_fullest (&relay->reroute_line, &relay->line);
+    engine = rt_chain_fullest (&relay->reroute_line, &relay->line);
   if (relay->avoid.n == 0)
     {
-      rt_line_release (&relay->reroute_line);
+      rt_chain_release (&relay->reroute_line);
       watch_schedule (relay, WATCH_INTERVAL);
       return;
     }
@@ -170,7 +170,7 @@
       if (at_fault.len)
         relay_check (relay->relays, engine);
     }
-  rt_line_release (&relay->reroute_line);
+  rt_chain_release (&relay->reroute_line);
   if (++relay->reroutes >= REROUTES_MAX)
     watch_restart_stream (relay, "reroutes refused");
   else
@@ -179,7 +179,7 @@
 
 static void
 watch_reroute_done (void *arg, int done, el_str_t at_fault,
-                    const rt_asks_t *asks)
+                    const rt_hints_t *asks)
 {
   gt_relay_t *relay = arg;
 
@@ -195,7 +195,7 @@
       return;
     }
   relay->relays->counts.rerouted++;
-  rt_line_release (&relay->line);
+  rt_chain_release (&relay->line);
   relay->line = relay->reroute_line;
   relay->reroute_line.n = 0;
   watch_schedule (relay, WATCH_INTERVAL);
@@ -213,9 +213,9 @@
   if (!rt_tried_has (&relay->avoid, relay->target))
     {
       why = "no line around the engine in its hall";
-      if (rt_line_around (o->fleet, net_clock_now (o->clock), relay->service,
-                          &relay->line, &relay->avoid, &relay->reroute_line)
-          && !(rt_line_crosses (&relay->reroute_line)
+      if (rt_chain_reroute (o->fleet, net_clock_now (o->clock), relay->service,
+                            &relay->line, &relay->avoid, &relay->reroute_line)
+          && !(rt_chain_crosses_halls (&relay->reroute_line)
                && relay_may_resume (relay)))
         {
           watch_reroute (relay);
@@ -231,7 +231,7 @@
 relay_watch_engine_silent (gt_relay_t *relay, rt_target_t *engine)
 {
   EL_LOG (EL_LOG_INFO, "stream_through_silent_engine",
-          EL_FS ("request", relay->id), EL_FS ("engine", engine->facts.id),
+          EL_FS ("request", relay->id), EL_FS ("engine", engine->attrs.id),
           EL_FN ("events", relay->nevents),
           EL_FN ("still_us", net_clock_now (relay->relays->options.clock)
                                  - relay->last_progress));
@@ -252,9 +252,9 @@
   rt_tried_add (&tried, engine);
   if (relay->query)
     return;
-  if (rt_line_around (o->fleet, net_clock_now (o->clock), relay->service,
-                      &relay->line, &tried, &relay->reroute_line)
-      && !rt_line_crosses (&relay->reroute_line))
+  if (rt_chain_reroute (o->fleet, net_clock_now (o->clock), relay->service,
+                        &relay->line, &tried, &relay->reroute_line)
+      && !rt_chain_crosses_halls (&relay->reroute_line))
     watch_reroute (relay);
   else
     relay->reroute_line.n = 0;
@@ -268,11 +268,11 @@
 
   for (i = 0; i < relay->line.n; i++)
     {
-      const struct rt_part *part = &relay->line.part[i];
+      const struct rt_chain_part *part = &relay->line.part[i];
 
       if (part->target == engine
-          && (part->from < engine->facts.first
-              || part->to > engine->facts.end))
+          && (part->from < engine->attrs.first
+              || part->to > engine->attrs.end))
         return 1;
     }
   return 0;
@@ -292,8 +292,8 @@
   if (relay->query || !watch_uses_released_layers (relay, engine))
     return;
   rt_tried_add (&tried, engine);
-  if (rt_line_around (o->fleet, net_clock_now (o->clock), relay->service,
-                      &relay->line, &tried, &relay->reroute_line))
+  if (rt_chain_reroute (o->fleet, net_clock_now (o->clock), relay->service,
+                        &relay->line, &tried, &relay->reroute_line))
     watch_reroute (relay);
   else
     relay->reroute_line.n = 0;
@@ -301,10 +301,10 @@
 
 static void
 watch_query_done (void *arg, int answered, el_str_t address,
-                  const rt_asks_t *asks)
+                  const rt_hints_t *asks)
 {
   gt_relay_t *relay = arg;
-  rt_target_t *engine = rt_line_engine (&relay->line, address);
+  rt_target_t *engine = rt_chain_engine_at (&relay->line, address);
 
   relay->query = NULL;
   gt_relays_asked (relay->relays, relay->target, asks, relay->id);
--- a/peer/libpeer.h
+++ b/peer/libpeer.h
@@ -84,7 +84,7 @@
 void peer_change_encode (const co_change_t *from, peer_member_change *to);
 int peer_change_decode (const peer_member_change *from, co_change_t *to);
 
-/* peer_sync.c */
+/* peer_members.c */
 void peer_sync_members (void *arg, el_str_t address);
 void peer_serve_members (pr_peers_t *peers, net_rpc_req_t *req, el_str_t body);
 
--- a/route/course.c
+++ b/route/attempts.c
@@ -30,8 +30,8 @@
 /** Decides what follows an attempt. LEFT is the time that the request has
     left, BUDGET whether the shared budget allows a retry. */
 rt_next_t
-rt_course_next (rt_course_t *state, const rt_rule_t *rule,
-                const rt_attempt_t *attempt, int budget, el_time_t left)
+rt_attempts_next (rt_attempts_t *state, const rt_rule_t *rule,
+                  const rt_attempt_t *attempt, int budget, el_time_t left)
 {
   int not_run = attempt->verdict == EL_NOT_RUN;
   int retry;
@@ -45,7 +45,7 @@
           && state->sent < (attempt->begun ? SENDS_STARTED_MAX : SENDS_MAX)
           && (not_run || may_retry (rule)) && state->may_run < rule->attempts;
   if (retry)
-    return RT_NEXT_AGAIN;
+    return RT_NEXT_RETRY;
   if (attempt->answered && !not_run)
     return RT_NEXT_PASS;
   return state->may_run ? RT_NEXT_FAIL : RT_NEXT_REFUSE;
@@ -55,8 +55,8 @@
     SLACK retries in any WINDOW. A process that started at BORN uses no slack
     in its first window. */
 void
-rt_spend_open (rt_spend_t *pool, double ratio, double slack, el_time_t window,
-               el_time_t born)
+rt_shared_budget_init (rt_shared_budget_t *pool, double ratio, double slack,
+                       el_time_t window, el_time_t born)
 {
   memset (pool, 0, sizeof *pool);
   pool->ratio = ratio;
@@ -66,7 +66,7 @@
 }
 
 static void
-budget_advance (rt_spend_t *pool, el_time_t now)
+budget_advance (rt_shared_budget_t *pool, el_time_t now)
 {
   uint64_t at = now / pool->slot;
 
@@ -83,7 +83,7 @@
 
 /** Counts a request. */
 void
-rt_spend_asked (rt_spend_t *pool, el_time_t now)
+rt_shared_budget_add_request (rt_shared_budget_t *pool, el_time_t now)
 {
   budget_advance (pool, now);
   pool->requests[pool->at % RT_WINDOW_SLOTS]++;
@@ -93,7 +93,8 @@
     grows only a window after other hosts died, as what they spent still
     counts. */
 int
-rt_spend_left (rt_spend_t *pool, el_time_t now, size_t hosts)
+rt_shared_budget_available (rt_shared_budget_t *pool, el_time_t now,
+                            size_t hosts)
 {
   uint64_t asked = 0;
   uint64_t spent = 0;
@@ -119,9 +120,9 @@
 
 /** Takes a retry from this host's portion. Returns 0 if none is left. */
 int
-rt_spend_take (rt_spend_t *pool, el_time_t now, size_t hosts)
+rt_shared_budget_take (rt_shared_budget_t *pool, el_time_t now, size_t hosts)
 {
-  if (!rt_spend_left (pool, now, hosts))
+  if (!rt_shared_budget_available (pool, now, hosts))
     return 0;
   pool->retries[pool->at % RT_WINDOW_SLOTS]++;
   return 1;
--- /dev/null
+++ b/route/avail.c
@@ -0,0 +1,174 @@
+/*
+ * Copyright (c) 2026 The elmarch authors
+ * SPDX-License-Identifier: ISC
+ */
+/** @file
+ * Availability of an endpoint: the reasons to avoid it and their expiry.
+ */
+#include "avail.h"
+
+/* After a rest one trial request is sent first. The others follow when it was
+   answered, or after this time. */
+#define TRIAL_TIMEOUT (500 * EL_MSEC)
+/* Each host extends a rest by a random time of up to this part of it, as an
+   endpoint requests the rest from all hosts at about the same moment. */
+#define JITTER_DIVISOR 10
+#define JITTER_STEPS 1000
+
+static const struct
+{
+  const char *name;
+  rt_avail_level_t open;
+} reasons[RT_UNAVAIL_COUNT] = {
+  [RT_UNAVAIL_NOTHING] = { "nothing", RT_AVAIL_FULL },
+  [RT_UNAVAIL_PROOF] = { "proof", RT_AVAIL_DOUBTFUL },
+  [RT_UNAVAIL_TRIAL] = { "trial", RT_AVAIL_LAST_RESORT },
+  [RT_UNAVAIL_BUSY] = { "busy", RT_AVAIL_LAST_RESORT },
+  [RT_UNAVAIL_CHANGED] = { "changed", RT_AVAIL_LAST_RESORT },
+  [RT_UNAVAIL_FAILED] = { "failed", RT_AVAIL_LAST_RESORT },
+  [RT_UNAVAIL_SILENT] = { "silent", RT_AVAIL_LAST_RESORT },
+  [RT_UNAVAIL_RESTS] = { "rests", RT_AVAIL_NONE },
+  [RT_UNAVAIL_LEAVES] = { "leaves", RT_AVAIL_NONE },
+  [RT_UNAVAIL_GONE] = { "gone", RT_AVAIL_NONE },
+};
+
+/** The strongest reason at NOW to avoid the endpoint. */
+rt_unavail_t
+rt_avail_reason_at (const rt_avail_t *avail, el_time_t now)
+{
+  if (avail->gone)
+    return RT_UNAVAIL_GONE;
+  if (now < avail->leaving_until)
+    return RT_UNAVAIL_LEAVES;
+  if (now < avail->rest_until)
+    return RT_UNAVAIL_RESTS;
+  if (avail->silent)
+    return RT_UNAVAIL_SILENT;
+  if (now < avail->ejected_until)
+    return RT_UNAVAIL_FAILED;
+  if (now < avail->stale_until)
+    return RT_UNAVAIL_CHANGED;
+  if (now < avail->busy_until)
+    return RT_UNAVAIL_BUSY;
+  if (avail->trial && now < avail->trial_until)
+    return RT_UNAVAIL_TRIAL;
+  return now < avail->suspect_until ? RT_UNAVAIL_PROOF : RT_UNAVAIL_NOTHING;
+}
+
+/** The availability level at NOW. */
+rt_avail_level_t
+rt_avail_level_at (const rt_avail_t *avail, el_time_t now)
+{
+  return reasons[rt_avail_reason_at (avail, now)].open;
+}
+
+const char *
+rt_unavail_name (rt_unavail_t why)
+{
+  return reasons[why].name;
+}
+
+/** Whether it is draining at NOW. */
+int
+rt_avail_is_leaving (const rt_avail_t *avail, el_time_t now)
+{
+  return now < avail->leaving_until;
+}
+
+/** Time left of its rest; 0 if it does not rest. */
+el_time_t
+rt_avail_rest_left (const rt_avail_t *avail, el_time_t now)
+{
+  return now < avail->rest_until ? avail->rest_until - now : 0;
+}
+
+/** The endpoint requested at NOW a rest of DURATION. A rest in progress that
+    ends later is kept, as the endpoint has not withdrawn it. DRAW is a random
+    number. Returns 1 if a rest begins. */
+int
+rt_avail_rest (rt_avail_t *avail, el_time_t now, el_time_t duration,
+               uint64_t draw)
+{
+  el_time_t jitter
+      = duration / JITTER_DIVISOR * (draw % JITTER_STEPS) / JITTER_STEPS;
+  int begins = now >= avail->rest_until;
+
+  if (duration == 0 || now + duration + jitter <= avail->rest_until)
+    return 0;
+  if (begins)
+    avail->rest_start = now;
+  avail->rest_until = now + duration + jitter;
+  avail->trial = 1;
+  avail->trial_until = 0;
+  return begins;
+}
+
+/** A request is sent there. */
+void
+rt_avail_sent (rt_avail_t *avail, el_time_t now)
+{
+  if (avail->trial && now >= avail->trial_until)
+    avail->trial_until = now + TRIAL_TIMEOUT;
+}
+
+/** It began to answer a request that it accepted. An answer to a request from
+    before its rest does not end the trial. */
+void
+rt_avail_answered (rt_avail_t *avail)
+{
+  if (avail->trial_until)
+    avail->trial = 0;
+}
+
+/** It refused a request for lack of capacity. */
+void
+rt_avail_busy (rt_avail_t *avail, el_time_t now, el_time_t wait)
+{
+  if (avail->busy_until < now + wait)
+    avail->busy_until = now + wait;
+}
+
+/** Its listed attributes are out of date. */
+void
+rt_avail_changed (rt_avail_t *avail, el_time_t now, el_time_t wait)
+{
+  if (avail->stale_until < now + wait)
+    avail->stale_until = now + wait;
+}
+
+/** A suspect request is sent there. */
+void
+rt_avail_suspect_sent (rt_avail_t *avail, el_time_t now, el_time_t wait)
+{
+  avail->suspect_until = now + wait;
+}
+
+/** A request failed there. Returns 1 if it is set aside now. With IMMEDIATE
+    one failure is enough. */
+int
+rt_avail_failed (rt_avail_t *avail, el_time_t now,
+                 const rt_ejection_t *ejection, int immediate)
+{
+  unsigned excess;
+  el_time_t wait;
+
+  avail->failures++;
+  if (!immediate && avail->failures < ejection->after)
+    return 0;
+  excess = avail->failures > ejection->after
+               ? avail->failures - ejection->after
+               : 0;
+  wait = ejection->first << (excess < ejection->doublings
+                                 ? excess
+                                 : ejection->doublings);
+  avail->ejected_until = now + (wait < ejection->most ? wait : ejection->most);
+  return 1;
+}
+
+/** It answered successfully: clears its failures, and no other reason. */
+void
+rt_avail_succeeded (rt_avail_t *avail)
+{
+  avail->failures = 0;
+  avail->ejected_until = 0;
+}
--- a/route/blame.c
+++ b/route/blame.c
@@ -43,12 +43,12 @@
 rt_instance_t
 rt_target_instance (const rt_target_t *target)
 {
-  rt_instance_t instance = { .born = target->facts.born };
-  size_t len = target->facts.id.len;
+  rt_instance_t instance = { .born = target->attrs.born };
+  size_t len = target->attrs.id.len;
 
   if (len >= RT_INSTANCE_ID_SIZE)
     len = RT_INSTANCE_ID_SIZE - 1;
-  memcpy (instance.id, target->facts.id.ptr, len);
+  memcpy (instance.id, target->attrs.id.ptr, len);
   return instance;
 }
 
--- a/route/line.c
+++ b/route/chain.c
@@ -61,7 +61,7 @@
 
 typedef struct chain_search
 {
-  const rt_line_t *old;     /* chain to reroute: its parts are cheaper */
+  const rt_chain_t *old;    /* chain to reroute: its parts are cheaper */
   const rt_target_t *first; /* engine of the first part; runs no other part */
   const rt_target_t *begin; /* required first engine; NULL: any */
   chain_trust_t trust;
@@ -79,7 +79,7 @@
 
 /* Whether the engine of part I also runs an earlier part. */
 static int
-part_before (const rt_line_t *chain, size_t i)
+part_before (const rt_chain_t *chain, size_t i)
 {
   size_t k;
 
@@ -92,18 +92,18 @@
 /** Whether the parts run every layer once and in order, and no engine
     twice. */
 int
-rt_line_valid (const rt_line_t *chain, unsigned layers)
+rt_chain_valid (const rt_chain_t *chain, unsigned layers)
 {
   unsigned at = 0;
   size_t i;
 
   for (i = 0; i < chain->n; i++)
     {
-      const rt_facts_t *facts = &chain->part[i].target->facts;
+      const rt_attrs_t *attrs = &chain->part[i].target->attrs;
 
       if (part_before (chain, i) || chain->part[i].from != at
-          || chain->part[i].to <= at || chain->part[i].from < facts->first
-          || chain->part[i].to > facts->end)
+          || chain->part[i].to <= at || chain->part[i].from < attrs->first
+          || chain->part[i].to > attrs->end)
         return 0;
       at = chain->part[i].to;
     }
@@ -127,8 +127,8 @@
 static double
 search_jitter (const rt_target_t *target, uint64_t draw)
 {
-  uint64_t mixed = XXH3_64bits_withSeed (target->facts.id.ptr,
-                                         target->facts.id.len, draw);
+  uint64_t mixed = XXH3_64bits_withSeed (target->attrs.id.ptr,
+                                         target->attrs.id.len, draw);
 
   return 1 + COST_JITTER * (double)(mixed % 1000) / 1000;
 }
@@ -137,7 +137,7 @@
 search_add (chain_search_t *search, const rt_fleet_t *fleet,
             const rt_model_t *model, rt_target_t *target, uint64_t draw)
 {
-  const rt_card_t *card = rt_model_card (model, target->facts.card);
+  const rt_card_t *card = rt_model_card (model, target->attrs.card);
   chain_candidate_t *c;
 
   if (!card || search->ncandidates == CANDIDATES_MAX)
@@ -146,11 +146,11 @@
   c->target = target;
   c->estimate
       = rt_estimate (fleet, model, target, search->tokens, search->now);
-  c->hall = search_hall (search, target->facts.hall);
-  c->layer_ms = model->step_ms * card->step_pace / (double)model->layers
+  c->hall = search_hall (search, target->attrs.hall);
+  c->layer_ms = model->step_ms * card->step_scale / (double)model->layers
                 * c->estimate.step_factor * search_jitter (target, draw);
-  search->boundary[target->facts.first] = 1;
-  search->boundary[target->facts.end] = 1;
+  search->boundary[target->attrs.first] = 1;
+  search->boundary[target->attrs.end] = 1;
 }
 
 /* Cost of leaving a hall. The token rate is known a few seconds after the
@@ -158,22 +158,22 @@
 static double
 crossing_ms (const rt_model_t *model, const rt_fleet_t *fleet, el_time_t now)
 {
-  double wanted = rt_fleet_flow (fleet, now) * model->pipe_ms * (double)EL_MSEC
-                  / (double)EL_SEC;
+  double wanted = rt_fleet_token_rate (fleet, now) * model->link_ms
+                  * (double)EL_MSEC / (double)EL_SEC;
 
-  return model->hall_ms + CROSSING_MS * (wanted > 1 ? wanted : 1);
+  return model->inter_hall_ms + CROSSING_MS * (wanted > 1 ? wanted : 1);
 }
 
 static int
 search_admits (const chain_search_t *search, const rt_target_t *target)
 {
-  rt_open_t open = rt_access_open (&target->access, search->now);
+  rt_avail_level_t open = rt_avail_level_at (&target->avail, search->now);
 
   if (search->trust == TRUST_ANY)
-    return open != RT_CLOSED;
-  if (open > RT_DOUBT)
+    return open != RT_AVAIL_NONE;
+  if (open > RT_AVAIL_DOUBTFUL)
     return 0;
-  if (open == RT_DOUBT && target != search->begin)
+  if (open == RT_AVAIL_DOUBTFUL && target != search->begin)
     return search->trust == TRUST_USABLE;
   return search->trust == TRUST_USABLE || !target->asked
          || search->now < target->asked + CHECK_GRACE;
@@ -192,9 +192,9 @@
   search->crossing_ms = crossing_ms (model, fleet, now);
   search->now = now;
   for (target = rt_fleet_first (fleet); target; target = target->hh.next)
-    if (el_str_eq (target->facts.service, service->name)
-        && target->facts.end > target->facts.first
-        && target->facts.end <= model->layers && search_admits (search, target)
+    if (el_str_eq (target->attrs.service, service->name)
+        && target->attrs.end > target->attrs.first
+        && target->attrs.end <= model->layers && search_admits (search, target)
         && !rt_tried_has (tried, target))
       search_add (search, fleet, model, target, now);
   for (at = 0; at <= search->layers; at++)
@@ -210,7 +210,7 @@
 {
   double step = (to - from) * c->layer_ms;
 
-  if (rt_line_part (search->old, c->target, from, to))
+  if (rt_chain_find_part (search->old, c->target, from, to))
     return step * KEPT_PART_FACTOR;
   return step + PREFILL_WAIT_WEIGHT * c->estimate.prefill_wait_ms;
 }
@@ -219,7 +219,7 @@
 search_extend (chain_search_t *search, const chain_candidate_t *c, unsigned at,
                unsigned hall)
 {
-  const rt_facts_t *facts = &c->target->facts;
+  const rt_attrs_t *attrs = &c->target->attrs;
   double before = search->node[at][hall].cost + RT_HOP_MS;
   unsigned to;
 
@@ -227,7 +227,7 @@
     before += search->crossing_ms;
   if (at == 0)
     before += c->estimate.slot_wait_ms;
-  for (to = at + 1; to <= facts->end; to++)
+  for (to = at + 1; to <= attrs->end; to++)
     {
       chain_node_t *node = &search->node[to][c->hall];
       double cost = before + part_cost (search, c, at, to);
@@ -267,7 +267,7 @@
           {
             const chain_candidate_t *c = &search->candidates[i];
 
-            if (c->target->facts.first <= at && at < c->target->facts.end
+            if (c->target->attrs.first <= at && at < c->target->attrs.end
                 && (at || !search->begin || c->target == search->begin)
                 && !search_ended_by (search, at, h, c->target))
               search_extend (search, c, at, h);
@@ -278,9 +278,10 @@
 /* Collects the parts from the last layer back to BEGIN. Returns 0 if there is
    no path. */
 static int
-search_backtrack (const chain_search_t *search, unsigned begin, rt_line_t *out)
+search_backtrack (const chain_search_t *search, unsigned begin,
+                  rt_chain_t *out)
 {
-  struct rt_part back[RT_LINE_MAX];
+  struct rt_chain_part back[RT_CHAIN_MAX];
   unsigned at = search->layers;
   unsigned best = 0;
   unsigned h;
@@ -295,17 +296,17 @@
     {
       const chain_node_t *node = &search->node[at][best];
 
-      if (n == RT_LINE_MAX)
+      if (n == RT_CHAIN_MAX)
         return 0;
       if (node->candidate->estimate.fill > out->fill)
         out->fill = node->candidate->estimate.fill;
-      back[n++] = (struct rt_part){ .target = node->candidate->target,
-                                    .from = node->from,
-                                    .to = at };
+      back[n++] = (struct rt_chain_part){ .target = node->candidate->target,
+                                          .from = node->from,
+                                          .to = at };
       at = node->from;
       best = node->from_hall;
     }
-  if (out->n + n > RT_LINE_MAX)
+  if (out->n + n > RT_CHAIN_MAX)
     return 0;
   while (n)
     out->part[out->n++] = back[--n];
@@ -315,7 +316,7 @@
 /* Merges parts of the same engine. An engine holds one contiguous range, so it
    can also run the layers in between, and then occurs once. */
 static void
-chain_collapse (rt_line_t *chain)
+chain_collapse (rt_chain_t *chain)
 {
   size_t i;
   size_t k;
@@ -335,12 +336,12 @@
 /* Returns 1 if the search found a valid chain, which it stores in OUT. OUT is
    empty otherwise. */
 static int
-search_result (const chain_search_t *search, unsigned begin, rt_line_t *out)
+search_result (const chain_search_t *search, unsigned begin, rt_chain_t *out)
 {
   if (search_backtrack (search, begin, out))
     {
       chain_collapse (out);
-      if (rt_line_valid (out, search->layers))
+      if (rt_chain_valid (out, search->layers))
         return 1;
     }
   out->n = 0;
@@ -350,7 +351,7 @@
 /* Searches a chain for a new stream. */
 static int
 chain_search (chain_search_t *search, rt_fleet_t *fleet, el_time_t now,
-              const rt_line_want_t *want, rt_line_t *out)
+              const rt_chain_query_t *want, rt_chain_t *out)
 {
   unsigned start = search_hall (search, want->hall);
 
@@ -362,8 +363,8 @@
 
 /* Searches a chain over the engines that TRUST admits. */
 static int
-chain_pick (rt_fleet_t *fleet, el_time_t now, const rt_line_want_t *want,
-            chain_trust_t trust, rt_line_t *out)
+chain_pick (rt_fleet_t *fleet, el_time_t now, const rt_chain_query_t *want,
+            chain_trust_t trust, rt_chain_t *out)
 {
   chain_search_t *search = el_alloc (sizeof *search);
   int found;
@@ -382,8 +383,8 @@
     layers. Engines that are set aside are used only if there is no chain
     without them. */
 int
-rt_line_pick (rt_fleet_t *fleet, el_time_t now, const rt_line_want_t *want,
-              rt_line_t *out)
+rt_chain_pick (rt_fleet_t *fleet, el_time_t now, const rt_chain_query_t *want,
+               rt_chain_t *out)
 {
   chain_trust_t trust;
   int found = 0;
@@ -413,9 +414,9 @@
 
   *out = el_alloc ((rt_fleet_count (fleet) + 1) * sizeof **out);
   for (target = rt_fleet_first (fleet); target; target = target->hh.next)
-    if (el_str_eq (target->facts.service, service)
-        && rt_access_why (&target->access, now) == RT_WHY_RESTS)
-      (*out)[n++] = target->access.rest_until;
+    if (el_str_eq (target->attrs.service, service)
+        && rt_avail_reason_at (&target->avail, now) == RT_UNAVAIL_RESTS)
+      (*out)[n++] = target->avail.rest_until;
   qsort (*out, n, sizeof **out, compare_times);
   return n;
 }
@@ -425,9 +426,10 @@
     only adds engines, so binary search finds the time: 11 searches for 1,900
     resting engines. */
 el_time_t
-rt_line_opens (rt_fleet_t *fleet, el_time_t now, const rt_line_want_t *want)
+rt_chain_available_at (rt_fleet_t *fleet, el_time_t now,
+                       const rt_chain_query_t *want)
 {
-  rt_line_t chain;
+  rt_chain_t chain;
   el_time_t *ends;
   el_time_t opens = 0;
   size_t n = rest_ends (fleet, now, want->service->name, &ends);
@@ -456,10 +458,10 @@
 static int
 chain_search_around (chain_search_t *search, rt_fleet_t *fleet, el_time_t now,
                      const rt_service_t *service, const rt_tried_t *tried,
-                     rt_line_t *out)
+                     rt_chain_t *out)
 {
-  const rt_line_t *old = search->old;
-  const struct rt_part *first = &old->part[0];
+  const rt_chain_t *old = search->old;
+  const struct rt_chain_part *first = &old->part[0];
   unsigned start;
   size_t i;
 
@@ -467,7 +469,7 @@
   out->tokens = old->tokens;
   search->first = first->target;
   search->tokens = old->tokens;
-  start = search_hall (search, first->target->facts.hall);
+  start = search_hall (search, first->target->attrs.hall);
   search_init (search, fleet, now, service, tried);
   for (i = 0; i < old->n; i++)
     search->boundary[old->part[i].to] = 1;
@@ -482,8 +484,9 @@
     TRIED. Other parts of OLD are kept where possible. Returns 0 if there is
     none. */
 int
-rt_line_around (rt_fleet_t *fleet, el_time_t now, const rt_service_t *service,
-                const rt_line_t *old, const rt_tried_t *tried, rt_line_t *out)
+rt_chain_reroute (rt_fleet_t *fleet, el_time_t now,
+                  const rt_service_t *service, const rt_chain_t *old,
+                  const rt_tried_t *tried, rt_chain_t *out)
 {
   chain_search_t *search;
   chain_trust_t trust;
--- a/route/line_use.c
+++ b/route/chain_use.c
@@ -9,7 +9,7 @@
 
 /** Whether CHAIN includes TARGET. */
 int
-rt_line_has (const rt_line_t *chain, const rt_target_t *target)
+rt_chain_has (const rt_chain_t *chain, const rt_target_t *target)
 {
   size_t i;
 
@@ -21,21 +21,21 @@
 
 /** The engine of CHAIN at ADDRESS; NULL if there is none. */
 rt_target_t *
-rt_line_engine (const rt_line_t *chain, el_str_t address)
+rt_chain_engine_at (const rt_chain_t *chain, el_str_t address)
 {
   size_t i;
 
   for (i = 0; i < chain->n; i++)
-    if (el_str_eq (chain->part[i].target->facts.address, address))
+    if (el_str_eq (chain->part[i].target->attrs.address, address))
       return chain->part[i].target;
   return NULL;
 }
 
 /** The part of CHAIN in which TARGET runs exactly the layers from FROM to TO;
     NULL if there is none. CHAIN may be NULL. */
-const struct rt_part *
-rt_line_part (const rt_line_t *chain, const rt_target_t *target, unsigned from,
-              unsigned to)
+const struct rt_chain_part *
+rt_chain_find_part (const rt_chain_t *chain, const rt_target_t *target,
+                    unsigned from, unsigned to)
 {
   size_t i;
 
@@ -48,19 +48,19 @@
 
 /** Whether CHAIN includes an engine outside the hall of its first one. */
 int
-rt_line_crosses (const rt_line_t *chain)
+rt_chain_crosses_halls (const rt_chain_t *chain)
 {
   size_t i;
 
   for (i = 1; i < chain->n; i++)
-    if (!el_str_eq (chain->part[i].target->facts.hall,
-                    chain->part[0].target->facts.hall))
+    if (!el_str_eq (chain->part[i].target->attrs.hall,
+                    chain->part[0].target->attrs.hall))
       return 1;
   return 0;
 }
 
 static double
-part_layers (const struct rt_part *part)
+part_layers (const struct rt_chain_part *part)
 {
   return part->to - part->from;
 }
@@ -69,36 +69,36 @@
     them. Each part has the given number of tokens to prefill, except the parts
     that OLD has too, which keep their progress. OLD may be NULL. */
 void
-rt_line_hold (rt_line_t *chain, const rt_line_t *old, double unread)
+rt_chain_acquire (rt_chain_t *chain, const rt_chain_t *old, double to_prefill)
 {
   size_t i;
 
   chain->prefilling = 1;
   for (i = 0; i < chain->n; i++)
     {
-      struct rt_part *part = &chain->part[i];
-      const struct rt_part *kept
-          = rt_line_part (old, part->target, part->from, part->to);
-
-      part->unread = kept ? kept->unread : unread;
-      rt_target_ref (part->target)->lines++;
-      part->target->held += chain->tokens * part_layers (part);
-      part->target->unread += part->unread * part_layers (part);
+      struct rt_chain_part *part = &chain->part[i];
+      const struct rt_chain_part *kept
+          = rt_chain_find_part (old, part->target, part->from, part->to);
+
+      part->to_prefill = kept ? kept->to_prefill : to_prefill;
+      rt_target_ref (part->target)->chains++;
+      part->target->kv_held += chain->tokens * part_layers (part);
+      part->target->to_prefill += part->to_prefill * part_layers (part);
     }
 }
 
 /* Marks all parts as prefilled and removes their prefill load. */
 static void
-chain_prefilled (rt_line_t *chain)
+chain_prefilled (rt_chain_t *chain)
 {
   size_t i;
 
   for (i = 0; chain->prefilling && i < chain->n; i++)
     {
-      struct rt_part *part = &chain->part[i];
+      struct rt_chain_part *part = &chain->part[i];
 
-      part->target->unread -= part->unread * part_layers (part);
-      part->unread = 0;
+      part->target->to_prefill -= part->to_prefill * part_layers (part);
+      part->to_prefill = 0;
     }
   chain->prefilling = 0;
 }
@@ -106,19 +106,19 @@
 /** An event of the stream arrived at NOW: all engines are alive and have
     completed their prefill. */
 void
-rt_line_event (rt_line_t *chain, el_time_t now)
+rt_chain_progress (rt_chain_t *chain, el_time_t now)
 {
   size_t i;
 
   chain_prefilled (chain);
   for (i = 0; i < chain->n; i++)
-    chain->part[i].target->alive = now;
+    chain->part[i].target->last_event_at = now;
 }
 
 /** The engine of CHAIN, outside OLD, that holds the most KV cache of this
     host's streams; NULL if there is none. */
 rt_target_t *
-rt_line_fullest (const rt_line_t *chain, const rt_line_t *old)
+rt_chain_fullest (const rt_chain_t *chain, const rt_chain_t *old)
 {
   rt_target_t *fullest = NULL;
   size_t i;
@@ -127,8 +127,8 @@
     {
       rt_target_t *target = chain->part[i].target;
 
-      if (!rt_line_has (old, target)
-          && (!fullest || target->held > fullest->held))
+      if (!rt_chain_has (old, target)
+          && (!fullest || target->kv_held > fullest->kv_held))
         fullest = target;
     }
   return fullest;
@@ -136,17 +136,17 @@
 
 /** Ends the use of CHAIN: removes its load and releases its engines. */
 void
-rt_line_release (rt_line_t *chain)
+rt_chain_release (rt_chain_t *chain)
 {
   size_t i;
 
   chain_prefilled (chain);
   for (i = 0; i < chain->n; i++)
     {
-      struct rt_part *part = &chain->part[i];
+      struct rt_chain_part *part = &chain->part[i];
 
-      part->target->lines--;
-      part->target->held -= chain->tokens * part_layers (part);
+      part->target->chains--;
+      part->target->kv_held -= chain->tokens * part_layers (part);
       rt_target_unref (part->target);
     }
   chain->n = 0;
--- a/route/digest.c
+++ b/route/digest.c
@@ -26,7 +26,7 @@
 
 /** The digest of INPUT under the hosts' KEY; never 0. */
 rt_digest_t
-rt_digest (el_str_t key, const rt_asked_t *input)
+rt_digest (el_str_t key, const rt_digest_input_t *input)
 {
   unsigned char hash[EVP_MAX_MD_SIZE];
   EVP_MD_CTX *ctx = EVP_MD_CTX_new ();
@@ -59,7 +59,7 @@
 
 /** Parses the output of rt_digest_hex. Returns 0 if TEXT is malformed or 0. */
 int
-rt_digest_read (el_str_t text, rt_digest_t *out)
+rt_digest_parse (el_str_t text, rt_digest_t *out)
 {
   size_t i;
   char c;
--- a/route/estimate.c
+++ b/route/estimate.c
@@ -43,14 +43,14 @@
            const rt_card_t *card, const rt_target_t *target, int fresh,
            double tokens)
 {
-  double layers = target->facts.end - target->facts.first;
+  double layers = target->attrs.end - target->attrs.first;
   double room = (card->memory_mb - layers * model->layer_mb)
                 / model->token_kv_mb * (double)model->layers;
   double fill;
 
   if (room <= 0)
     return 1;
-  fill = extrapolate (fleet, fresh, target->held_at_report, target->held)
+  fill = extrapolate (fleet, fresh, target->held_at_report, target->kv_held)
          / room;
   if (fresh)
     fill += target->fill;
@@ -68,18 +68,18 @@
 /* Prefill time per token and layer, with decode steps of other streams in
    between. */
 static double
-read_ms (const rt_model_t *model, const rt_card_t *card)
+prefill_ms (const rt_model_t *model, const rt_card_t *card)
 {
-  double steps = model->read_steps * model->step_ms * card->step_pace;
+  double steps = model->interleaved_steps * model->step_ms * card->step_scale;
 
-  return (model->read_ms * card->read_pace + LOADED_STEP_FACTOR * steps)
+  return (model->prefill_ms * card->prefill_scale + LOADED_STEP_FACTOR * steps)
          / (double)model->layers;
 }
 
 static double
 slot_wait_ms (const rt_fleet_t *fleet, const rt_target_t *target, int fresh)
 {
-  double slots = target->facts.slots ? (double)target->facts.slots : 1;
+  double slots = target->attrs.slots ? (double)target->attrs.slots : 1;
   double taken
       = (extrapolate (fleet, fresh, target->running_at_report, target->running)
          + 1)
@@ -96,16 +96,16 @@
 rt_estimate (const rt_fleet_t *fleet, const rt_model_t *model,
              const rt_target_t *target, double tokens, el_time_t now)
 {
-  const rt_card_t *card = rt_model_card (model, target->facts.card);
+  const rt_card_t *card = rt_model_card (model, target->attrs.card);
   double pace = target->pace > 1 ? target->pace : 1;
-  int fresh = target->told && now < target->told + REPORT_TTL;
+  int fresh = target->reported_at && now < target->reported_at + REPORT_TTL;
   double fill = fill_with (fleet, model, card, target, fresh, tokens);
 
-  return (rt_estimate_t){
-    .fill = fill,
-    .step_factor = pace * fill_factor (fill),
-    .prefill_wait_ms
-    = target->unread * rt_fleet_hosts (fleet) * read_ms (model, card) * pace,
-    .slot_wait_ms = slot_wait_ms (fleet, target, fresh)
-  };
+  return (rt_estimate_t){ .fill = fill,
+                          .step_factor = pace * fill_factor (fill),
+                          .prefill_wait_ms = target->to_prefill
+                                             * rt_fleet_hosts (fleet)
+                                             * prefill_ms (model, card) * pace,
+                          .slot_wait_ms
+                          = slot_wait_ms (fleet, target, fresh) };
 }
--- a/route/fleet.c
+++ b/route/fleet.c
@@ -11,7 +11,7 @@
 #include "relay.h"
 
 /* A failing endpoint is set aside. A single failure may be coincidence. */
-static const rt_avoid_t ejection = {
+static const rt_ejection_t ejection = {
   .after = 2, .first = 200 * EL_MSEC, .doublings = 4, .most = 3200 * EL_MSEC
 };
 /* How long an engine without capacity is set aside; streams end all the
@@ -36,7 +36,7 @@
 {
   el_str_t id;
   uint64_t born;
-  rt_access_t access;
+  rt_avail_t avail;
   UT_hash_handle hh;
 } unlisted_t;
 
@@ -96,17 +96,17 @@
 }
 
 static void
-attrs_free (rt_facts_t *facts)
+attrs_free (rt_attrs_t *attrs)
 {
-  el_str_free (&facts->id);
-  el_str_free (&facts->service);
-  el_str_free (&facts->address);
-  el_str_free (&facts->hall);
-  el_str_free (&facts->card);
+  el_str_free (&attrs->id);
+  el_str_free (&attrs->service);
+  el_str_free (&attrs->address);
+  el_str_free (&attrs->hall);
+  el_str_free (&attrs->card);
 }
 
 static void
-attrs_copy (rt_facts_t *to, const rt_facts_t *from)
+attrs_copy (rt_attrs_t *to, const rt_attrs_t *from)
 {
   *to = *from;
   to->id = el_str_dup (from->id);
@@ -123,17 +123,17 @@
 {
   if (!target || --target->refs)
     return;
-  attrs_free (&target->facts);
+  attrs_free (&target->attrs);
   free (target);
 }
 
 /** Whether listed attributes and TARGET are of the same process, as far as
     start times are known. */
 int
-rt_target_same_start (const rt_target_t *target, const rt_facts_t *facts)
+rt_target_same_start (const rt_target_t *target, const rt_attrs_t *attrs)
 {
-  return !target->facts.born || !facts->born
-         || target->facts.born == facts->born;
+  return !target->attrs.born || !attrs->born
+         || target->attrs.born == attrs->born;
 }
 
 static unlisted_t *
@@ -149,7 +149,7 @@
    ID. */
 static void
 unlisted_add (rt_fleet_t *fleet, el_str_t id, uint64_t born,
-              const rt_access_t *access)
+              const rt_avail_t *avail)
 {
   unlisted_t *entry = unlisted_find (fleet, id);
 
@@ -160,10 +160,10 @@
   entry = el_alloc (sizeof *entry);
   entry->id = el_str_dup (id);
   entry->born = born;
-  entry->access = (rt_access_t){ .leaves_until = access->leaves_until,
-                                 .rest_began = access->rest_began,
-                                 .rest_until = access->rest_until,
-                                 .trial = access->trial };
+  entry->avail = (rt_avail_t){ .leaving_until = avail->leaving_until,
+                               .rest_start = avail->rest_start,
+                               .rest_until = avail->rest_until,
+                               .trial = avail->trial };
   HASH_ADD_KEYPTR (hh, fleet->unlisted, entry->id.ptr, (unsigned)id.len,
                    entry);
 }
@@ -172,25 +172,25 @@
 static void
 unlisted_take (rt_fleet_t *fleet, rt_target_t *target)
 {
-  unlisted_t *entry = unlisted_find (fleet, target->facts.id);
+  unlisted_t *entry = unlisted_find (fleet, target->attrs.id);
 
   if (!entry)
     return;
-  if (!entry->born || !target->facts.born || entry->born == target->facts.born)
-    target->access = entry->access;
+  if (!entry->born || !target->attrs.born || entry->born == target->attrs.born)
+    target->avail = entry->avail;
   unlisted_drop (fleet, entry);
 }
 
 static rt_target_t *
-target_add (rt_fleet_t *fleet, const rt_facts_t *facts)
+target_add (rt_fleet_t *fleet, const rt_attrs_t *attrs)
 {
   rt_target_t *target = el_alloc (sizeof *target);
 
   target->refs = 1;
-  attrs_copy (&target->facts, facts);
+  attrs_copy (&target->attrs, attrs);
   unlisted_take (fleet, target);
-  HASH_ADD_KEYPTR (hh, fleet->by_id, target->facts.id.ptr,
-                   (unsigned)target->facts.id.len, target);
+  HASH_ADD_KEYPTR (hh, fleet->by_id, target->attrs.id.ptr,
+                   (unsigned)target->attrs.id.len, target);
   return target;
 }
 
@@ -198,24 +198,24 @@
     with another start time under the same id is a new endpoint: it inherits no
     layers, no drain state and no rest. */
 rt_target_t *
-rt_fleet_set (rt_fleet_t *fleet, const rt_facts_t *facts)
+rt_fleet_update (rt_fleet_t *fleet, const rt_attrs_t *attrs)
 {
-  rt_target_t *target = rt_fleet_find (fleet, facts->id);
+  rt_target_t *target = rt_fleet_find (fleet, attrs->id);
 
-  if (target && !rt_target_same_start (target, facts))
+  if (target && !rt_target_same_start (target, attrs))
     {
-      rt_fleet_remove (fleet, facts->id);
+      rt_fleet_remove (fleet, attrs->id);
       target = NULL;
     }
   if (!target)
-    target = target_add (fleet, facts);
-  else if (facts->born)
-    target->facts.born = facts->born;
-  target->facts.slots = facts->slots;
-  target->facts.first = facts->first;
-  target->facts.end = facts->end;
-  if (facts->leaving)
-    rt_target_leave (target);
+    target = target_add (fleet, attrs);
+  else if (attrs->born)
+    target->attrs.born = attrs->born;
+  target->attrs.slots = attrs->slots;
+  target->attrs.first = attrs->first;
+  target->attrs.end = attrs->end;
+  if (attrs->leaving)
+    rt_target_mark_leaving (target);
   return target;
 }
 
@@ -227,10 +227,9 @@
 
   if (!target)
     return;
-  if (rt_target_leaves (target) || target->access.rest_until)
-    unlisted_add (fleet, target->facts.id, target->facts.born,
-                  &target->access);
-  target->access.gone = 1;
+  if (rt_target_is_leaving (target) || target->avail.rest_until)
+    unlisted_add (fleet, target->attrs.id, target->attrs.born, &target->avail);
+  target->avail.gone = 1;
   HASH_DEL (fleet->by_id, target);
   rt_target_unref (target);
 }
@@ -239,41 +238,41 @@
     endpoint if that is new; NULL if it was known, or if that process is not
     listed. The state of an unlisted endpoint is kept. */
 rt_target_t *
-rt_fleet_leaves (rt_fleet_t *fleet, el_str_t id, uint64_t born)
+rt_fleet_mark_leaving (rt_fleet_t *fleet, el_str_t id, uint64_t born)
 {
-  const rt_access_t leaves = { .leaves_until = EL_TIME_NEVER };
+  const rt_avail_t leaves = { .leaving_until = EL_TIME_NEVER };
   rt_target_t *target = rt_fleet_find (fleet, id);
-  const rt_facts_t facts = { .born = born };
+  const rt_attrs_t attrs = { .born = born };
 
   if (!target)
     {
       unlisted_add (fleet, id, born, &leaves);
       return NULL;
     }
-  if (!rt_target_same_start (target, &facts) || rt_target_leaves (target))
+  if (!rt_target_same_start (target, &attrs) || rt_target_is_leaving (target))
     return NULL;
-  rt_target_leave (target);
+  rt_target_mark_leaving (target);
   return target;
 }
 
 static int
 unlisted_is_leaving (const unlisted_t *entry)
 {
-  return entry->access.leaves_until == EL_TIME_NEVER;
+  return entry->avail.leaving_until == EL_TIME_NEVER;
 }
 
 /** Calls LEFT for each draining process: those listed, and those among the
     MOST newest unlisted entries. */
 void
-rt_fleet_left (const rt_fleet_t *fleet, size_t most, rt_left_cb left,
-               void *arg)
+rt_fleet_visit_leaving (const rt_fleet_t *fleet, size_t most,
+                        rt_leaving_cb left, void *arg)
 {
   const rt_target_t *target;
   const unlisted_t *entry = NULL;
 
   for (target = fleet->by_id; target; target = target->hh.next)
-    if (rt_target_leaves (target))
-      left (arg, target->facts.id, target->facts.born);
+    if (rt_target_is_leaving (target))
+      left (arg, target->attrs.id, target->attrs.born);
   if (fleet->unlisted)
     entry = ELMT_FROM_HH (fleet->unlisted->hh.tbl,
                           fleet->unlisted->hh.tbl->tail);
@@ -284,31 +283,33 @@
 
 /** TARGET requested at NOW a rest of ASKED. Returns 1 if a rest begins. */
 int
-rt_fleet_rests (rt_fleet_t *fleet, rt_target_t *target, el_time_t now,
-                el_time_t asked)
+rt_fleet_rest (rt_fleet_t *fleet, rt_target_t *target, el_time_t now,
+               el_time_t asked)
 {
-  return rt_access_rest (&target->access, now, asked,
-                         el_random (&fleet->random));
+  return rt_avail_rest (&target->avail, now, asked,
+                        el_random (&fleet->random));
 }
 
 /** The earliest time at which a rest of an endpoint of SERVICE ends; 0 if an
     endpoint may be used at NOW, or if none rests. */
 el_time_t
-rt_fleet_opens (const rt_fleet_t *fleet, el_time_t now, el_str_t service)
+rt_fleet_available_at (const rt_fleet_t *fleet, el_time_t now,
+                       el_str_t service)
 {
   const rt_target_t *target;
   el_time_t first = 0;
 
   for (target = fleet->by_id; target; target = target->hh.next)
     {
-      rt_why_t why = rt_access_why (&target->access, now);
+      rt_unavail_t why = rt_avail_reason_at (&target->avail, now);
 
-      if (!el_str_eq (target->facts.service, service))
+      if (!el_str_eq (target->attrs.service, service))
         continue;
-      if (why < RT_WHY_RESTS)
+      if (why < RT_UNAVAIL_RESTS)
         return 0;
-      if (why == RT_WHY_RESTS && (!first || target->access.rest_until < first))
-        first = target->access.rest_until;
+      if (why == RT_UNAVAIL_RESTS
+          && (!first || target->avail.rest_until < first))
+        first = target->avail.rest_until;
     }
   return first;
 }
@@ -334,7 +335,7 @@
 /** Sets the number of hosts: HOSTS in this hall, which includes this one and
     which share the engines about equally, and ALL_HOSTS in all halls. */
 void
-rt_fleet_share (rt_fleet_t *fleet, size_t hosts, size_t all_hosts)
+rt_fleet_set_hosts (rt_fleet_t *fleet, size_t hosts, size_t all_hosts)
 {
   fleet->hosts = hosts;
   fleet->all_hosts = all_hosts;
@@ -351,7 +352,7 @@
 
 /** Counts a stream of TOKENS that this host sends to engines. */
 void
-rt_fleet_sent (rt_fleet_t *fleet, el_time_t now, double tokens)
+rt_fleet_stream_sent (rt_fleet_t *fleet, el_time_t now, double tokens)
 {
   fleet->token_rate = fleet->token_rate * token_rate_decay (fleet, now)
                       + tokens * (double)EL_SEC / (double)TOKEN_RATE_WINDOW;
@@ -361,7 +362,7 @@
 /** Tokens per second of all hosts' streams, assuming that each host sends as
     many as this one. */
 double
-rt_fleet_flow (const rt_fleet_t *fleet, el_time_t now)
+rt_fleet_token_rate (const rt_fleet_t *fleet, el_time_t now)
 {
   double hosts = fleet->all_hosts ? (double)fleet->all_hosts : 1;
 
@@ -387,28 +388,28 @@
 int
 rt_target_usable (const rt_target_t *target, el_time_t now)
 {
-  return rt_access_open (&target->access, now) <= RT_DOUBT;
+  return rt_avail_level_at (&target->avail, now) <= RT_AVAIL_DOUBTFUL;
 }
 
 /** Whether TARGET is draining until it exits. */
 int
-rt_target_leaves (const rt_target_t *target)
+rt_target_is_leaving (const rt_target_t *target)
 {
-  return target->access.leaves_until == EL_TIME_NEVER;
+  return target->avail.leaving_until == EL_TIME_NEVER;
 }
 
 /** Marks TARGET as draining, for the lifetime of its process. */
 void
-rt_target_leave (rt_target_t *target)
+rt_target_mark_leaving (rt_target_t *target)
 {
-  target->access.leaves_until = EL_TIME_NEVER;
+  target->avail.leaving_until = EL_TIME_NEVER;
 }
 
 /** Records a failed request at TARGET. */
 void
 rt_target_failed (rt_target_t *target, el_time_t now)
 {
-  rt_access_failed (&target->access, now, &ejection, 0);
+  rt_avail_failed (&target->avail, now, &ejection, 0);
 }
 
 /** Records that TARGET's listed attributes are out of date: it holds other
@@ -416,27 +417,27 @@
 void
 rt_target_changed (rt_target_t *target, el_time_t now)
 {
-  rt_access_changed (&target->access, now, CHANGED_HOLD);
+  rt_avail_changed (&target->avail, now, CHANGED_HOLD);
 }
 
 /** Records that TARGET refused a request for lack of capacity. */
 void
 rt_target_busy (rt_target_t *target, el_time_t now)
 {
-  rt_access_busy (&target->access, now, BUSY_HOLD);
+  rt_avail_busy (&target->avail, now, BUSY_HOLD);
 }
 
 /** Takes the load that TARGET reported at AT. Returns 0 if a newer report is
     known. */
 int
-rt_target_told (rt_target_t *target, const rt_load_t *load, el_time_t at)
+rt_target_report (rt_target_t *target, const rt_load_t *load, el_time_t at)
 {
-  if (at <= target->told)
+  if (at <= target->reported_at)
     return 0;
-  target->told = at;
+  target->reported_at = at;
   target->fill = load->fill;
   target->pace = load->pace;
-  target->held_at_report = target->held;
+  target->held_at_report = target->kv_held;
   target->taken = load->taken;
   target->running_at_report = target->running;
   return 1;
@@ -444,11 +445,11 @@
 
 /** Records a successful answer after TOOK. */
 void
-rt_target_served (rt_target_t *target, el_time_t took)
+rt_target_succeeded (rt_target_t *target, el_time_t took)
 {
   double ms = (double)took / (double)EL_MSEC;
 
-  rt_access_served (&target->access);
+  rt_avail_succeeded (&target->avail);
   if (target->mean_ms > 0)
     target->mean_ms += LATENCY_WEIGHT * (ms - target->mean_ms);
   else
@@ -480,13 +481,13 @@
 static double
 pick_cost (rt_fleet_t *fleet, const rt_target_t *target, el_str_t hall)
 {
-  double slots = target->facts.slots ? (double)target->facts.slots : 1;
+  double slots = target->attrs.slots ? (double)target->attrs.slots : 1;
   double jitter = (double)(el_random (&fleet->random) % 1000) / 1000;
   double load = (double)(target->running + 1) / slots;
   double latency_ms = target->mean_ms > 0 ? target->mean_ms : 1;
   double cost = load * latency_ms * (1 + jitter / 4);
 
-  if (!el_str_eq (target->facts.hall, hall))
+  if (!el_str_eq (target->attrs.hall, hall))
     cost *= 1 + REMOTE_HALL_PENALTY;
   return cost;
 }
@@ -501,15 +502,15 @@
   rt_target_t *best = NULL;
   rt_target_t *target;
   rt_target_t *next;
-  rt_open_t best_level = RT_ASIDE;
+  rt_avail_level_t best_level = RT_AVAIL_LAST_RESORT;
   double min_cost = 0;
 
   HASH_ITER (hh, fleet->by_id, target, next)
   {
-    rt_open_t level = rt_access_open (&target->access, now);
+    rt_avail_level_t level = rt_avail_level_at (&target->avail, now);
     double cost;
 
-    if (level > best_level || !el_str_eq (target->facts.service, service)
+    if (level > best_level || !el_str_eq (target->attrs.service, service)
         || rt_tried_has (tried, target))
       continue;
     cost = pick_cost (fleet, target, hall);
@@ -528,8 +529,9 @@
     different ones. An endpoint that another suspect may be about to crash is
     skipped. */
 rt_target_t *
-rt_fleet_apart (const rt_fleet_t *fleet, el_time_t now, el_str_t service,
-                uint64_t draw, const rt_tried_t *tried)
+rt_fleet_pick_isolated (const rt_fleet_t *fleet, el_time_t now,
+                        el_str_t service, uint64_t draw,
+                        const rt_tried_t *tried)
 {
   rt_target_t *best = NULL;
   rt_target_t *target;
@@ -538,14 +540,14 @@
 
   for (target = fleet->by_id; target; target = target->hh.next)
     {
-      int engine = target->facts.card.len > 0;
+      int engine = target->attrs.card.len > 0;
 
-      if (rt_access_open (&target->access, now) != RT_OPEN
-          || !el_str_eq (target->facts.service, service)
-          || (engine && (target->facts.first > 0 || target->facts.end == 0))
+      if (rt_avail_level_at (&target->avail, now) != RT_AVAIL_FULL
+          || !el_str_eq (target->attrs.service, service)
+          || (engine && (target->attrs.first > 0 || target->attrs.end == 0))
           || rt_tried_has (tried, target))
         continue;
-      rank = XXH3_64bits_withSeed (target->facts.id.ptr, target->facts.id.len,
+      rank = XXH3_64bits_withSeed (target->attrs.id.ptr, target->attrs.id.len,
                                    draw);
       if (best && rank <= highest)
         continue;
--- a/route/health.c
+++ b/route/health.c
@@ -9,7 +9,7 @@
  */
 #include "librt.h"
 
-static const rt_avoid_t ejection_policy = {
+static const rt_ejection_t ejection_policy = {
   .after = 3, .first = 500 * EL_MSEC, .doublings = 5, .most = 15 * EL_SEC
 };
 
@@ -31,9 +31,11 @@
 rt_endpoint_usable (const rt_endpoint_t *ep, el_time_t now,
                     int ignore_ejection)
 {
-  rt_open_t open = rt_access_open (&ep->access, now);
+  rt_avail_level_t open = rt_avail_level_at (&ep->avail, now);
 
-  return !ep->draining && open <= (ignore_ejection ? RT_ASIDE : RT_DOUBT);
+  return !ep->draining
+         && open <= (ignore_ejection ? RT_AVAIL_LAST_RESORT
+                                     : RT_AVAIL_DOUBTFUL);
 }
 
 /** The earliest time at which the endpoint may be sent new requests: NOW, the
@@ -41,11 +43,11 @@
 el_time_t
 rt_endpoint_available_at (const rt_endpoint_t *ep, el_time_t now)
 {
-  rt_why_t reason = rt_access_why (&ep->access, now);
+  rt_unavail_t reason = rt_avail_reason_at (&ep->avail, now);
 
-  if (ep->draining || reason > RT_WHY_RESTS)
+  if (ep->draining || reason > RT_UNAVAIL_RESTS)
     return EL_TIME_NEVER;
-  return reason == RT_WHY_RESTS ? ep->access.rest_until : now;
+  return reason == RT_UNAVAIL_RESTS ? ep->avail.rest_until : now;
 }
 
 /** A call to the endpoint failed. */
@@ -61,13 +63,13 @@
   if (fail == RT_FAIL_LEAVING)
     {
       router->counts.leaving++;
-      ep->access.leaves_until = now + router->options.leave_hold;
+      ep->avail.leaving_until = now + router->options.leave_hold;
     }
   if (!failure_effects[fail].counts)
     return;
-  ejected = now < ep->access.failed_until;
-  if (rt_access_failed (&ep->access, now, &ejection_policy,
-                        failure_effects[fail].ejects_at_once))
+  ejected = now < ep->avail.ejected_until;
+  if (rt_avail_failed (&ep->avail, now, &ejection_policy,
+                       failure_effects[fail].ejects_at_once))
     router->counts.ejected += !ejected;
 }
 
@@ -78,7 +80,7 @@
 {
   rt_endpoint_t *ep = rt_endpoint_find (router, name);
 
-  if (ep && rt_access_rest (&ep->access, now, asked, rt_random (router)))
+  if (ep && rt_avail_rest (&ep->avail, now, asked, rt_random (router)))
     router->counts.rests++;
 }
 
@@ -90,8 +92,8 @@
 
   if (!ep)
     return;
-  rt_access_answered (&ep->access);
-  rt_access_served (&ep->access);
+  rt_avail_answered (&ep->avail);
+  rt_avail_succeeded (&ep->avail);
 }
 
 /** A call was sent to the endpoint at NOW (DELTA is 1) or has ended (DELTA is
@@ -106,7 +108,7 @@
     return;
   if (delta > 0)
     {
-      rt_access_sent (&ep->access, now);
+      rt_avail_sent (&ep->avail, now);
       ep->in_flight++;
     }
   else if (ep->in_flight)
--- a/route/layout.c
+++ b/route/layout.c
@@ -103,28 +103,28 @@
   for (target = rt_fleet_first (layout->fleet); target;
        target = target->hh.next)
     {
-      const rt_facts_t *facts = &target->facts;
+      const rt_attrs_t *attrs = &target->attrs;
 
-      if (!el_str_eq (facts->service, layout->service->name)
-          || rt_target_leaves (target) || target->access.silent
-          || (hall.len && !el_str_eq (facts->hall, hall)))
+      if (!el_str_eq (attrs->service, layout->service->name)
+          || rt_target_is_leaving (target) || target->avail.silent
+          || (hall.len && !el_str_eq (attrs->hall, hall)))
         continue;
       order = order_for (layout->pending, layout->npending, target);
       if (!order)
         order = order_for (layout->out, layout->n, target);
       if (order)
         cover_add (cover, order->first, order->end);
-      else if (facts->end <= layout->service->model.layers)
-        cover_add (cover, facts->first, facts->end);
+      else if (attrs->end <= layout->service->model.layers)
+        cover_add (cover, attrs->first, attrs->end);
     }
 }
 
 static int
 target_is_empty (const layout_t *layout, const rt_target_t *target)
 {
-  return el_str_eq (target->facts.service, layout->service->name)
-         && !rt_target_leaves (target) && !target->access.gone
-         && target->facts.end == target->facts.first
+  return el_str_eq (target->attrs.service, layout->service->name)
+         && !rt_target_is_leaving (target) && !target->avail.gone
+         && target->attrs.end == target->attrs.first
          && !order_for (layout->pending, layout->npending, target)
          && !order_for (layout->out, layout->n, target);
 }
@@ -133,10 +133,10 @@
 static const rt_card_t *
 layout_card (const layout_t *layout, const rt_target_t *target)
 {
-  if (rt_target_leaves (target)
-      || !el_str_eq (target->facts.service, layout->service->name))
+  if (rt_target_is_leaving (target)
+      || !el_str_eq (target->attrs.service, layout->service->name))
     return NULL;
-  return rt_model_card (&layout->service->model, target->facts.card);
+  return rt_model_card (&layout->service->model, target->attrs.card);
 }
 
 /* Total layers that the engines of a hall can hold with KV cache for ROOM
@@ -152,7 +152,7 @@
     {
       const rt_card_t *card = layout_card (layout, target);
 
-      if (card && el_str_eq (target->facts.hall, hall))
+      if (card && el_str_eq (target->attrs.hall, hall))
         n += card_layers (&layout->service->model, card, room);
     }
   return n;
@@ -168,10 +168,11 @@
 
   for (target = rt_fleet_first (layout->fleet); target;
        target = target->hh.next)
-    if (layout_card (layout, target) && el_str_eq (target->facts.hall, hall)
-        && target->facts.slots > slots)
-      slots = target->facts.slots;
-  return ROOM_SLOT_SHARE * (double)slots * layout->service->model.usual_tokens;
+    if (layout_card (layout, target) && el_str_eq (target->attrs.hall, hall)
+        && target->attrs.slots > slots)
+      slots = target->attrs.slots;
+  return ROOM_SLOT_SHARE * (double)slots
+         * layout->service->model.typical_tokens;
 }
 
 /* The largest reserve that leaves MODEL_COPIES of the model in the hall. */
@@ -181,7 +182,7 @@
   const rt_model_t *model = &layout->service->model;
   double room = hall_max_room (layout, hall);
 
-  while (room > model->usual_tokens
+  while (room > model->typical_tokens
          && hall_layers (layout, hall, room) < MODEL_COPIES * model->layers)
     room *= ROOM_DECAY;
   return room;
@@ -213,7 +214,7 @@
   if (!card)
     return 0;
   return card_layers (&layout->service->model, card,
-                      layout_hall (layout, target->facts.hall)->room);
+                      layout_hall (layout, target->attrs.hall)->room);
 }
 
 /* Whether the engines of a hall can hold the whole model. */
@@ -229,7 +230,7 @@
 static double
 layer_ms (const rt_model_t *model, const rt_card_t *card, unsigned n)
 {
-  return model->step_ms * card->step_pace / (double)model->layers
+  return model->step_ms * card->step_scale / (double)model->layers
          + RT_HOP_MS / (double)n;
 }
 
@@ -288,9 +289,9 @@
 /** Fills OUT with orders for empty engines. PENDING are orders given whose
     outcome is not known yet. Returns the number of new orders. */
 size_t
-rt_layout_next (rt_fleet_t *fleet, const rt_service_t *service,
-                const rt_order_t *pending, size_t npending, rt_order_t *out,
-                size_t max_orders)
+rt_layout_assign (rt_fleet_t *fleet, const rt_service_t *service,
+                  const rt_order_t *pending, size_t npending, rt_order_t *out,
+                  size_t max_orders)
 {
   layout_t layout = { .service = service,
                       .fleet = fleet,
@@ -307,7 +308,7 @@
     return 0;
   while (layout.n < max_orders && (target = layout_fastest (&layout, &n)))
     {
-      hall = target->facts.hall;
+      hall = target->attrs.hall;
       if (!hall_self_sufficient (&layout, hall))
         hall = (el_str_t){ NULL, 0 };
       layout_cover (&layout, hall, cover);
@@ -324,13 +325,14 @@
 {
   unsigned i;
 
-  if (!el_str_eq (target->facts.service, layout->service->name)
-      || target->access.gone || target->access.silent
-      || rt_target_leaves (target) || target->facts.first == target->facts.end
+  if (!el_str_eq (target->attrs.service, layout->service->name)
+      || target->avail.gone || target->avail.silent
+      || rt_target_is_leaving (target)
+      || target->attrs.first == target->attrs.end
       || order_for (layout->pending, layout->npending, target)
       || order_for (layout->out, layout->n, target))
     return 0;
-  for (i = target->facts.first; i < target->facts.end; i++)
+  for (i = target->attrs.first; i < target->attrs.end; i++)
     if (cover[i] < 2)
       return 0;
   return 1;
@@ -365,14 +367,14 @@
   for (target = rt_fleet_first (layout->fleet); target;
        target = target->hh.next)
     {
-      if (!el_str_eq (target->facts.hall, hall)
+      if (!el_str_eq (target->attrs.hall, hall)
           || !target_is_spare (layout, target, cover))
         continue;
       n = target_layers (layout, target);
       if (n > gap)
         n = gap;
       if (n < *layers
-          || (best && n == *layers && target->lines >= best->lines))
+          || (best && n == *layers && target->chains >= best->chains))
         continue;
       best = target;
       *layers = n;
@@ -388,7 +390,7 @@
   size_t i;
 
   for (i = 0; i < layout->npending; i++)
-    if (el_str_eq (layout->pending[i].target->facts.hall, hall))
+    if (el_str_eq (layout->pending[i].target->attrs.hall, hall))
       return 1;
   return 0;
 }
@@ -401,7 +403,7 @@
 
   for (other = rt_fleet_first (layout->fleet); other != target;
        other = other->hh.next)
-    if (el_str_eq (other->facts.hall, target->facts.hall))
+    if (el_str_eq (other->attrs.hall, target->attrs.hall))
       return 0;
   return 1;
 }
@@ -450,8 +452,8 @@
   if (service->model.layers == 0 || service->model.layers > LAYERS_MAX)
     return 0;
   for (target = rt_fleet_first (fleet); target; target = target->hh.next)
-    if (el_str_eq (target->facts.service, service->name)
+    if (el_str_eq (target->attrs.service, service->name)
         && is_first_of_hall (&layout, target))
-      hall_repair (&layout, target->facts.hall, max_orders);
+      hall_repair (&layout, target->attrs.hall, max_orders);
   return layout.n;
 }
--- a/route/librt.h
+++ b/route/librt.h
@@ -8,7 +8,7 @@
 #ifndef ELMARCH_LIBRT_H
 #define ELMARCH_LIBRT_H
 
-#include "access.h"
+#include "avail.h"
 #include "map.h"
 #include "route.h"
 
@@ -19,9 +19,9 @@
   el_str_t hall;
   co_role_t role;
   uint64_t capacity;
-  int draining;       /* set by the operator */
-  rt_access_t access; /* whether requests may be sent to it */
-  size_t in_flight;   /* calls */
+  int draining;     /* set by the operator */
+  rt_avail_t avail; /* whether requests may be sent to it */
+  size_t in_flight; /* calls */
   UT_hash_handle hh;
 } rt_endpoint_t;
 
--- a/route/fall.c
+++ b/route/order_failures.c
@@ -22,21 +22,21 @@
 rt_order_digest (el_str_t key, const rt_order_t *order)
 {
   const unsigned layers = order->end - order->first;
-  const rt_asked_t input
+  const rt_digest_input_t input
       = { .method = EL_STR ("order"),
-          .host = order->target->facts.service,
-          .path = order->target->facts.card,
+          .host = order->target->attrs.service,
+          .path = order->target->attrs.card,
           .body = { (const char *)&layers, sizeof layers } };
 
   return rt_digest (key, &input);
 }
 
-static rt_fall_t *
-failure_find (rt_falls_t *failures, rt_digest_t digest)
+static rt_order_failure_t *
+failure_find (rt_order_failures_t *failures, rt_digest_t digest)
 {
   size_t i;
 
-  for (i = 0; i < RT_FALLS; i++)
+  for (i = 0; i < RT_ORDER_FAILURES; i++)
     if (failures->list[i].digest == digest)
       return &failures->list[i];
   return NULL;
@@ -45,24 +45,24 @@
 /** Counts an engine that exited under its order. Returns 1 if the order should
     not be given to any other engine. */
 int
-rt_falls_ended (rt_falls_t *failures, rt_digest_t digest)
+rt_order_failures_add (rt_order_failures_t *failures, rt_digest_t digest)
 {
-  rt_fall_t *failure = failure_find (failures, digest);
+  rt_order_failure_t *failure = failure_find (failures, digest);
 
   if (!failure)
     {
-      failure = &failures->list[failures->next++ % RT_FALLS];
-      *failure = (rt_fall_t){ .digest = digest };
+      failure = &failures->list[failures->next++ % RT_ORDER_FAILURES];
+      *failure = (rt_order_failure_t){ .digest = digest };
     }
   return ++failure->n == FAILURES_MAX;
 }
 
 /** Resets the failures of an order that an engine carried out. */
 void
-rt_falls_done (rt_falls_t *failures, rt_digest_t digest)
+rt_order_failures_clear (rt_order_failures_t *failures, rt_digest_t digest)
 {
-  rt_fall_t *failure = failure_find (failures, digest);
+  rt_order_failure_t *failure = failure_find (failures, digest);
 
   if (failure)
-    *failure = (rt_fall_t){ 0 };
+    *failure = (rt_order_failure_t){ 0 };
 }
--- a/route/relay.h
+++ b/route/relay.h
@@ -11,7 +11,7 @@
 #ifndef ELMARCH_RELAY_H
 #define ELMARCH_RELAY_H
 
-#include "access.h"
+#include "avail.h"
 #include "base.h"
 #include "map.h"
 
@@ -20,19 +20,19 @@
 /* Rules. */
 
 /** Whether a request may be repeated. */
-typedef enum rt_kind
+typedef enum rt_rule_kind
 {
   RT_SAFE,   /**< idempotent: may run more than once */
   RT_UNSAFE, /**< not idempotent: runs at most once */
   RT_STREAM  /**< an event stream; runs once unless it is resumable */
-} rt_kind_t;
+} rt_rule_kind_t;
 
 /** One service's weight in a rule's traffic split. */
-typedef struct rt_share
+typedef struct rt_service_weight
 {
   el_str_t service;
   uint64_t weight;
-} rt_share_t;
+} rt_service_weight_t;
 
 /** Routes the requests for a host name and path prefix to services. */
 typedef struct rt_rule
@@ -40,14 +40,14 @@
   el_str_t name;
   el_str_t host;   /**< as in the Host header, without the port */
   el_str_t prefix; /**< begins and ends with a slash */
-  rt_kind_t kind;
+  rt_rule_kind_t kind;
   el_time_t timeout; /**< longest time to hold a request; 0: no limit */
   el_time_t target;  /**< target latency; a slower answer counts as late */
   unsigned attempts; /**< most attempts that may have run */
   unsigned priority; /**< 0 is the highest */
   int open;          /**< requires no API key */
   int resumable;     /**< a stream may continue at another endpoint */
-  rt_share_t *shares;
+  rt_service_weight_t *shares;
   size_t nshares;
   char *index; /* hash key: host and prefix */
   UT_hash_handle hh;
@@ -58,24 +58,25 @@
 {
   el_str_t name;
   double memory_mb;
-  double step_pace; /**< factor on the time of a decode step */
-  double read_pace; /**< factor on the prefill time */
+  double step_scale;    /**< factor on the time of a decode step */
+  double prefill_scale; /**< factor on the prefill time */
 } rt_card_t;
 
 /** Size and timing of the model that a service's engines run. */
 typedef struct rt_model
 {
-  unsigned layers;     /**< 0: the model is not split over engines */
-  double layer_mb;     /**< size of one layer's weights */
-  double step_ms;      /**< decode time of a token in all layers, at pace 1 */
-  double read_ms;      /**< prefill time of a token in all layers, at pace 1 */
-  double read_steps;   /**< decode steps of other streams that an engine runs
-                          between two prefill batches, per prefilled token */
-  double token_kv_mb;  /**< KV cache of one token in all layers */
-  double usual_tokens; /**< prompt and answer of a typical request */
-  double hall_ms;      /**< latency from one hall to another */
-  double pipe_ms;      /**< transmission time of a token over the link between
-                          halls, which all streams share */
+  unsigned layers;   /**< 0: the model is not split over engines */
+  double layer_mb;   /**< size of one layer's weights */
+  double step_ms;    /**< decode time of a token in all layers, at pace 1 */
+  double prefill_ms; /**< prefill time of a token in all layers, at pace 1 */
+  double
+      interleaved_steps; /**< decode steps of other streams that an engine runs
+                     between two prefill batches, per prefilled token */
+  double token_kv_mb;    /**< KV cache of one token in all layers */
+  double typical_tokens; /**< prompt and answer of a typical request */
+  double inter_hall_ms;  /**< latency from one hall to another */
+  double link_ms; /**< transmission time of a token over the link between
+                     halls, which all streams share */
   rt_card_t *cards;
   size_t ncards;
 } rt_model_t;
@@ -116,19 +117,19 @@
 } rt_rules_t;
 
 rt_rules_t *rt_rules_new (json_t *json);
-void rt_rules_index (rt_rules_t *rules);
+void rt_rules_build_index (rt_rules_t *rules);
 rt_rules_t *rt_rules_ref (rt_rules_t *rules);
 void rt_rules_unref (rt_rules_t *rules);
 const rt_rule_t *rt_rules_match (const rt_rules_t *rules, el_str_t host,
                                  el_str_t path);
 const rt_key_t *rt_rules_key (const rt_rules_t *rules, el_str_t text);
 const rt_service_t *rt_rules_service (const rt_rules_t *rules, el_str_t name);
-el_str_t rt_rule_service (const rt_rule_t *rule, uint64_t draw);
+el_str_t rt_rule_pick_service (const rt_rule_t *rule, uint64_t draw);
 
 /* Endpoints. */
 
 /** Attributes of an endpoint as its entry in the store lists them. */
-typedef struct rt_facts
+typedef struct rt_attrs
 {
   el_str_t id;
   uint64_t born; /**< start time, which distinguishes successive processes with
@@ -141,7 +142,7 @@
   int leaving;    /**< draining: takes no new work */
   unsigned first; /**< first layer loaded */
   unsigned end;   /**< one past the last layer loaded */
-} rt_facts_t;
+} rt_attrs_t;
 
 /** Load that an engine reports. */
 typedef struct rt_load
@@ -155,23 +156,24 @@
 /** State that this host keeps for an endpoint. */
 typedef struct rt_target
 {
-  rt_facts_t facts; /**< owns its strings */
+  rt_attrs_t attrs; /**< owns its strings */
   unsigned refs;
   uint64_t epoch;   /**< epoch of the store when its entry was last reported */
   el_time_t listed; /**< time of that report */
-  rt_access_t access; /**< availability for new requests */
-  unsigned running;   /**< requests of this host in flight there */
-  unsigned lines;     /**< streams of this host whose chain includes it */
-  double held;        /**< this host's streams, in tokens times layers */
-  double unread;      /**< part of that load that is not prefilled yet */
-  el_time_t alive;    /**< time of the last event of a stream through it */
+  rt_avail_t avail; /**< availability for new requests */
+  unsigned running; /**< requests of this host in flight there */
+  unsigned chains;  /**< streams of this host whose chain includes it */
+  double kv_held;   /**< this host's streams, in tokens times layers */
+  double to_prefill; /**< part of that load that is not prefilled yet */
+  el_time_t
+      last_event_at; /**< time of the last event of a stream through it */
   double pace; /**< slowdown relative to its accelerator type; 0: unknown,
                   taken as 1 */
   double fill; /**< KV memory in use, as last reported */
   double held_at_report; /**< load of this host's streams at that report */
   double taken; /**< running and queued requests per slot, as last reported */
   unsigned running_at_report; /**< RUNNING at that report */
-  el_time_t told;             /**< time of the last load report; 0: none yet */
+  el_time_t reported_at;      /**< time of the last load report; 0: none yet */
   el_time_t asked; /**< when the outstanding health check was sent; 0: none is
                       outstanding */
   el_time_t refused_at; /**< connections are refused since; 0: they are not */
@@ -180,44 +182,46 @@
 } rt_target_t;
 
 /** Load-control hints that an endpoint sends with an answer. */
-typedef struct rt_asks
+typedef struct rt_hints
 {
   el_time_t rest; /**< requested back-off; 0: none */
   int leaves;     /**< draining: takes no new work */
-} rt_asks_t;
+} rt_hints_t;
 
 typedef struct rt_fleet rt_fleet_t;
 
 rt_fleet_t *rt_fleet_new (uint64_t seed);
 void rt_fleet_free (rt_fleet_t *fleet);
-rt_target_t *rt_fleet_set (rt_fleet_t *fleet, const rt_facts_t *facts);
-int rt_target_same_start (const rt_target_t *target, const rt_facts_t *facts);
+rt_target_t *rt_fleet_update (rt_fleet_t *fleet, const rt_attrs_t *attrs);
+int rt_target_same_start (const rt_target_t *target, const rt_attrs_t *attrs);
 void rt_fleet_remove (rt_fleet_t *fleet, el_str_t id);
 rt_target_t *rt_fleet_find (const rt_fleet_t *fleet, el_str_t id);
 rt_target_t *rt_fleet_first (const rt_fleet_t *fleet);
 double rt_fleet_hosts (const rt_fleet_t *fleet);
 size_t rt_fleet_count (const rt_fleet_t *fleet);
-void rt_fleet_share (rt_fleet_t *fleet, size_t hosts, size_t all);
-void rt_fleet_sent (rt_fleet_t *fleet, el_time_t now, double tokens);
-double rt_fleet_flow (const rt_fleet_t *fleet, el_time_t now);
+void rt_fleet_set_hosts (rt_fleet_t *fleet, size_t hosts, size_t all);
+void rt_fleet_stream_sent (rt_fleet_t *fleet, el_time_t now, double tokens);
+double rt_fleet_token_rate (const rt_fleet_t *fleet, el_time_t now);
 rt_target_t *rt_target_ref (rt_target_t *target);
 void rt_target_unref (rt_target_t *target);
 int rt_target_usable (const rt_target_t *target, el_time_t now);
-int rt_target_leaves (const rt_target_t *target);
-void rt_target_leave (rt_target_t *target);
-rt_target_t *rt_fleet_leaves (rt_fleet_t *fleet, el_str_t id, uint64_t born);
-typedef void (*rt_left_cb) (void *arg, el_str_t id, uint64_t born);
-void rt_fleet_left (const rt_fleet_t *fleet, size_t most, rt_left_cb left,
-                    void *arg);
-int rt_fleet_rests (rt_fleet_t *fleet, rt_target_t *target, el_time_t now,
-                    el_time_t asked);
-el_time_t rt_fleet_opens (const rt_fleet_t *fleet, el_time_t now,
-                          el_str_t service);
+int rt_target_is_leaving (const rt_target_t *target);
+void rt_target_mark_leaving (rt_target_t *target);
+rt_target_t *rt_fleet_mark_leaving (rt_fleet_t *fleet, el_str_t id,
+                                    uint64_t born);
+typedef void (*rt_leaving_cb) (void *arg, el_str_t id, uint64_t born);
+void rt_fleet_visit_leaving (const rt_fleet_t *fleet, size_t most,
+                             rt_leaving_cb left, void *arg);
+int rt_fleet_rest (rt_fleet_t *fleet, rt_target_t *target, el_time_t now,
+                   el_time_t asked);
+el_time_t rt_fleet_available_at (const rt_fleet_t *fleet, el_time_t now,
+                                 el_str_t service);
 void rt_target_failed (rt_target_t *target, el_time_t now);
 void rt_target_changed (rt_target_t *target, el_time_t now);
 void rt_target_busy (rt_target_t *target, el_time_t now);
-int rt_target_told (rt_target_t *target, const rt_load_t *load, el_time_t at);
-void rt_target_served (rt_target_t *target, el_time_t took);
+int rt_target_report (rt_target_t *target, const rt_load_t *load,
+                      el_time_t at);
+void rt_target_succeeded (rt_target_t *target, el_time_t took);
 
 /** Most endpoints that one request excludes. */
 #define RT_TRIED_MAX 8
@@ -231,9 +235,9 @@
 
 void rt_tried_add (rt_tried_t *tried, const rt_target_t *target);
 int rt_tried_has (const rt_tried_t *tried, const rt_target_t *target);
-rt_target_t *rt_fleet_apart (const rt_fleet_t *fleet, el_time_t now,
-                             el_str_t service, uint64_t draw,
-                             const rt_tried_t *tried);
+rt_target_t *rt_fleet_pick_isolated (const rt_fleet_t *fleet, el_time_t now,
+                                     el_str_t service, uint64_t draw,
+                                     const rt_tried_t *tried);
 rt_target_t *rt_fleet_pick (rt_fleet_t *fleet, el_time_t now, el_str_t service,
                             el_str_t hall, const rt_tried_t *tried);
 
@@ -257,54 +261,55 @@
 #define RT_HOP_MS 0.5
 
 /** Most engines of a chain. */
-#define RT_LINE_MAX 32
+#define RT_CHAIN_MAX 32
 
 /** Engines that run a model's layers as a pipeline: every layer once, in *
     order. */
-typedef struct rt_line
+typedef struct rt_chain
 {
-  struct rt_part
+  struct rt_chain_part
   {
     rt_target_t *target;
-    unsigned from; /**< first layer that it runs for the stream */
-    unsigned to;   /**< one past the last one */
-    double unread; /**< tokens that it has yet to prefill */
-  } part[RT_LINE_MAX];
+    unsigned from;     /**< first layer that it runs for the stream */
+    unsigned to;       /**< one past the last one */
+    double to_prefill; /**< tokens that it has yet to prefill */
+  } part[RT_CHAIN_MAX];
   size_t n;
   double tokens;  /**< KV cache reserved for the stream */
   int prefilling; /**< some part has tokens to prefill */
   double fill;    /**< highest estimated memory use of its engines, the stream
                      included */
-} rt_line_t;
+} rt_chain_t;
 
 /** Requirements on a new chain. */
-typedef struct rt_line_want
+typedef struct rt_chain_query
 {
   const rt_service_t *service;
   el_str_t hall;            /**< the caller's hall */
   double tokens;            /**< expected length of the stream */
   const rt_tried_t *tried;  /**< engines to exclude */
   const rt_target_t *first; /**< engine of the first part; NULL: any */
-} rt_line_want_t;
-
-int rt_line_valid (const rt_line_t *chain, unsigned layers);
-int rt_line_pick (rt_fleet_t *fleet, el_time_t now, const rt_line_want_t *want,
-                  rt_line_t *out);
-el_time_t rt_line_opens (rt_fleet_t *fleet, el_time_t now,
-                         const rt_line_want_t *want);
-int rt_line_around (rt_fleet_t *fleet, el_time_t now,
-                    const rt_service_t *service, const rt_line_t *old,
-                    const rt_tried_t *tried, rt_line_t *out);
-int rt_line_has (const rt_line_t *chain, const rt_target_t *target);
-rt_target_t *rt_line_engine (const rt_line_t *chain, el_str_t address);
-const struct rt_part *rt_line_part (const rt_line_t *chain,
-                                    const rt_target_t *target, unsigned from,
-                                    unsigned to);
-int rt_line_crosses (const rt_line_t *chain);
-void rt_line_hold (rt_line_t *chain, const rt_line_t *old, double unread);
-void rt_line_event (rt_line_t *chain, el_time_t now);
-rt_target_t *rt_line_fullest (const rt_line_t *chain, const rt_line_t *old);
-void rt_line_release (rt_line_t *chain);
+} rt_chain_query_t;
+
+int rt_chain_valid (const rt_chain_t *chain, unsigned layers);
+int rt_chain_pick (rt_fleet_t *fleet, el_time_t now,
+                   const rt_chain_query_t *want, rt_chain_t *out);
+el_time_t rt_chain_available_at (rt_fleet_t *fleet, el_time_t now,
+                                 const rt_chain_query_t *want);
+int rt_chain_reroute (rt_fleet_t *fleet, el_time_t now,
+                      const rt_service_t *service, const rt_chain_t *old,
+                      const rt_tried_t *tried, rt_chain_t *out);
+int rt_chain_has (const rt_chain_t *chain, const rt_target_t *target);
+rt_target_t *rt_chain_engine_at (const rt_chain_t *chain, el_str_t address);
+const struct rt_chain_part *rt_chain_find_part (const rt_chain_t *chain,
+                                                const rt_target_t *target,
+                                                unsigned from, unsigned to);
+int rt_chain_crosses_halls (const rt_chain_t *chain);
+void rt_chain_acquire (rt_chain_t *chain, const rt_chain_t *old,
+                       double to_prefill);
+void rt_chain_progress (rt_chain_t *chain, el_time_t now);
+rt_target_t *rt_chain_fullest (const rt_chain_t *chain, const rt_chain_t *old);
+void rt_chain_release (rt_chain_t *chain);
 
 /* Layer placement. */
 
@@ -317,9 +322,9 @@
 } rt_order_t;
 
 const rt_card_t *rt_model_card (const rt_model_t *model, el_str_t name);
-size_t rt_layout_next (rt_fleet_t *fleet, const rt_service_t *service,
-                       const rt_order_t *pending, size_t npending,
-                       rt_order_t *out, size_t max_orders);
+size_t rt_layout_assign (rt_fleet_t *fleet, const rt_service_t *service,
+                         const rt_order_t *pending, size_t npending,
+                         rt_order_t *out, size_t max_orders);
 
 size_t rt_layout_repair (rt_fleet_t *fleet, const rt_service_t *service,
                          const rt_order_t *pending, size_t npending,
@@ -328,43 +333,43 @@
 /* Digests of requests and orders, and orders that engines fail under. */
 
 /** The properties of a request that its digest covers. */
-typedef struct rt_asked
+typedef struct rt_digest_input
 {
   el_str_t customer; /**< empty under an open rule */
   el_str_t method;
   el_str_t host;
   el_str_t path; /**< includes the query */
   el_str_t body;
-} rt_asked_t;
+} rt_digest_input_t;
 
 /** Identifies a request by its content and customer; 0: none. */
 typedef uint64_t rt_digest_t;
 
 #define RT_DIGEST_HEX 16
 
-rt_digest_t rt_digest (el_str_t key, const rt_asked_t *input);
+rt_digest_t rt_digest (el_str_t key, const rt_digest_input_t *input);
 void rt_digest_hex (rt_digest_t digest, char out[RT_DIGEST_HEX + 1]);
-int rt_digest_read (el_str_t text, rt_digest_t *out);
+int rt_digest_parse (el_str_t text, rt_digest_t *out);
 rt_digest_t rt_order_digest (el_str_t key, const rt_order_t *order);
 
 /** Most distinct orders tracked. */
-#define RT_FALLS 64
+#define RT_ORDER_FAILURES 64
 
 /** Consecutive engine failures under equivalent orders. */
-typedef struct rt_fall
+typedef struct rt_order_failure
 {
   rt_digest_t digest;
   unsigned n;
-} rt_fall_t;
+} rt_order_failure_t;
 
-typedef struct rt_falls
+typedef struct rt_order_failures
 {
-  rt_fall_t list[RT_FALLS];
+  rt_order_failure_t list[RT_ORDER_FAILURES];
   size_t next;
-} rt_falls_t;
+} rt_order_failures_t;
 
-int rt_falls_ended (rt_falls_t *falls, rt_digest_t digest);
-void rt_falls_done (rt_falls_t *falls, rt_digest_t digest);
+int rt_order_failures_add (rt_order_failures_t *falls, rt_digest_t digest);
+void rt_order_failures_clear (rt_order_failures_t *falls, rt_digest_t digest);
 
 /* Retries. */
 
@@ -380,21 +385,21 @@
 typedef enum rt_next
 {
   RT_NEXT_PASS,   /**< forward the answer to the caller */
-  RT_NEXT_AGAIN,  /**< retry at another endpoint */
+  RT_NEXT_RETRY,  /**< retry at another endpoint */
   RT_NEXT_REFUSE, /**< it did not run and will not: the caller may retry */
   RT_NEXT_FAIL    /**< it may have run: fail the request */
 } rt_next_t;
 
 /** Counts of one request's attempts. */
-typedef struct rt_course
+typedef struct rt_attempts
 {
   unsigned sent;    /**< attempts sent */
   unsigned may_run; /**< of these, attempts that may have run */
-} rt_course_t;
+} rt_attempts_t;
 
-rt_next_t rt_course_next (rt_course_t *course, const rt_rule_t *rule,
-                          const rt_attempt_t *attempt, int budget,
-                          el_time_t left);
+rt_next_t rt_attempts_next (rt_attempts_t *course, const rt_rule_t *rule,
+                            const rt_attempt_t *attempt, int budget,
+                            el_time_t left);
 
 /* The retry budget that all hosts share. Each spends its own portion. */
 
@@ -402,7 +407,7 @@
     partial. */
 #define RT_WINDOW_SLOTS 11
 
-typedef struct rt_spend
+typedef struct rt_shared_budget
 {
   double ratio;   /**< retries allowed per request */
   double slack;   /**< retries that all hosts together may make beyond that */
@@ -413,12 +418,14 @@
   uint64_t requests[RT_WINDOW_SLOTS];
   uint64_t retries[RT_WINDOW_SLOTS];
   size_t hosts[RT_WINDOW_SLOTS]; /**< most hosts alive during the slot */
-} rt_spend_t;
-
-void rt_spend_open (rt_spend_t *pool, double ratio, double slack,
-                    el_time_t window, el_time_t born);
-void rt_spend_asked (rt_spend_t *pool, el_time_t now);
-int rt_spend_left (rt_spend_t *pool, el_time_t now, size_t hosts);
-int rt_spend_take (rt_spend_t *pool, el_time_t now, size_t hosts);
+} rt_shared_budget_t;
+
+void rt_shared_budget_init (rt_shared_budget_t *pool, double ratio,
+                            double slack, el_time_t window, el_time_t born);
+void rt_shared_budget_add_request (rt_shared_budget_t *pool, el_time_t now);
+int rt_shared_budget_available (rt_shared_budget_t *pool, el_time_t now,
+                                size_t hosts);
+int rt_shared_budget_take (rt_shared_budget_t *pool, el_time_t now,
+                           size_t hosts);
 
 #endif
--- a/route/router.c
+++ b/route/router.c
@@ -539,7 +539,7 @@
   rt_endpoint_t *ep = rt_endpoint_find (router, event->target);
 
   if (ep)
-    ep->access.leaves_until
+    ep->avail.leaving_until
         = event->leaving ? now + router->options.leave_hold : 0;
 }
 
@@ -573,7 +573,7 @@
 {
   const rt_endpoint_t *ep = rt_endpoint_find (router, endpoint);
 
-  return !ep || rt_access_rest_left (&ep->access, now) == 0;
+  return !ep || rt_avail_rest_left (&ep->avail, now) == 0;
 }
 
 const rt_counts_t *
@@ -598,13 +598,15 @@
 endpoint_state (const rt_endpoint_t *ep, el_time_t now)
 {
   /* Only the reasons that the router itself records. */
-  static const char *const states[RT_WHYS] = { [RT_WHY_NOTHING] = "live",
-                                               [RT_WHY_TRIAL] = "trial",
-                                               [RT_WHY_FAILED] = "ejected",
-                                               [RT_WHY_RESTS] = "resting",
-                                               [RT_WHY_LEAVES] = "leaving" };
+  static const char *const states[RT_UNAVAIL_COUNT]
+      = { [RT_UNAVAIL_NOTHING] = "live",
+          [RT_UNAVAIL_TRIAL] = "trial",
+          [RT_UNAVAIL_FAILED] = "ejected",
+          [RT_UNAVAIL_RESTS] = "resting",
+          [RT_UNAVAIL_LEAVES] = "leaving" };
 
-  return ep->draining ? "draining" : states[rt_access_why (&ep->access, now)];
+  return ep->draining ? "draining"
+                      : states[rt_avail_reason_at (&ep->avail, now)];
 }
 
 /** Returns the router's state as JSON, for operators. */
@@ -626,8 +628,8 @@
       endpoints, ep->key,
       json_pack ("{s:s,s:I,s:I,s:I}", "state", endpoint_state (ep, now),
                  "inFlight", (json_int_t)ep->in_flight, "failures",
-                 (json_int_t)ep->access.failures, "restLeftUs",
-                 (json_int_t)rt_access_rest_left (&ep->access, now)));
+                 (json_int_t)ep->avail.failures, "restLeftUs",
+                 (json_int_t)rt_avail_rest_left (&ep->avail, now)));
   HASH_ITER (hh, router->pipelines, pipe, next_pipe)
   json_object_set_new (pipelines, pipe->key,
                        json_pack ("{s:I,s:I}", "streams",
--- a/route/rules.c
+++ b/route/rules.c
@@ -38,7 +38,7 @@
 
 /** Builds the hash tables, once the arrays are filled in. */
 void
-rt_rules_index (rt_rules_t *rules)
+rt_rules_build_index (rt_rules_t *rules)
 {
   size_t len;
   size_t i;
@@ -144,7 +144,7 @@
 
 /** Selects by weight the service for a request of RULE; DRAW is random. */
 el_str_t
-rt_rule_service (const rt_rule_t *rule, uint64_t draw)
+rt_rule_pick_service (const rt_rule_t *rule, uint64_t draw)
 {
   uint64_t total = 0;
   size_t i;
--- a/route/table.c
+++ b/route/table.c
@@ -334,7 +334,7 @@
       TABLE_ADD (router->endpoints, ep);
     }
   if (!el_str_eq (ep->address, next->spec.endpoint.address))
-    ep->access = (rt_access_t){ 0 };
+    ep->avail = (rt_avail_t){ 0 };
   str_replace (&ep->address, next->spec.endpoint.address);
   str_replace (&ep->hall, next->spec.endpoint.hall);
   ep->role = (co_role_t)next->spec.endpoint.role;
--- a/tests/t_access.c
+++ b/tests/t_access.c
@@ -20,7 +20,7 @@
 #define SEEDS 200
 #define STEPS 400
 
-static const rt_avoid_t avoid = {
+static const rt_ejection_t avoid = {
   .after = 1, .first = 200 * EL_MSEC, .doublings = 4, .most = 3200 * EL_MSEC
 };
 static const rt_tried_t none;
@@ -36,9 +36,9 @@
                             .model = { .layers = 8,
                                        .layer_mb = 1000,
                                        .step_ms = 1,
-                                       .read_ms = 0.01,
+                                       .prefill_ms = 0.01,
                                        .token_kv_mb = 0.1,
-                                       .usual_tokens = 20,
+                                       .typical_tokens = 20,
                                        .cards = cards,
                                        .ncards = 1 } };
   fleet = rt_fleet_new (7);
@@ -54,7 +54,7 @@
 static rt_target_t *
 endpoint (const char *id, uint64_t born, unsigned first, unsigned end)
 {
-  const rt_facts_t facts = { .id = el_str (id),
+  const rt_attrs_t attrs = { .id = el_str (id),
                              .born = born,
                              .service = SERVICE,
                              .address = el_str (id),
@@ -64,55 +64,57 @@
                              .first = first,
                              .end = end };
 
-  return rt_fleet_set (fleet, &facts);
+  return rt_fleet_update (fleet, &attrs);
 }
 
 static int
-line_pick (el_time_t now, rt_line_t *out)
+line_pick (el_time_t now, rt_chain_t *out)
 {
-  const rt_line_want_t want
+  const rt_chain_query_t want
       = { .service = &service, .hall = HALL, .tokens = 20, .tried = &none };
 
-  return rt_line_pick (fleet, now, &want, out);
+  return rt_chain_pick (fleet, now, &want, out);
 }
 
 static el_time_t
 line_opens (el_time_t now)
 {
-  const rt_line_want_t want
+  const rt_chain_query_t want
       = { .service = &service, .hall = HALL, .tokens = 20, .tried = &none };
 
-  return rt_line_opens (fleet, now, &want);
+  return rt_chain_available_at (fleet, now, &want);
 }
 
 /* What else is learned of an endpoint that rests leaves its rest as it is. */
 START_TEST (test_access_nothing_cuts_a_rest_short)
 {
-  rt_access_t access = { 0 };
-
-  ck_assert_int_eq (rt_access_rest (&access, NOW, 3 * EL_SEC, 0), 1);
-  rt_access_served (&access);
-  rt_access_answered (&access);
-  rt_access_busy (&access, NOW, 100 * EL_MSEC);
-  rt_access_changed (&access, NOW, EL_SEC);
-  rt_access_failed (&access, NOW, &avoid, 0);
-  rt_access_served (&access);
-  ck_assert_int_eq (rt_access_rest (&access, NOW + EL_SEC, EL_SEC, 0), 0);
-  ck_assert_int_eq (rt_access_rest (&access, NOW + EL_SEC, 0, 0), 0);
-  ck_assert_uint_eq (rt_access_rest_left (&access, NOW + EL_SEC), 2 * EL_SEC);
-  ck_assert_int_eq (rt_access_open (&access, NOW + 3 * EL_SEC - 1), RT_CLOSED);
-  ck_assert_int_eq (rt_access_open (&access, NOW + 3 * EL_SEC), RT_OPEN);
+  rt_avail_t avail = { 0 };
+
+  ck_assert_int_eq (rt_avail_rest (&avail, NOW, 3 * EL_SEC, 0), 1);
+  rt_avail_succeeded (&avail);
+  rt_avail_answered (&avail);
+  rt_avail_busy (&avail, NOW, 100 * EL_MSEC);
+  rt_avail_changed (&avail, NOW, EL_SEC);
+  rt_avail_failed (&avail, NOW, &avoid, 0);
+  rt_avail_succeeded (&avail);
+  ck_assert_int_eq (rt_avail_rest (&avail, NOW + EL_SEC, EL_SEC, 0), 0);
+  ck_assert_int_eq (rt_avail_rest (&avail, NOW + EL_SEC, 0, 0), 0);
+  ck_assert_uint_eq (rt_avail_rest_left (&avail, NOW + EL_SEC), 2 * EL_SEC);
+  ck_assert_int_eq (rt_avail_level_at (&avail, NOW + 3 * EL_SEC - 1),
+                    RT_AVAIL_NONE);
+  ck_assert_int_eq (rt_avail_level_at (&avail, NOW + 3 * EL_SEC),
+                    RT_AVAIL_FULL);
 }
 END_TEST
 
 START_TEST (test_access_a_longer_rest_replaces_a_shorter_one)
 {
-  rt_access_t access = { 0 };
+  rt_avail_t avail = { 0 };
 
-  ck_assert_int_eq (rt_access_rest (&access, NOW, EL_SEC, 0), 1);
-  ck_assert_int_eq (rt_access_rest (&access, NOW, 3 * EL_SEC, 0), 0);
-  ck_assert_uint_eq (rt_access_rest_left (&access, NOW), 3 * EL_SEC);
-  ck_assert_uint_eq (access.rest_began, NOW);
+  ck_assert_int_eq (rt_avail_rest (&avail, NOW, EL_SEC, 0), 1);
+  ck_assert_int_eq (rt_avail_rest (&avail, NOW, 3 * EL_SEC, 0), 0);
+  ck_assert_uint_eq (rt_avail_rest_left (&avail, NOW), 3 * EL_SEC);
+  ck_assert_uint_eq (avail.rest_start, NOW);
 }
 END_TEST
 
@@ -121,21 +123,22 @@
 START_TEST (test_access_one_tries_first_after_a_rest)
 {
   const el_time_t over = NOW + EL_SEC;
-  rt_access_t access = { 0 };
-
-  rt_access_rest (&access, NOW, EL_SEC, 0);
-  rt_access_answered (&access); /* one that was sent before */
-  ck_assert_int_eq (rt_access_open (&access, over), RT_OPEN);
-  rt_access_sent (&access, over);
-  ck_assert_int_eq (rt_access_open (&access, over), RT_ASIDE);
-  ck_assert_int_eq (rt_access_why (&access, over), RT_WHY_TRIAL);
-  ck_assert_int_eq (rt_access_open (&access, over + EL_SEC), RT_OPEN);
-  rt_access_sent (&access, over + EL_SEC);
-  ck_assert_int_eq (rt_access_open (&access, over + EL_SEC), RT_ASIDE);
-  rt_access_answered (&access);
-  ck_assert_int_eq (rt_access_open (&access, over + EL_SEC), RT_OPEN);
-  rt_access_sent (&access, over + EL_SEC);
-  ck_assert_int_eq (rt_access_open (&access, over + EL_SEC), RT_OPEN);
+  rt_avail_t avail = { 0 };
+
+  rt_avail_rest (&avail, NOW, EL_SEC, 0);
+  rt_avail_answered (&avail); /* one that was sent before */
+  ck_assert_int_eq (rt_avail_level_at (&avail, over), RT_AVAIL_FULL);
+  rt_avail_sent (&avail, over);
+  ck_assert_int_eq (rt_avail_level_at (&avail, over), RT_AVAIL_LAST_RESORT);
+  ck_assert_int_eq (rt_avail_reason_at (&avail, over), RT_UNAVAIL_TRIAL);
+  ck_assert_int_eq (rt_avail_level_at (&avail, over + EL_SEC), RT_AVAIL_FULL);
+  rt_avail_sent (&avail, over + EL_SEC);
+  ck_assert_int_eq (rt_avail_level_at (&avail, over + EL_SEC),
+                    RT_AVAIL_LAST_RESORT);
+  rt_avail_answered (&avail);
+  ck_assert_int_eq (rt_avail_level_at (&avail, over + EL_SEC), RT_AVAIL_FULL);
+  rt_avail_sent (&avail, over + EL_SEC);
+  ck_assert_int_eq (rt_avail_level_at (&avail, over + EL_SEC), RT_AVAIL_FULL);
 }
 END_TEST
 
@@ -144,17 +147,17 @@
 START_TEST (test_access_hosts_come_back_spread)
 {
   unsigned tenths[10] = { 0 };
-  rt_access_t access;
+  rt_avail_t avail;
   uint64_t draw = 7;
   unsigned i;
 
   for (i = 0; i < 1000; i++)
     {
-      access = (rt_access_t){ 0 };
-      rt_access_rest (&access, NOW, EL_SEC, el_random (&draw));
-      ck_assert_uint_ge (access.rest_until, NOW + EL_SEC);
-      ck_assert_uint_lt (access.rest_until, NOW + EL_SEC + 100 * EL_MSEC);
-      tenths[(access.rest_until - NOW - EL_SEC) / (10 * EL_MSEC)]++;
+      avail = (rt_avail_t){ 0 };
+      rt_avail_rest (&avail, NOW, EL_SEC, el_random (&draw));
+      ck_assert_uint_ge (avail.rest_until, NOW + EL_SEC);
+      ck_assert_uint_lt (avail.rest_until, NOW + EL_SEC + 100 * EL_MSEC);
+      tenths[(avail.rest_until - NOW - EL_SEC) / (10 * EL_MSEC)]++;
     }
   for (i = 0; i < 10; i++)
     ck_assert_uint_gt (tenths[i], 50);
@@ -183,12 +186,12 @@
         {
         case 0:
           asked = el_random (&draw) % (3 * EL_SEC);
-          rt_fleet_rests (fleet, target, now, asked);
+          rt_fleet_rest (fleet, target, now, asked);
           if (now + asked > until)
             until = now + asked;
           break;
         case 1:
-          rt_target_served (target, EL_MSEC);
+          rt_target_succeeded (target, EL_MSEC);
           break;
         case 2:
           rt_target_busy (target, now);
@@ -200,13 +203,13 @@
           rt_target_failed (target, now);
           break;
         case 5:
-          target->access.silent = !target->access.silent;
+          target->avail.silent = !target->avail.silent;
           break;
         case 6:
-          rt_access_sent (&target->access, now);
+          rt_avail_sent (&target->avail, now);
           break;
         case 7:
-          rt_access_answered (&target->access);
+          rt_avail_answered (&target->avail);
           break;
         case 8:
           rt_fleet_remove (fleet, EL_STR ("e"));
@@ -218,7 +221,7 @@
         case 10:
           if (el_random (&draw) % 8 == 0)
             {
-              rt_fleet_leaves (fleet, EL_STR ("e"), born);
+              rt_fleet_mark_leaving (fleet, EL_STR ("e"), born);
               leaves = 1;
             }
           break;
@@ -228,17 +231,18 @@
               target = endpoint ("e", ++born, 0, 0);
               until = 0;
               leaves = 0;
-              ck_assert_int_eq (rt_access_open (&target->access, now),
-                                RT_OPEN);
+              ck_assert_int_eq (rt_avail_level_at (&target->avail, now),
+                                RT_AVAIL_FULL);
             }
           break;
         }
       ck_assert (now >= until
-                 || rt_access_open (&target->access, now) == RT_CLOSED);
+                 || rt_avail_level_at (&target->avail, now) == RT_AVAIL_NONE);
       ck_assert (!leaves
-                 || rt_access_open (&target->access, now) == RT_CLOSED);
-      ck_assert ((rt_fleet_pick (fleet, now, SERVICE, HALL, &none) == NULL)
-                 == (rt_access_open (&target->access, now) == RT_CLOSED));
+                 || rt_avail_level_at (&target->avail, now) == RT_AVAIL_NONE);
+      ck_assert (
+          (rt_fleet_pick (fleet, now, SERVICE, HALL, &none) == NULL)
+          == (rt_avail_level_at (&target->avail, now) == RT_AVAIL_NONE));
     }
 }
 
@@ -254,16 +258,18 @@
   rt_target_t *a = endpoint ("a", 1, 0, 0);
   rt_target_t *b = endpoint ("b", 1, 0, 0);
 
-  rt_access_rest (&a->access, NOW, 3 * EL_SEC, 0);
+  rt_avail_rest (&a->avail, NOW, 3 * EL_SEC, 0);
   ck_assert_ptr_eq (rt_fleet_pick (fleet, NOW, SERVICE, HALL, &none), b);
-  ck_assert_uint_eq (rt_fleet_opens (fleet, NOW, SERVICE), 0);
-  rt_access_rest (&b->access, NOW, EL_SEC, 0);
+  ck_assert_uint_eq (rt_fleet_available_at (fleet, NOW, SERVICE), 0);
+  rt_avail_rest (&b->avail, NOW, EL_SEC, 0);
   ck_assert_ptr_null (rt_fleet_pick (fleet, NOW, SERVICE, HALL, &none));
-  ck_assert_uint_eq (rt_fleet_opens (fleet, NOW, SERVICE), NOW + EL_SEC);
-  rt_target_leave (b);
-  ck_assert_uint_eq (rt_fleet_opens (fleet, NOW, SERVICE), NOW + 3 * EL_SEC);
-  rt_target_leave (a);
-  ck_assert_uint_eq (rt_fleet_opens (fleet, NOW, SERVICE), 0);
+  ck_assert_uint_eq (rt_fleet_available_at (fleet, NOW, SERVICE),
+                     NOW + EL_SEC);
+  rt_target_mark_leaving (b);
+  ck_assert_uint_eq (rt_fleet_available_at (fleet, NOW, SERVICE),
+                     NOW + 3 * EL_SEC);
+  rt_target_mark_leaving (a);
+  ck_assert_uint_eq (rt_fleet_available_at (fleet, NOW, SERVICE), 0);
 }
 END_TEST
 
@@ -274,20 +280,20 @@
   rt_target_t *front = endpoint ("f0", 1, 0, 4);
   rt_target_t *other = endpoint ("f1", 1, 0, 4);
   rt_target_t *back = endpoint ("b0", 1, 4, 8);
-  rt_line_t line;
+  rt_chain_t line;
   unsigned i;
 
-  rt_access_rest (&front->access, NOW, 3 * EL_SEC, 0);
+  rt_avail_rest (&front->avail, NOW, 3 * EL_SEC, 0);
   for (i = 0; i < 50; i++)
     {
       ck_assert_int_eq (line_pick (NOW + i, &line), 1);
       ck_assert_ptr_eq (line.part[0].target, other);
     }
   ck_assert_uint_eq (line_opens (NOW), 0);
-  rt_access_rest (&back->access, NOW, 2 * EL_SEC, 0);
+  rt_avail_rest (&back->avail, NOW, 2 * EL_SEC, 0);
   ck_assert_int_eq (line_pick (NOW, &line), 0);
   ck_assert_uint_eq (line_opens (NOW), NOW + 2 * EL_SEC);
-  rt_access_rest (&other->access, NOW, 9 * EL_SEC, 0);
+  rt_avail_rest (&other->avail, NOW, 9 * EL_SEC, 0);
   ck_assert_uint_eq (line_opens (NOW), NOW + 3 * EL_SEC);
   ck_assert_int_eq (line_pick (NOW + 3 * EL_SEC, &line), 1);
   ck_assert_ptr_eq (line.part[0].target, front);
@@ -305,10 +311,10 @@
 
   endpoint ("b0", 1, 4, 8);
   endpoint ("b1", 1, 4, 8);
-  rt_access_rest (&front->access, NOW, 3 * EL_SEC, 0);
+  rt_avail_rest (&front->avail, NOW, 3 * EL_SEC, 0);
   ck_assert_uint_eq (rt_layout_repair (fleet, &service, NULL, 0, orders, 4),
                      0);
-  rt_target_leave (front);
+  rt_target_mark_leaving (front);
   ck_assert_uint_eq (rt_layout_repair (fleet, &service, NULL, 0, orders, 4),
                      1);
 }
@@ -320,30 +326,30 @@
 {
   rt_target_t *target;
 
-  ck_assert_ptr_null (rt_fleet_leaves (fleet, EL_STR ("a"), 1));
+  ck_assert_ptr_null (rt_fleet_mark_leaving (fleet, EL_STR ("a"), 1));
   target = endpoint ("a", 1, 0, 0);
-  ck_assert_int_eq (rt_target_leaves (target), 1);
+  ck_assert_int_eq (rt_target_is_leaving (target), 1);
   rt_fleet_remove (fleet, EL_STR ("a"));
   target = endpoint ("a", 1, 0, 0);
-  ck_assert_int_eq (rt_target_leaves (target), 1);
+  ck_assert_int_eq (rt_target_is_leaving (target), 1);
   target = endpoint ("a", 2, 0, 0);
-  ck_assert_int_eq (rt_target_leaves (target), 0);
-  ck_assert_ptr_null (rt_fleet_leaves (fleet, EL_STR ("a"), 1));
-  ck_assert_int_eq (rt_target_leaves (target), 0);
-  ck_assert_ptr_eq (rt_fleet_leaves (fleet, EL_STR ("a"), 2), target);
-  ck_assert_ptr_null (rt_fleet_leaves (fleet, EL_STR ("a"), 2));
-  ck_assert_int_eq (rt_target_leaves (target), 1);
+  ck_assert_int_eq (rt_target_is_leaving (target), 0);
+  ck_assert_ptr_null (rt_fleet_mark_leaving (fleet, EL_STR ("a"), 1));
+  ck_assert_int_eq (rt_target_is_leaving (target), 0);
+  ck_assert_ptr_eq (rt_fleet_mark_leaving (fleet, EL_STR ("a"), 2), target);
+  ck_assert_ptr_null (rt_fleet_mark_leaving (fleet, EL_STR ("a"), 2));
+  ck_assert_int_eq (rt_target_is_leaving (target), 1);
 }
 END_TEST
 
 /* What an answer asks for. */
 
-static rt_asks_t
+static rt_hints_t
 asks_read (int status, const net_header_t *headers, size_t n)
 {
   const net_result_t head
       = { .status = status, .headers = headers, .nheaders = n };
-  rt_asks_t asks;
+  rt_hints_t asks;
 
   pf_asks_read (&head, &asks);
   return asks;
--- a/tests/t_check.c
+++ b/tests/t_check.c
@@ -61,7 +61,7 @@
                                   .max_body = 1024,
                                   .handle = engine_handle,
                                   .arg = asked };
-  rt_facts_t facts = { .id = el_str (id),
+  rt_attrs_t attrs = { .id = el_str (id),
                        .service = EL_STR ("pool"),
                        .hall = EL_STR ("h"),
                        .slots = 48,
@@ -74,8 +74,8 @@
   ck_assert_ptr_nonnull (asked->server);
   snprintf (address, sizeof address, "127.0.0.1:%u",
             net_server_port (asked->server));
-  facts.address = el_str (address);
-  asked->engine = rt_fleet_set (relays.options.fleet, &facts);
+  attrs.address = el_str (address);
+  asked->engine = rt_fleet_update (relays.options.fleet, &attrs);
 }
 
 static void
@@ -130,7 +130,7 @@
 START_TEST (test_check_report_is_taken_in)
 {
   engines_met ();
-  ck_assert_int_eq (engines[0].engine->access.silent, 0);
+  ck_assert_int_eq (engines[0].engine->avail.silent, 0);
   ck_assert (engines[0].engine->pace == 2.5);
   ck_assert (engines[0].engine->fill == 0.25);
   ck_assert (engines[0].engine->taken == 1.25); /* with what waits there */
@@ -145,11 +145,11 @@
   relay_check (&relays, engines[0].engine);
   relay_check (&relays, engines[1].engine);
   judged (&engines[0]);
-  ck_assert_int_eq (engines[0].engine->access.silent, 1);
-  ck_assert_int_eq (engines[1].engine->access.silent, 0);
+  ck_assert_int_eq (engines[0].engine->avail.silent, 1);
+  ck_assert_int_eq (engines[1].engine->avail.silent, 0);
   ck_assert_uint_eq (relays.counts.silent, 1);
   engines[0].mute = 0;
-  while (engines[0].engine->access.silent)
+  while (engines[0].engine->avail.silent)
     turns (EL_MSEC);
 }
 END_TEST
@@ -164,7 +164,7 @@
   relay_check (&relays, engines[0].engine);
   asked = engines[0].engine->asked;
   judged (&engines[0]);
-  ck_assert_int_eq (engines[0].engine->access.silent, 1);
+  ck_assert_int_eq (engines[0].engine->avail.silent, 1);
   ck_assert_uint_ge (net_clock_now (&test_clock), asked + 100 * EL_MSEC);
 }
 END_TEST
@@ -177,9 +177,9 @@
   relay_check (&relays, engines[0].engine);
   relay_check (&relays, engines[1].engine);
   turns (5 * EL_MSEC);
-  engines[0].engine->alive = net_clock_now (&test_clock);
+  engines[0].engine->last_event_at = net_clock_now (&test_clock);
   judged (&engines[0]);
-  ck_assert_int_eq (engines[0].engine->access.silent, 0);
+  ck_assert_int_eq (engines[0].engine->avail.silent, 0);
   ck_assert_uint_eq (relays.counts.silent, 0);
 }
 END_TEST
@@ -191,13 +191,13 @@
 START_TEST (test_stream_leaves_an_engine_that_gives_layers_up)
 {
   static rt_card_t card
-      = { .memory_mb = 1000, .step_pace = 1, .read_pace = 1 };
+      = { .memory_mb = 1000, .step_scale = 1, .prefill_scale = 1 };
   static const rt_service_t service = { .name = EL_STR ("pool"),
                                         .model = { .layers = 8,
                                                    .layer_mb = 10,
                                                    .step_ms = 1,
                                                    .token_kv_mb = 0.01,
-                                                   .usual_tokens = 100,
+                                                   .typical_tokens = 100,
                                                    .cards = &card,
                                                    .ncards = 1 } };
   int exchange;
@@ -208,27 +208,27 @@
   asked_t copy = { .requests = 0 };
 
   engine_open (&copy, "c");
-  engines[0].engine->facts.end = 4;
-  engines[1].engine->facts.first = 4;
-  copy.engine->facts.first = 4;
+  engines[0].engine->attrs.end = 4;
+  engines[1].engine->attrs.first = 4;
+  copy.engine->attrs.first = 4;
   relay.target = engines[0].engine;
-  relay.line.part[0] = (struct rt_part){ engines[0].engine, 0, 4, 0 };
-  relay.line.part[1] = (struct rt_part){ engines[1].engine, 4, 8, 0 };
+  relay.line.part[0] = (struct rt_chain_part){ engines[0].engine, 0, 4, 0 };
+  relay.line.part[1] = (struct rt_chain_part){ engines[1].engine, 4, 8, 0 };
   relay.line.n = 2;
-  rt_line_hold (&relay.line, NULL, 0);
+  rt_chain_acquire (&relay.line, NULL, 0);
   DL_APPEND (relays.running, &relay);
   gt_relays_engine_changed (&relays, engines[1].engine);
   ck_assert_ptr_null (relay.query);
-  engines[1].engine->facts.first = 0;
-  engines[1].engine->facts.end = 0;
+  engines[1].engine->attrs.first = 0;
+  engines[1].engine->attrs.end = 0;
   gt_relays_engine_changed (&relays, engines[1].engine);
   while (relay.query)
     turns (EL_MSEC);
   ck_assert_uint_eq (relay.line.n, 2);
   ck_assert_ptr_eq (relay.line.part[1].target, copy.engine);
-  ck_assert_uint_eq (engines[1].engine->lines, 0);
+  ck_assert_uint_eq (engines[1].engine->chains, 0);
   net_clock_cancel (&test_clock, &relay.watch_timer);
-  rt_line_release (&relay.line);
+  rt_chain_release (&relay.line);
   DL_DELETE (relays.running, &relay);
 }
 END_TEST
--- a/tests/t_course.c
+++ b/tests/t_course.c
@@ -24,7 +24,7 @@
       = (rt_rule_t){ .host = EL_STR ("a"), .prefix = EL_STR ("/x/") };
   rules->rules[2]
       = (rt_rule_t){ .host = EL_STR ("a"), .prefix = EL_STR ("/x/y/") };
-  rt_rules_index (rules);
+  rt_rules_build_index (rules);
   return rules;
 }
 
@@ -58,13 +58,14 @@
 
 START_TEST (test_rules_split_follows_the_weights)
 {
-  rt_share_t shares[] = { { EL_STR ("a"), 90 }, { EL_STR ("b"), 10 } };
+  rt_service_weight_t shares[]
+      = { { EL_STR ("a"), 90 }, { EL_STR ("b"), 10 } };
   const rt_rule_t rule = { .shares = shares, .nshares = 2 };
   unsigned second = 0;
   uint64_t draw;
 
   for (draw = 0; draw < 1000; draw++)
-    second += el_str_eq (rt_rule_service (&rule, draw), EL_STR ("b"));
+    second += el_str_eq (rt_rule_pick_service (&rule, draw), EL_STR ("b"));
   ck_assert_uint_eq (second, 100);
 }
 END_TEST
@@ -76,11 +77,11 @@
   const rt_rule_t rule = { .kind = RT_UNSAFE, .attempts = 3 };
   const rt_attempt_t lost = { .verdict = EL_MAY_HAVE_RUN };
   const rt_attempt_t refused = { .verdict = EL_NOT_RUN };
-  rt_course_t course = { 0, 0 };
+  rt_attempts_t course = { 0, 0 };
 
-  ck_assert_int_eq (rt_course_next (&course, &rule, &refused, 1, EL_SEC),
-                    RT_NEXT_AGAIN);
-  ck_assert_int_eq (rt_course_next (&course, &rule, &lost, 1, EL_SEC),
+  ck_assert_int_eq (rt_attempts_next (&course, &rule, &refused, 1, EL_SEC),
+                    RT_NEXT_RETRY);
+  ck_assert_int_eq (rt_attempts_next (&course, &rule, &lost, 1, EL_SEC),
                     RT_NEXT_FAIL);
 }
 END_TEST
@@ -90,14 +91,14 @@
   const rt_rule_t rule = { .kind = RT_SAFE, .attempts = 2 };
   const rt_attempt_t lost = { .verdict = EL_MAY_HAVE_RUN };
   const rt_attempt_t refused = { .verdict = EL_NOT_RUN };
-  rt_course_t course = { 0, 0 };
+  rt_attempts_t course = { 0, 0 };
 
-  ck_assert_int_eq (rt_course_next (&course, &rule, &refused, 0, EL_SEC),
+  ck_assert_int_eq (rt_attempts_next (&course, &rule, &refused, 0, EL_SEC),
                     RT_NEXT_REFUSE);
-  course = (rt_course_t){ 0, 0 };
-  ck_assert_int_eq (rt_course_next (&course, &rule, &lost, 1, EL_SEC),
-                    RT_NEXT_AGAIN);
-  ck_assert_int_eq (rt_course_next (&course, &rule, &refused, 0, EL_SEC),
+  course = (rt_attempts_t){ 0, 0 };
+  ck_assert_int_eq (rt_attempts_next (&course, &rule, &lost, 1, EL_SEC),
+                    RT_NEXT_RETRY);
+  ck_assert_int_eq (rt_attempts_next (&course, &rule, &refused, 0, EL_SEC),
                     RT_NEXT_FAIL);
 }
 END_TEST
@@ -110,21 +111,21 @@
   const rt_attempt_t lost = { .verdict = EL_MAY_HAVE_RUN, .begun = 1 };
   const rt_attempt_t refused = { .verdict = EL_NOT_RUN, .begun = 1 };
   const rt_attempt_t first = { .verdict = EL_NOT_RUN };
-  rt_course_t course = { 0, 0 };
+  rt_attempts_t course = { 0, 0 };
   unsigned sends;
 
   for (sends = 1; sends < 4; sends++)
-    ck_assert_int_eq (rt_course_next (&course, &rule, &first, 1, EL_SEC),
-                      RT_NEXT_AGAIN);
-  ck_assert_int_eq (rt_course_next (&course, &rule, &first, 1, EL_SEC),
+    ck_assert_int_eq (rt_attempts_next (&course, &rule, &first, 1, EL_SEC),
+                      RT_NEXT_RETRY);
+  ck_assert_int_eq (rt_attempts_next (&course, &rule, &first, 1, EL_SEC),
                     RT_NEXT_REFUSE);
-  course = (rt_course_t){ 0, 0 };
-  ck_assert_int_eq (rt_course_next (&course, &rule, &lost, 1, EL_SEC),
-                    RT_NEXT_AGAIN);
+  course = (rt_attempts_t){ 0, 0 };
+  ck_assert_int_eq (rt_attempts_next (&course, &rule, &lost, 1, EL_SEC),
+                    RT_NEXT_RETRY);
   for (sends = 2; sends < 8; sends++)
-    ck_assert_int_eq (rt_course_next (&course, &rule, &refused, 1, EL_SEC),
-                      RT_NEXT_AGAIN);
-  ck_assert_int_eq (rt_course_next (&course, &rule, &refused, 1, EL_SEC),
+    ck_assert_int_eq (rt_attempts_next (&course, &rule, &refused, 1, EL_SEC),
+                      RT_NEXT_RETRY);
+  ck_assert_int_eq (rt_attempts_next (&course, &rule, &refused, 1, EL_SEC),
                     RT_NEXT_FAIL);
 }
 END_TEST
@@ -134,11 +135,11 @@
   const rt_attempt_t lost = { .verdict = EL_MAY_HAVE_RUN };
   const rt_attempt_t failed
       = { .verdict = EL_RAN, .answered = 1, .failed = 1 };
-  rt_course_t course = { 0, 0 };
+  rt_attempts_t course = { 0, 0 };
 
-  ck_assert_int_eq (rt_course_next (&course, &rule, &lost, 1, EL_SEC),
-                    RT_NEXT_AGAIN);
-  ck_assert_int_eq (rt_course_next (&course, &rule, &failed, 1, EL_SEC),
+  ck_assert_int_eq (rt_attempts_next (&course, &rule, &lost, 1, EL_SEC),
+                    RT_NEXT_RETRY);
+  ck_assert_int_eq (rt_attempts_next (&course, &rule, &failed, 1, EL_SEC),
                     RT_NEXT_PASS);
 }
 END_TEST
@@ -147,13 +148,13 @@
 {
   rt_rule_t rule = { .kind = RT_STREAM, .attempts = 2, .resumable = 1 };
   const rt_attempt_t lost = { .verdict = EL_MAY_HAVE_RUN };
-  rt_course_t course = { 0, 0 };
+  rt_attempts_t course = { 0, 0 };
 
-  ck_assert_int_eq (rt_course_next (&course, &rule, &lost, 1, EL_SEC),
-                    RT_NEXT_AGAIN);
+  ck_assert_int_eq (rt_attempts_next (&course, &rule, &lost, 1, EL_SEC),
+                    RT_NEXT_RETRY);
   rule.resumable = 0;
-  course = (rt_course_t){ 0, 0 };
-  ck_assert_int_eq (rt_course_next (&course, &rule, &lost, 1, EL_SEC),
+  course = (rt_attempts_t){ 0, 0 };
+  ck_assert_int_eq (rt_attempts_next (&course, &rule, &lost, 1, EL_SEC),
                     RT_NEXT_FAIL);
 }
 END_TEST
@@ -166,7 +167,7 @@
     HOSTS = 9,
     SECONDS = 60
   };
-  rt_spend_t spends[HOSTS];
+  rt_shared_budget_t spends[HOSTS];
   unsigned taken[SECONDS] = { 0 };
   unsigned asked[SECONDS] = { 0 };
   int s;
@@ -174,15 +175,15 @@
   int i;
 
   for (h = 0; h < HOSTS; h++)
-    rt_spend_open (&spends[h], 0.2, 100, 10 * EL_SEC, 0);
+    rt_shared_budget_init (&spends[h], 0.2, 100, 10 * EL_SEC, 0);
   for (s = 0; s < SECONDS; s++)
     for (h = 0; h < HOSTS; h++)
       for (i = 0; i < 10; i++)
         {
-          rt_spend_asked (&spends[h], (el_time_t)s * EL_SEC);
+          rt_shared_budget_add_request (&spends[h], (el_time_t)s * EL_SEC);
           asked[s]++;
-          taken[s] += (unsigned)rt_spend_take (&spends[h],
-                                               (el_time_t)s * EL_SEC, HOSTS);
+          taken[s] += (unsigned)rt_shared_budget_take (
+              &spends[h], (el_time_t)s * EL_SEC, HOSTS);
         }
   for (s = 10; s < SECONDS; s++)
     {
@@ -205,13 +206,13 @@
 {
   const el_time_t born = 20 * EL_SEC;
   unsigned taken = 0;
-  rt_spend_t spend;
+  rt_shared_budget_t spend;
 
-  rt_spend_open (&spend, 0, 100, 10 * EL_SEC, born);
-  while (rt_spend_take (&spend, born + EL_SEC, 1))
+  rt_shared_budget_init (&spend, 0, 100, 10 * EL_SEC, born);
+  while (rt_shared_budget_take (&spend, born + EL_SEC, 1))
     taken++;
   ck_assert_uint_eq (taken, 0);
-  while (rt_spend_take (&spend, born + 10 * EL_SEC, 1))
+  while (rt_shared_budget_take (&spend, born + 10 * EL_SEC, 1))
     taken++;
   ck_assert_uint_gt (taken, 0);
   ck_assert_uint_le (taken, 100);
--- a/tests/t_held.c
+++ b/tests/t_held.c
@@ -67,7 +67,7 @@
                                         .max_body = 1024,
                                         .handle = endpoint_handle,
                                         .arg = endpoint };
-  rt_facts_t facts = { .id = el_str (id),
+  rt_attrs_t attrs = { .id = el_str (id),
                        .born = 1,
                        .service = EL_STR ("app"),
                        .hall = EL_STR ("h"),
@@ -80,8 +80,8 @@
   ck_assert_ptr_nonnull (endpoint->server);
   snprintf (address, sizeof address, "127.0.0.1:%u",
             net_server_port (endpoint->server));
-  facts.address = el_str (address);
-  endpoint->target = rt_fleet_set (relays->options.fleet, &facts);
+  attrs.address = el_str (address);
+  endpoint->target = rt_fleet_update (relays->options.fleet, &attrs);
 }
 
 static size_t
@@ -189,12 +189,12 @@
 static void
 closed_by (rt_target_t *target, int how)
 {
-  static const rt_asks_t asks[]
+  static const rt_hints_t asks[]
       = { { .rest = 60 * EL_SEC }, { .leaves = 1 }, { 0 } };
 
   gt_relays_asked (relays, target, &asks[how], EL_STR ("test"));
   if (how == 2)
-    rt_fleet_remove (relays->options.fleet, target->facts.id);
+    rt_fleet_remove (relays->options.fleet, target->attrs.id);
 }
 
 /* It goes to the other one, and nothing is spent on it. */
--- a/tests/t_load.c
+++ b/tests/t_load.c
@@ -34,7 +34,7 @@
 
 typedef struct load_stream
 {
-  rt_line_t line;
+  rt_chain_t line;
   el_time_t end;
   int in_use;
 } load_stream_t;
@@ -42,7 +42,7 @@
 /* An engine, and what it has counted. */
 typedef struct load_engine
 {
-  rt_facts_t facts;
+  rt_attrs_t attrs;
   char id[16];
   double token_layers; /* of its memory that streams use */
   double room;
@@ -67,18 +67,18 @@
                             .model = { .layers = LAYERS,
                                        .layer_mb = 1750,
                                        .step_ms = 1.02,
-                                       .read_ms = 1.0 / 196,
-                                       .read_steps = 5.0 / 512,
+                                       .prefill_ms = 1.0 / 196,
+                                       .interleaved_steps = 5.0 / 512,
                                        .token_kv_mb = 0.492,
-                                       .usual_tokens = 926,
-                                       .hall_ms = 0.3,
-                                       .pipe_ms = 0.0232,
+                                       .typical_tokens = 926,
+                                       .inter_hall_ms = 0.3,
+                                       .link_ms = 0.0232,
                                        .cards = cards,
                                        .ncards = 3 } };
   for (i = 0; i < HOSTS; i++)
     {
       hosts[i] = rt_fleet_new (i + 1);
-      rt_fleet_share (hosts[i], HOSTS, HOSTS);
+      rt_fleet_set_hosts (hosts[i], HOSTS, HOSTS);
     }
   nengines = 0;
   now = 100 * EL_SEC;
@@ -92,7 +92,7 @@
   for (i = 0; i < STREAMS_MAX; i++)
     if (streams[i].in_use)
       {
-        rt_line_release (&streams[i].line);
+        rt_chain_release (&streams[i].line);
         streams[i].in_use = 0;
       }
   for (i = 0; i < HOSTS; i++)
@@ -103,8 +103,8 @@
 static double
 engine_room (const load_engine_t *engine)
 {
-  const rt_card_t *card = rt_model_card (&service.model, engine->facts.card);
-  double layers = engine->facts.end - engine->facts.first;
+  const rt_card_t *card = rt_model_card (&service.model, engine->attrs.card);
+  double layers = engine->attrs.end - engine->attrs.first;
 
   return (card->memory_mb - layers * service.model.layer_mb)
          / service.model.token_kv_mb * LAYERS;
@@ -118,7 +118,7 @@
   size_t i;
 
   snprintf (engine->id, sizeof engine->id, "e%zu", nengines++);
-  engine->facts = (rt_facts_t){ .id = el_str (engine->id),
+  engine->attrs = (rt_attrs_t){ .id = el_str (engine->id),
                                 .service = service.name,
                                 .address = el_str (engine->id),
                                 .hall = EL_STR ("h"),
@@ -132,7 +132,7 @@
   engine->token_layers = 0;
   engine->room = engine_room (engine);
   for (i = 0; i < HOSTS; i++)
-    rt_fleet_set (hosts[i], &engine->facts);
+    rt_fleet_update (hosts[i], &engine->attrs);
   return engine;
 }
 
@@ -142,7 +142,7 @@
   size_t i;
 
   for (i = 0; i < nengines; i++)
-    if (el_str_eq (engines[i].facts.id, target->facts.id))
+    if (el_str_eq (engines[i].attrs.id, target->attrs.id))
       return &engines[i];
   ck_abort_msg ("no such engine");
   return NULL;
@@ -150,7 +150,7 @@
 
 /* The engines take the stream's line, or lose it again. */
 static void
-engines_count (const rt_line_t *line, int sign)
+engines_count (const rt_chain_t *line, int sign)
 {
   size_t i;
 
@@ -163,18 +163,18 @@
 /* How long a stream takes: its tokens through the engines, some of whose time
    others use, and the way from one to the next. */
 static el_time_t
-line_hold (const rt_line_t *line)
+line_hold (const rt_chain_t *line)
 {
   double ms = 0;
   size_t i;
 
   for (i = 0; i < line->n; i++)
     {
-      const struct rt_part *part = &line->part[i];
+      const struct rt_chain_part *part = &line->part[i];
       const rt_card_t *card
-          = rt_model_card (&service.model, part->target->facts.card);
+          = rt_model_card (&service.model, part->target->attrs.card);
 
-      ms += STEP_OTHERS * service.model.step_ms * card->step_pace
+      ms += STEP_OTHERS * service.model.step_ms * card->step_scale
                 * (part->to - part->from) / LAYERS
             + HOP_MS;
     }
@@ -186,15 +186,15 @@
 stream_begin (size_t host)
 {
   static const rt_tried_t none;
-  const rt_line_want_t want = {
+  const rt_chain_query_t want = {
     .service = &service, .hall = EL_STR ("h"), .tokens = TOKENS, .tried = &none
   };
   load_stream_t *stream = streams;
 
   while (stream->in_use)
     ck_assert (++stream < streams + STREAMS_MAX);
-  ck_assert_int_eq (rt_line_pick (hosts[host], now, &want, &stream->line), 1);
-  rt_line_hold (&stream->line, NULL, 0);
+  ck_assert_int_eq (rt_chain_pick (hosts[host], now, &want, &stream->line), 1);
+  rt_chain_acquire (&stream->line, NULL, 0);
   stream->line.part[0].target->running++;
   stream->end = now + line_hold (&stream->line);
   stream->in_use = 1;
@@ -212,7 +212,7 @@
       {
         engines_count (&stream->line, -1);
         stream->line.part[0].target->running--;
-        rt_line_release (&stream->line);
+        rt_chain_release (&stream->line);
         stream->in_use = 0;
       }
 }
@@ -230,8 +230,8 @@
       load_engine_t *engine = &engines[i];
 
       for (k = 0; k < HOSTS && !engine->lost; k++)
-        rt_target_told (rt_fleet_find (hosts[k], engine->facts.id),
-                        &engine->load, now);
+        rt_target_report (rt_fleet_find (hosts[k], engine->attrs.id),
+                          &engine->load, now);
       engine->load = (rt_load_t){ .fill = engine->token_layers / engine->room,
                                   .pace = 1,
                                   .taken = (double)engine->running / SLOTS };
@@ -297,7 +297,8 @@
 load_layout (void)
 {
   rt_order_t orders[ENGINES_MAX];
-  size_t n = rt_layout_next (hosts[0], &service, NULL, 0, orders, ENGINES_MAX);
+  size_t n
+      = rt_layout_assign (hosts[0], &service, NULL, 0, orders, ENGINES_MAX);
   size_t i;
   size_t k;
 
@@ -305,11 +306,11 @@
     {
       load_engine_t *engine = engine_of (orders[i].target);
 
-      engine->facts.first = orders[i].first;
-      engine->facts.end = orders[i].end;
+      engine->attrs.first = orders[i].first;
+      engine->attrs.end = orders[i].end;
       engine->room = engine_room (engine);
       for (k = 0; k < HOSTS; k++)
-        rt_fleet_set (hosts[k], &engine->facts);
+        rt_fleet_update (hosts[k], &engine->attrs);
     }
 }
 
@@ -320,7 +321,7 @@
 
   engine->lost = 1;
   for (k = 0; k < HOSTS; k++)
-    rt_fleet_remove (hosts[k], engine->facts.id);
+    rt_fleet_remove (hosts[k], engine->attrs.id);
 }
 
 /* A hall whose two large engines are lost, with the usual load: the others
--- a/tests/t_relay.c
+++ b/tests/t_relay.c
@@ -34,12 +34,12 @@
                             .model = { .layers = LAYERS,
                                        .layer_mb = 1750,
                                        .step_ms = 0.85,
-                                       .read_ms = 1.0 / 252,
-                                       .read_steps = 2.0 / 512,
+                                       .prefill_ms = 1.0 / 252,
+                                       .interleaved_steps = 2.0 / 512,
                                        .token_kv_mb = 0.459,
-                                       .usual_tokens = 926,
-                                       .hall_ms = 0.25,
-                                       .pipe_ms = 0.0232,
+                                       .typical_tokens = 926,
+                                       .inter_hall_ms = 0.25,
+                                       .link_ms = 0.0232,
                                        .cards = cards,
                                        .ncards = 3 } };
   fleet = rt_fleet_new (7);
@@ -56,7 +56,7 @@
 engine (const char *id, const char *hall, const char *card, unsigned first,
         unsigned end)
 {
-  rt_facts_t facts = { .id = el_str (id),
+  rt_attrs_t attrs = { .id = el_str (id),
                        .service = SERVICE,
                        .address = el_str (id),
                        .hall = el_str (hall),
@@ -65,31 +65,31 @@
                        .first = first,
                        .end = end };
 
-  return rt_fleet_set (fleet, &facts);
+  return rt_fleet_update (fleet, &attrs);
 }
 
 static rt_target_t *
 worker (const char *id)
 {
-  rt_facts_t facts = { .id = el_str (id),
+  rt_attrs_t attrs = { .id = el_str (id),
                        .service = SERVICE,
                        .address = el_str (id),
                        .hall = EL_STR ("h"),
                        .slots = 6 };
 
-  return rt_fleet_set (fleet, &facts);
+  return rt_fleet_update (fleet, &attrs);
 }
 
 static int
-line_pick (const char *hall, const rt_tried_t *tried, rt_line_t *out)
+line_pick (const char *hall, const rt_tried_t *tried, rt_chain_t *out)
 {
   static const rt_tried_t none;
-  const rt_line_want_t want = { .service = &service,
-                                .hall = el_str (hall),
-                                .tokens = 900,
-                                .tried = tried ? tried : &none };
+  const rt_chain_query_t want = { .service = &service,
+                                  .hall = el_str (hall),
+                                  .tokens = 900,
+                                  .tried = tried ? tried : &none };
 
-  return rt_line_pick (fleet, NOW, &want, out);
+  return rt_chain_pick (fleet, NOW, &want, out);
 }
 
 static void
@@ -99,8 +99,8 @@
 
   for (i = 0; i < n; i++)
     {
-      orders[i].target->facts.first = orders[i].first;
-      orders[i].target->facts.end = orders[i].end;
+      orders[i].target->attrs.first = orders[i].first;
+      orders[i].target->attrs.end = orders[i].end;
     }
 }
 
@@ -113,9 +113,9 @@
   unsigned i;
 
   for (target = rt_fleet_first (fleet); target; target = target->hh.next)
-    for (i = target->facts.first;
-         i < target->facts.end && !rt_target_leaves (target); i++)
-      cover[i] += el_str_eq (target->facts.hall, el_str (hall));
+    for (i = target->attrs.first;
+         i < target->attrs.end && !rt_target_is_leaving (target); i++)
+      cover[i] += el_str_eq (target->attrs.hall, el_str (hall));
   for (i = 0; i < LAYERS; i++)
     holes += !cover[i];
   return holes;
@@ -145,7 +145,7 @@
   rt_target_t *b = worker ("b");
   rt_tried_t tried = { .n = 0 };
 
-  rt_target_leave (b);
+  rt_target_mark_leaving (b);
   ck_assert_ptr_eq (rt_fleet_pick (fleet, NOW, SERVICE, EL_STR ("h"), &tried),
                     a);
   rt_tried_add (&tried, a);
@@ -168,7 +168,7 @@
   rt_target_failed (b, NOW);
   ck_assert_ptr_nonnull (
       rt_fleet_pick (fleet, NOW, SERVICE, EL_STR ("h"), &none));
-  rt_target_served (a, EL_MSEC);
+  rt_target_succeeded (a, EL_MSEC);
   ck_assert_ptr_eq (rt_fleet_pick (fleet, NOW, SERVICE, EL_STR ("h"), &none),
                     a);
 }
@@ -178,7 +178,7 @@
 {
   rt_target_t *a = worker ("a");
 
-  rt_target_leave (a);
+  rt_target_mark_leaving (a);
   worker ("a");
   ck_assert_int_eq (rt_target_usable (a, NOW), 0);
 }
@@ -188,13 +188,13 @@
 
 START_TEST (test_line_covers_each_layer_once)
 {
-  rt_line_t line;
+  rt_chain_t line;
 
   engine ("a", "h", "large", 0, 16);
   engine ("b", "h", "middle", 10, 40);
   engine ("c", "h", "middle", 30, 80);
   ck_assert_int_eq (line_pick ("h", NULL, &line), 1);
-  ck_assert_int_eq (rt_line_valid (&line, LAYERS), 1);
+  ck_assert_int_eq (rt_chain_valid (&line, LAYERS), 1);
   engine ("b", "h", "middle", 17, 40);
   ck_assert_int_eq (line_pick ("h", NULL, &line), 0);
   ck_assert_uint_eq (line.n, 0);
@@ -204,21 +204,21 @@
 START_TEST (test_line_stays_in_the_callers_hall)
 {
   rt_order_t orders[64];
-  rt_line_t line;
+  rt_chain_t line;
   size_t n;
   size_t i;
 
   hall_of ("far", 1, 5, 8);
   hall_of ("near", 1, 5, 8);
-  n = rt_layout_next (fleet, &service, NULL, 0, orders, 64);
+  n = rt_layout_assign (fleet, &service, NULL, 0, orders, 64);
   orders_apply (orders, n);
   ck_assert_int_eq (line_pick ("near", NULL, &line), 1);
   for (i = 0; i < line.n; i++)
-    ck_assert (el_str_eq (line.part[i].target->facts.hall, EL_STR ("near")));
+    ck_assert (el_str_eq (line.part[i].target->attrs.hall, EL_STR ("near")));
   rt_fleet_remove (fleet, EL_STR ("near-large-0"));
   ck_assert_int_eq (line_pick ("near", NULL, &line), 1);
   for (i = 0; i < line.n; i++)
-    ck_assert (el_str_eq (line.part[i].target->facts.hall, EL_STR ("far")));
+    ck_assert (el_str_eq (line.part[i].target->attrs.hall, EL_STR ("far")));
 }
 END_TEST
 
@@ -229,34 +229,34 @@
   const rt_load_t full = { .fill = 0.85, .pace = 1 };
   rt_order_t orders[64];
   rt_target_t *target;
-  rt_line_t line;
+  rt_chain_t line;
   size_t n;
 
   hall_of ("far", 1, 5, 8);
   hall_of ("near", 1, 5, 8);
-  n = rt_layout_next (fleet, &service, NULL, 0, orders, 64);
+  n = rt_layout_assign (fleet, &service, NULL, 0, orders, 64);
   orders_apply (orders, n);
   for (target = rt_fleet_first (fleet); target; target = target->hh.next)
-    if (el_str_eq (target->facts.hall, EL_STR ("near")))
-      rt_target_told (target, &full, NOW);
-  rt_fleet_share (fleet, 1, 10);
-  rt_fleet_sent (fleet, NOW, 900);
+    if (el_str_eq (target->attrs.hall, EL_STR ("near")))
+      rt_target_report (target, &full, NOW);
+  rt_fleet_set_hosts (fleet, 1, 10);
+  rt_fleet_stream_sent (fleet, NOW, 900);
   ck_assert_int_eq (line_pick ("near", NULL, &line), 1);
-  ck_assert (el_str_eq (line.part[0].target->facts.hall, EL_STR ("far")));
-  rt_fleet_sent (fleet, NOW, 900 * 1000);
+  ck_assert (el_str_eq (line.part[0].target->attrs.hall, EL_STR ("far")));
+  rt_fleet_stream_sent (fleet, NOW, 900 * 1000);
   ck_assert_int_eq (line_pick ("near", NULL, &line), 1);
-  ck_assert (el_str_eq (line.part[0].target->facts.hall, EL_STR ("near")));
+  ck_assert (el_str_eq (line.part[0].target->attrs.hall, EL_STR ("near")));
 }
 END_TEST
 
 START_TEST (test_line_takes_engines_set_aside_rather_than_none)
 {
   rt_target_t *a = engine ("a", "h", "large", 0, 80);
-  rt_line_t line;
+  rt_chain_t line;
 
   rt_target_busy (a, NOW);
   ck_assert_int_eq (line_pick ("h", NULL, &line), 1);
-  rt_target_leave (a);
+  rt_target_mark_leaving (a);
   ck_assert_int_eq (line_pick ("h", NULL, &line), 0);
 }
 END_TEST
@@ -267,7 +267,7 @@
 {
   unsigned cover[LAYERS] = { 0 };
   char id[16];
-  rt_line_t line;
+  rt_chain_t line;
   unsigned holes = 0;
   unsigned i;
   unsigned k;
@@ -284,7 +284,7 @@
       snprintf (id, sizeof id, "e%u", i);
       target
           = engine (id, i % 3 ? "h" : "g", cards[i % 3].name.ptr, first, end);
-      target->held = (double)(rand () % 3000000);
+      target->kv_held = (double)(rand () % 3000000);
       for (k = first; k < end; k++)
         cover[k]++;
     }
@@ -293,7 +293,7 @@
   if (line_pick ("h", NULL, &line))
     {
       ck_assert_uint_eq (holes, 0);
-      ck_assert_int_eq (rt_line_valid (&line, LAYERS), 1);
+      ck_assert_int_eq (rt_chain_valid (&line, LAYERS), 1);
       for (i = 0; i < line.n; i++)
         for (k = 0; k < i; k++)
           ck_assert_ptr_ne (line.part[i].target, line.part[k].target);
@@ -312,22 +312,22 @@
   rt_target_t *b = engine ("b", "h", "small", 40, 60);
   rt_target_t *c = engine ("c", "h", "small", 60, 80);
   rt_tried_t tried = { .n = 0 };
-  rt_line_t line;
-  rt_line_t around;
+  rt_chain_t line;
+  rt_chain_t around;
 
   ck_assert_int_eq (line_pick ("h", NULL, &line), 1);
   ck_assert_uint_eq (line.n, 3);
   rt_tried_add (&tried, b);
   ck_assert_int_eq (
-      rt_line_around (fleet, NOW, &service, &line, &tried, &around), 0);
+      rt_chain_reroute (fleet, NOW, &service, &line, &tried, &around), 0);
   engine ("spare", "h", "small", 40, 60);
   ck_assert_int_eq (
-      rt_line_around (fleet, NOW, &service, &line, &tried, &around), 1);
+      rt_chain_reroute (fleet, NOW, &service, &line, &tried, &around), 1);
   ck_assert_ptr_eq (around.part[0].target, a);
   ck_assert_ptr_eq (around.part[2].target, c);
   rt_tried_add (&tried, a);
   ck_assert_int_eq (
-      rt_line_around (fleet, NOW, &service, &line, &tried, &around), 0);
+      rt_chain_reroute (fleet, NOW, &service, &line, &tried, &around), 0);
 }
 END_TEST
 
@@ -335,14 +335,14 @@
 {
   rt_target_t *a = engine ("a", "h", "small", 0, 6);
   rt_target_t *b = engine ("b", "h", "small", 0, 6);
-  rt_line_t line;
+  rt_chain_t line;
 
   engine ("c", "h", "large", 6, 80);
-  a->held = 1e9;
+  a->kv_held = 1e9;
   ck_assert_int_eq (line_pick ("h", NULL, &line), 1);
   ck_assert_ptr_eq (line.part[0].target, b);
-  a->held = 0;
-  b->held = 1e9;
+  a->kv_held = 0;
+  b->kv_held = 1e9;
   ck_assert_int_eq (line_pick ("h", NULL, &line), 1);
   ck_assert_ptr_eq (line.part[0].target, a);
 }
@@ -352,7 +352,7 @@
 {
   rt_target_t *a = engine ("a", "h", "small", 0, 6);
   rt_target_t *b = engine ("b", "h", "small", 0, 6);
-  rt_line_t line;
+  rt_chain_t line;
 
   engine ("c", "h", "large", 6, 80);
   a->pace = 4;
@@ -373,8 +373,8 @@
   rt_target_t *b = engine ("b", "h", "small", 6, 12);
   rt_target_t *c = engine ("c", "h", "small", 12, 18);
   rt_tried_t tried = { .n = 0 };
-  rt_line_t old;
-  rt_line_t line;
+  rt_chain_t old;
+  rt_chain_t line;
 
   engine ("f", "h", "small", 0, 6);
   engine ("d", "h", "small", 12, 18);
@@ -390,8 +390,8 @@
   ck_assert_int_eq (line_pick ("h", NULL, &line), 1);
   ck_assert_ptr_ne (line.part[2].target, c);
   rt_tried_add (&tried, a); /* only b is left, doubtful or not */
-  ck_assert_int_eq (rt_line_around (fleet, NOW, &service, &old, &tried, &line),
-                    1);
+  ck_assert_int_eq (
+      rt_chain_reroute (fleet, NOW, &service, &old, &tried, &line), 1);
   ck_assert_ptr_eq (line.part[1].target, b);
 }
 END_TEST
@@ -404,27 +404,27 @@
   rt_load_t old = { .fill = 0.1, .pace = 1 };
   rt_target_t *a = engine ("a", "h", "small", 0, 6);
   rt_target_t *b = engine ("b", "h", "small", 0, 6);
-  rt_line_t line;
-  rt_line_t other;
-  rt_line_t full_one;
+  rt_chain_t line;
+  rt_chain_t other;
+  rt_chain_t full_one;
 
   engine ("c", "h", "large", 6, 80);
-  ck_assert_int_eq (rt_target_told (a, &full, NOW), 1);
-  ck_assert_int_eq (rt_target_told (a, &old, NOW - EL_SEC), 0);
+  ck_assert_int_eq (rt_target_report (a, &full, NOW), 1);
+  ck_assert_int_eq (rt_target_report (a, &old, NOW - EL_SEC), 0);
   ck_assert_int_eq (line_pick ("h", NULL, &line), 1);
   ck_assert_ptr_eq (line.part[0].target, b);
   ck_assert (line.fill <= 1);
-  ck_assert_int_eq (rt_target_told (b, &full, NOW), 1);
+  ck_assert_int_eq (rt_target_report (b, &full, NOW), 1);
   ck_assert_int_eq (line_pick ("h", NULL, &line), 1);
-  rt_fleet_share (fleet, 20, 20);
-  rt_line_hold (&line, NULL, 0); /* 20 hosts may do the same */
+  rt_fleet_set_hosts (fleet, 20, 20);
+  rt_chain_acquire (&line, NULL, 0); /* 20 hosts may do the same */
   ck_assert_int_eq (line_pick ("h", NULL, &other), 1);
   ck_assert_ptr_ne (other.part[0].target, line.part[0].target);
-  rt_line_hold (&other, NULL, 0);
+  rt_chain_acquire (&other, NULL, 0);
   ck_assert_int_eq (line_pick ("h", NULL, &full_one), 1);
   ck_assert (full_one.fill > 1);
-  rt_line_release (&line);
-  rt_line_release (&other);
+  rt_chain_release (&line);
+  rt_chain_release (&other);
 }
 END_TEST
 
@@ -434,23 +434,23 @@
 {
   rt_target_t *a = engine ("a", "h", "small", 0, 6);
   rt_target_t *b = engine ("b", "h", "small", 0, 6);
-  rt_line_t first;
-  rt_line_t line;
+  rt_chain_t first;
+  rt_chain_t line;
 
   engine ("c", "h", "large", 6, 80);
-  rt_fleet_share (fleet, 20, 20);
+  rt_fleet_set_hosts (fleet, 20, 20);
   ck_assert_int_eq (line_pick ("h", NULL, &first), 1);
   first.tokens = 0; /* memory does not decide here */
-  rt_line_hold (&first, NULL, 2000);
+  rt_chain_acquire (&first, NULL, 2000);
   ck_assert_int_eq (line_pick ("h", NULL, &line), 1);
   ck_assert_ptr_eq (line.part[0].target, first.part[0].target == a ? b : a);
-  rt_line_event (&first, NOW);
-  ck_assert_uint_eq (first.part[0].target->alive, NOW);
-  ck_assert (first.part[0].target->unread == 0);
-  rt_line_hold (&line, NULL, 2000);
-  rt_line_release (&line);
-  ck_assert (a->unread == 0 && b->unread == 0);
-  rt_line_release (&first);
+  rt_chain_progress (&first, NOW);
+  ck_assert_uint_eq (first.part[0].target->last_event_at, NOW);
+  ck_assert (first.part[0].target->to_prefill == 0);
+  rt_chain_acquire (&line, NULL, 2000);
+  rt_chain_release (&line);
+  ck_assert (a->to_prefill == 0 && b->to_prefill == 0);
+  rt_chain_release (&first);
 }
 END_TEST
 
@@ -459,40 +459,40 @@
 {
   rt_target_t *b;
   rt_tried_t tried = { .n = 0 };
-  rt_line_t old;
-  rt_line_t line;
+  rt_chain_t old;
+  rt_chain_t line;
 
   engine ("f", "h", "large", 0, 10);
   b = engine ("b", "h", "small", 10, 16);
   engine ("c", "h", "large", 16, 80);
   ck_assert_int_eq (line_pick ("h", NULL, &old), 1);
-  rt_line_hold (&old, NULL, 500);
-  rt_line_event (&old, NOW);
+  rt_chain_acquire (&old, NULL, 500);
+  rt_chain_progress (&old, NOW);
   engine ("d", "h", "small", 10, 16);
   rt_tried_add (&tried, b);
-  ck_assert_int_eq (rt_line_around (fleet, NOW, &service, &old, &tried, &line),
-                    1);
-  ck_assert_ptr_eq (rt_line_fullest (&line, &old), line.part[1].target);
-  rt_line_hold (&line, &old, 700);
-  ck_assert (line.part[0].unread == 0);
-  ck_assert (line.part[1].unread == 700);
-  ck_assert (line.part[2].unread == 0);
-  rt_line_release (&old);
-  rt_line_release (&line);
+  ck_assert_int_eq (
+      rt_chain_reroute (fleet, NOW, &service, &old, &tried, &line), 1);
+  ck_assert_ptr_eq (rt_chain_fullest (&line, &old), line.part[1].target);
+  rt_chain_acquire (&line, &old, 700);
+  ck_assert (line.part[0].to_prefill == 0);
+  ck_assert (line.part[1].to_prefill == 700);
+  ck_assert (line.part[2].to_prefill == 0);
+  rt_chain_release (&old);
+  rt_chain_release (&line);
 }
 END_TEST
 
 START_TEST (test_line_in_use_counts_as_held)
 {
   rt_target_t *a = engine ("a", "h", "large", 0, 80);
-  rt_line_t line;
+  rt_chain_t line;
 
   ck_assert_int_eq (line_pick ("h", NULL, &line), 1);
-  rt_line_hold (&line, NULL, 0);
-  ck_assert_uint_eq (a->lines, 1);
-  ck_assert (a->held > 0);
+  rt_chain_acquire (&line, NULL, 0);
+  ck_assert_uint_eq (a->chains, 1);
+  ck_assert (a->kv_held > 0);
   rt_fleet_remove (fleet, EL_STR ("a"));
-  rt_line_release (&line);
+  rt_chain_release (&line);
 }
 END_TEST
 
@@ -508,12 +508,12 @@
   hall_of ("a", 3, 3, 5);
   hall_of ("b", 1, 5, 8);
   hall_of ("c", 1, 7, 5);
-  n = rt_layout_next (fleet, &service, NULL, 0, orders, 64);
+  n = rt_layout_assign (fleet, &service, NULL, 0, orders, 64);
   ck_assert_uint_eq (n, 38);
   for (i = 0; i < n; i++)
     {
       const rt_card_t *card
-          = rt_model_card (&service.model, orders[i].target->facts.card);
+          = rt_model_card (&service.model, orders[i].target->attrs.card);
 
       ck_assert_uint_lt (orders[i].first, orders[i].end);
       ck_assert_uint_le (orders[i].end, LAYERS);
@@ -524,7 +524,8 @@
   ck_assert_uint_eq (hall_holes ("a"), 0);
   ck_assert_uint_eq (hall_holes ("b"), 0);
   ck_assert_uint_eq (hall_holes ("c"), 0);
-  ck_assert_uint_eq (rt_layout_next (fleet, &service, NULL, 0, orders, 64), 0);
+  ck_assert_uint_eq (rt_layout_assign (fleet, &service, NULL, 0, orders, 64),
+                     0);
   ck_assert_uint_eq (rt_layout_repair (fleet, &service, NULL, 0, orders, 64),
                      0);
 }
@@ -535,7 +536,7 @@
 order_room (const rt_order_t *order)
 {
   const rt_card_t *card
-      = rt_model_card (&service.model, order->target->facts.card);
+      = rt_model_card (&service.model, order->target->attrs.card);
   unsigned n = order->end - order->first;
 
   return (card->memory_mb - n * service.model.layer_mb) * LAYERS
@@ -554,7 +555,7 @@
 
   hall_of ("a", 2 + 6 * _i, 0, 0);
   hall_of ("a", 0, 6 * (1 + _i), 6 * (1 + _i));
-  n = rt_layout_next (fleet, &service, NULL, 0, orders, 64);
+  n = rt_layout_assign (fleet, &service, NULL, 0, orders, 64);
   for (i = 0; i < n; i++)
     {
       layers += orders[i].end - orders[i].first;
@@ -565,7 +566,7 @@
   if (_i == 0)
     ck_assert_uint_le (layers, LAYERS * 3 / 2);
   else
-    ck_assert_double_ge (least, 100 * service.model.usual_tokens);
+    ck_assert_double_ge (least, 100 * service.model.typical_tokens);
 }
 END_TEST
 
@@ -574,19 +575,19 @@
 START_TEST (test_layout_quick_engines_make_the_line)
 {
   rt_order_t orders[64];
-  rt_line_t line;
+  rt_chain_t line;
   size_t n;
   size_t i;
 
-  cards[2].step_pace = 4;
+  cards[2].step_scale = 4;
   hall_of ("a", 2, 4, 14);
-  n = rt_layout_next (fleet, &service, NULL, 0, orders, 64);
+  n = rt_layout_assign (fleet, &service, NULL, 0, orders, 64);
   orders_apply (orders, n);
   ck_assert_int_eq (line_pick ("a", NULL, &line), 1);
   for (i = 0; i < line.n; i++)
     ck_assert (
-        !el_str_eq (line.part[i].target->facts.card, EL_STR ("middle")));
-  cards[2].step_pace = 15;
+        !el_str_eq (line.part[i].target->attrs.card, EL_STR ("middle")));
+  cards[2].step_scale = 15;
 }
 END_TEST
 
@@ -597,8 +598,8 @@
   rt_order_t order;
 
   engine ("b", "h", "large", 0, 0);
-  ck_assert_uint_eq (rt_layout_next (fleet, &service, &pending, 1, &order, 1),
-                     1);
+  ck_assert_uint_eq (
+      rt_layout_assign (fleet, &service, &pending, 1, &order, 1), 1);
   ck_assert_ptr_ne (order.target, a);
   ck_assert_uint_eq (order.first, 16);
 }
@@ -613,7 +614,7 @@
   int round;
 
   hall_of ("b", 1, 5, 8);
-  n = rt_layout_next (fleet, &service, NULL, 0, orders, 64);
+  n = rt_layout_assign (fleet, &service, NULL, 0, orders, 64);
   orders_apply (orders, n);
   rt_fleet_remove (fleet, el_str (lost[_i]));
   for (round = 0; round < 4 && hall_holes ("b"); round++)
@@ -633,7 +634,7 @@
   size_t n;
 
   hall_of ("b", 1, 5, 8);
-  n = rt_layout_next (fleet, &service, NULL, 0, orders, 64);
+  n = rt_layout_assign (fleet, &service, NULL, 0, orders, 64);
   orders_apply (orders, n);
   rt_fleet_remove (fleet, EL_STR ("b-middle-2"));
   pending = (rt_order_t){ engine ("new", "b", "middle", 0, 0), 0, 9 };
--- a/tests/t_seeded.c
+++ b/tests/t_seeded.c
@@ -61,7 +61,7 @@
   relay_events_t events = { { NULL, 0, 0 } };
   net_result_t result = { .net = NET_OK, .status = 200 };
   gt_store_list_t list = { 0 };
-  rt_facts_t facts;
+  rt_attrs_t attrs;
   json_t *keep;
   el_err_t err;
   size_t bytes = 0;
@@ -71,9 +71,9 @@
   rt_rules_unref (pf_rules_read (el_buf_str (&text), &err));
   el_buf_free (&text);
   text = seeds_spoil (entry_text);
-  if (pf_facts_read (EL_STR ("servers/x"), el_buf_str (&text), &facts, &keep,
+  if (pf_facts_read (EL_STR ("servers/x"), el_buf_str (&text), &attrs, &keep,
                      &err))
-    ck_assert_uint_le (facts.first, facts.end);
+    ck_assert_uint_le (attrs.first, attrs.end);
   json_decref (keep);
   el_buf_free (&text);
   text = seeds_spoil (list_text);
@@ -137,7 +137,7 @@
 place_add (void)
 {
   place_engine_t *engine;
-  rt_facts_t facts = { .service = EL_STR ("pool"),
+  rt_attrs_t attrs = { .service = EL_STR ("pool"),
                        .address = EL_STR ("a"),
                        .hall = EL_STR ("h"),
                        .slots = 1 };
@@ -147,9 +147,9 @@
   engine = &place.engines[place.n];
   *engine = (place_engine_t){ .live = 1 };
   snprintf (engine->id, sizeof engine->id, "e%zu", place.n++);
-  facts.id = el_str (engine->id);
-  facts.card = cards[seeds_draw (3)].name;
-  rt_fleet_set (place.fleet, &facts);
+  attrs.id = el_str (engine->id);
+  attrs.card = cards[seeds_draw (3)].name;
+  rt_fleet_update (place.fleet, &attrs);
 }
 
 static place_engine_t *
@@ -174,16 +174,16 @@
   if (!target || engine->taken != late->taken)
     return;
   engine->taken++;
-  target->facts.first = late->order.first;
-  target->facts.end = late->order.end;
+  target->attrs.first = late->order.first;
+  target->attrs.end = late->order.end;
 }
 
 static void
 place_send (const rt_order_t *order)
 {
-  place_engine_t *engine = place_find (order->target->facts.id);
+  place_engine_t *engine = place_find (order->target->attrs.id);
   const rt_card_t *card
-      = rt_model_card (&place.service.model, order->target->facts.card);
+      = rt_model_card (&place.service.model, order->target->attrs.card);
   size_t i;
 
   ck_assert_uint_lt (order->first, order->end);
@@ -205,8 +205,8 @@
 place_look (void)
 {
   rt_order_t orders[ORDERS_MAX];
-  size_t n = rt_layout_next (place.fleet, &place.service, NULL, 0, orders,
-                             ORDERS_MAX);
+  size_t n = rt_layout_assign (place.fleet, &place.service, NULL, 0, orders,
+                               ORDERS_MAX);
   size_t i;
 
   if (!n)
@@ -236,11 +236,11 @@
       break;
     case 2:
       if (target)
-        rt_target_leave (target);
+        rt_target_mark_leaving (target);
       break;
     case 3:
       if (target)
-        target->access.silent = !target->access.silent;
+        target->avail.silent = !target->avail.silent;
       break;
     default:
       place_look ();
@@ -261,10 +261,10 @@
   *can_hold = 0;
   for (target = rt_fleet_first (place.fleet); target; target = target->hh.next)
     {
-      if (rt_target_leaves (target))
+      if (rt_target_is_leaving (target))
         continue;
-      *can_hold += target->facts.end - target->facts.first;
-      for (k = target->facts.first; k < target->facts.end; k++)
+      *can_hold += target->attrs.end - target->attrs.first;
+      for (k = target->attrs.first; k < target->attrs.end; k++)
         cover[k]++;
     }
   for (k = 0; k < LAYERS; k++)
@@ -289,10 +289,10 @@
                                   .model = { .layers = LAYERS,
                                              .layer_mb = 1750,
                                              .step_ms = 0.85,
-                                             .read_ms = 1.0 / 252,
-                                             .read_steps = 2.0 / 512,
+                                             .prefill_ms = 1.0 / 252,
+                                             .interleaved_steps = 2.0 / 512,
                                              .token_kv_mb = 0.459,
-                                             .usual_tokens = 926,
+                                             .typical_tokens = 926,
                                              .cards = cards,
                                              .ncards = 3 } };
   for (i = 0; i < ORDERS_MAX; i++)
@@ -302,7 +302,7 @@
   for (step = 0; step < STEPS; step++)
     place_event ();
   for (target = rt_fleet_first (place.fleet); target; target = target->hh.next)
-    target->access.silent = 0;
+    target->avail.silent = 0;
   for (step = 0; step < 400 && looks < 20; step++)
     {
       looks = place_look () ? 0 : looks + 1;
@@ -327,18 +327,18 @@
 static void
 course_play (uint64_t seed)
 {
-  const rt_rule_t rule = { .kind = (rt_kind_t)seeds_draw (3),
+  const rt_rule_t rule = { .kind = (rt_rule_kind_t)seeds_draw (3),
                            .attempts = 1 + seeds_draw (3),
                            .resumable = (int)seeds_draw (2) };
-  rt_course_t course = { 0, 0 };
+  rt_attempts_t course = { 0, 0 };
   rt_attempt_t attempt;
   unsigned may_run = 0;
   unsigned sent = 0;
-  rt_next_t next = RT_NEXT_AGAIN;
+  rt_next_t next = RT_NEXT_RETRY;
   int repeatable
       = rule.kind == RT_SAFE || (rule.kind == RT_STREAM && rule.resumable);
 
-  while (next == RT_NEXT_AGAIN)
+  while (next == RT_NEXT_RETRY)
     {
       attempt = (rt_attempt_t){ .verdict = (el_verdict_t)seeds_draw (3) };
       if (attempt.verdict == EL_RAN)
@@ -348,8 +348,8 @@
         }
       sent++;
       may_run += attempt.verdict != EL_NOT_RUN;
-      next = rt_course_next (&course, &rule, &attempt, (int)seeds_draw (4),
-                             seeds_draw (100) * EL_MSEC);
+      next = rt_attempts_next (&course, &rule, &attempt, (int)seeds_draw (4),
+                               seeds_draw (100) * EL_MSEC);
       ck_assert_msg (sent <= 8, "seed %lu: no end", (unsigned long)seed);
       ck_assert_msg (may_run <= (repeatable ? rule.attempts : 1),
                      "seed %lu: ran %u times", (unsigned long)seed, may_run);
