--- a/tests/t_starts.c
+++ b/tests/t_starts.c
@@ -43,11 +43,11 @@
                                       "\"10.0.0.1:99999\"" };
 
 static int
-entry_read (const char *text, rt_facts_t *facts, json_t **keep)
+entry_read (const char *text, rt_attrs_t *attrs, json_t **keep)
 {
   el_err_t err;
 
-  return pf_facts_read (KEY, el_str (text), facts, keep, &err);
+  return pf_facts_read (KEY, el_str (text), attrs, keep, &err);
 }
 
 /* A copy of the entry with a field that holds something else, or lacks it. */
@@ -99,30 +99,30 @@
     { "layers", "5" },
     { "layers", "{\"Source\":5,\"TargetVersion\":2}" },
   };
-  rt_facts_t facts;
+  rt_attrs_t attrs;
   json_t *keep;
   char *text;
   size_t i;
 
-  ck_assert_int_eq (entry_read (entry_text, &facts, &keep), 1);
-  ck_assert_uint_eq (facts.born, 1769916658364);
-  ck_assert_uint_eq (facts.end, 16);
+  ck_assert_int_eq (entry_read (entry_text, &attrs, &keep), 1);
+  ck_assert_uint_eq (attrs.born, 1769916658364);
+  ck_assert_uint_eq (attrs.end, 16);
   json_decref (keep);
   for (i = 0; i < sizeof faults / sizeof *faults; i++)
     {
       text = entry_with (faults[i].field, faults[i].value);
-      ck_assert_msg (entry_read (text, &facts, &keep) == 0, "%s", text);
+      ck_assert_msg (entry_read (text, &attrs, &keep) == 0, "%s", text);
       json_decref (keep);
       free (text);
     }
   text = entry_with ("layers", "null"); /* it holds none */
-  ck_assert_int_eq (entry_read (text, &facts, &keep), 1);
-  ck_assert_uint_eq (facts.end, 0);
+  ck_assert_int_eq (entry_read (text, &attrs, &keep), 1);
+  ck_assert_uint_eq (attrs.end, 0);
   json_decref (keep);
   free (text);
-  ck_assert_int_eq (entry_read ("[1,2]", &facts, &keep), 0);
+  ck_assert_int_eq (entry_read ("[1,2]", &attrs, &keep), 0);
   json_decref (keep);
-  ck_assert_int_eq (entry_read ("\xff\xfe not text", &facts, &keep), 0);
+  ck_assert_int_eq (entry_read ("\xff\xfe not text", &attrs, &keep), 0);
   json_decref (keep);
 }
 END_TEST
@@ -142,26 +142,26 @@
                                             .layer_mb = 1750,
                                             .step_ms = 1,
                                             .token_kv_mb = 0.4,
-                                            .usual_tokens = 900,
+                                            .typical_tokens = 900,
                                             .cards = cards,
                                             .ncards = 1 } };
   static const rt_tried_t none;
-  const rt_line_want_t want = {
+  const rt_chain_query_t want = {
     .service = &service, .hall = EL_STR ("h"), .tokens = 900, .tried = &none
   };
   rt_fleet_t *fleet = rt_fleet_new (seed);
   rt_order_t orders[8];
-  rt_facts_t facts;
-  rt_line_t line;
+  rt_attrs_t attrs;
+  rt_chain_t line;
   json_t *keep;
   el_buf_t spoiled;
   el_err_t err;
   char *text;
   unsigned i;
 
-  ck_assert_int_eq (entry_read (entry_text, &facts, &keep), 1);
-  facts.id = EL_STR ("sound");
-  rt_fleet_set (fleet, &facts);
+  ck_assert_int_eq (entry_read (entry_text, &attrs, &keep), 1);
+  attrs.id = EL_STR ("sound");
+  rt_fleet_update (fleet, &attrs);
   json_decref (keep);
   for (i = 0; i < 3; i++)
     {
@@ -172,21 +172,21 @@
       spoiled = seeds_draw (2) ? seeds_spoil (text) : (el_buf_t){ NULL, 0, 0 };
       if (pf_facts_read (seeds_draw (2) ? KEY : EL_STR ("servers/e2"),
                          spoiled.ptr ? el_buf_str (&spoiled) : el_str (text),
-                         &facts, &keep, &err))
+                         &attrs, &keep, &err))
         {
-          ck_assert (facts.service.len && facts.hall.len && facts.slots);
-          ck_assert (net_address_valid (facts.address));
-          ck_assert_uint_le (facts.first, facts.end);
-          rt_fleet_set (fleet, &facts);
+          ck_assert (attrs.service.len && attrs.hall.len && attrs.slots);
+          ck_assert (net_address_valid (attrs.address));
+          ck_assert_uint_le (attrs.first, attrs.end);
+          rt_fleet_update (fleet, &attrs);
         }
       json_decref (keep);
       el_buf_free (&spoiled);
       free (text);
     }
-  ck_assert_int_eq (rt_line_pick (fleet, NOW, &want, &line), 1);
-  rt_layout_next (fleet, &service, NULL, 0, orders, 8);
+  ck_assert_int_eq (rt_chain_pick (fleet, NOW, &want, &line), 1);
+  rt_layout_assign (fleet, &service, NULL, 0, orders, 8);
   rt_layout_repair (fleet, &service, NULL, 0, orders, 8);
-  ck_assert_uint_eq (rt_fleet_find (fleet, EL_STR ("sound"))->facts.end, 16);
+  ck_assert_uint_eq (rt_fleet_find (fleet, EL_STR ("sound"))->attrs.end, 16);
   rt_fleet_free (fleet);
 }
 
@@ -198,7 +198,7 @@
 START_TEST (test_endpoint_that_starts_again_is_another)
 {
   rt_fleet_t *fleet = rt_fleet_new (1);
-  rt_facts_t facts = { .id = EL_STR ("e1"),
+  rt_attrs_t attrs = { .id = EL_STR ("e1"),
                        .service = EL_STR ("pool"),
                        .address = EL_STR ("10.0.0.1:80"),
                        .hall = EL_STR ("h"),
@@ -207,23 +207,24 @@
                        .first = 0,
                        .end = 16,
                        .leaving = 1 };
-  rt_target_t *former = rt_target_ref (rt_fleet_set (fleet, &facts));
+  rt_target_t *former = rt_target_ref (rt_fleet_update (fleet, &attrs));
   rt_target_t *target;
   rt_load_t load = { .fill = 0.9, .pace = 4, .taken = 1 };
 
   rt_target_failed (former, NOW);
   rt_target_failed (former, NOW);
-  rt_target_told (former, &load, NOW);
-  former->held = 5000;
-  facts.born = 2000;
-  facts.leaving = 0;
-  facts.first = facts.end = 0;
-  target = rt_fleet_set (fleet, &facts);
+  rt_target_report (former, &load, NOW);
+  former->kv_held = 5000;
+  attrs.born = 2000;
+  attrs.leaving = 0;
+  attrs.first = attrs.end = 0;
+  target = rt_fleet_update (fleet, &attrs);
   ck_assert_ptr_ne (former, target);
-  ck_assert_int_eq (former->access.gone, 1);
+  ck_assert_int_eq (former->avail.gone, 1);
   ck_assert_int_eq (rt_target_usable (former, NOW), 0);
   ck_assert_int_eq (rt_target_usable (target, NOW), 1);
-  ck_assert (target->held < 1 && target->pace < 1 && target->told == 0);
+  ck_assert (target->kv_held < 1 && target->pace < 1
+             && target->reported_at == 0);
   ck_assert_uint_eq (rt_fleet_count (fleet), 1);
   ck_assert_ptr_eq (rt_fleet_find (fleet, EL_STR ("e1")), target);
   rt_target_unref (former);
--- a/tests/t_suspect.c
+++ b/tests/t_suspect.c
@@ -13,17 +13,17 @@
 
 #define KEY EL_STR ("a key that the hosts share")
 
-static const rt_asked_t asked = { .customer = EL_STR ("parking"),
-                                  .method = EL_STR ("POST"),
-                                  .host = EL_STR ("rel.example"),
-                                  .path = EL_STR ("/chat/x?y=1"),
-                                  .body = EL_STR ("body") };
+static const rt_digest_input_t asked = { .customer = EL_STR ("parking"),
+                                         .method = EL_STR ("POST"),
+                                         .host = EL_STR ("rel.example"),
+                                         .path = EL_STR ("/chat/x?y=1"),
+                                         .body = EL_STR ("body") };
 
 /* Each part counts, and where one ends and the next begins. */
 START_TEST (test_digest_names_what_is_asked_and_by_whom)
 {
   rt_digest_t digest = rt_digest (KEY, &asked);
-  rt_asked_t other[] = { asked, asked, asked, asked, asked, asked };
+  rt_digest_input_t other[] = { asked, asked, asked, asked, asked, asked };
   char hex[RT_DIGEST_HEX + 1];
   size_t i;
 
@@ -182,7 +182,7 @@
 /* Facts come in any order, some twice; the odds are the same. */
 START_TEST (test_blame_order_of_news_plays_no_part)
 {
-  rt_crash_report_t facts[60];
+  rt_crash_report_t attrs[60];
   double odds[2];
   uint64_t random = (uint64_t)_i * 77 + 1;
   size_t n = 0;
@@ -192,7 +192,7 @@
 
   for (i = 0; i < 4; i++)
     for (k = 0; k < 15; k++)
-      facts[n++] = (rt_crash_report_t){ .instance = { .id = "e", .born = i },
+      attrs[n++] = (rt_crash_report_t){ .instance = { .id = "e", .born = i },
                                         .digest = k ? 100 + i * k : DEADLY,
                                         .host = 1 + k % 3,
                                         .at = NOW + i * EL_SEC,
@@ -202,19 +202,19 @@
     {
       for (i = 0; round && i < n; i++)
         {
-          rt_crash_report_t held = facts[i];
+          rt_crash_report_t held = attrs[i];
 
           k = el_random (&random) % n;
-          facts[i] = facts[k];
-          facts[k] = held;
+          attrs[i] = attrs[k];
+          attrs[k] = held;
         }
       suspect_teardown ();
       suspect_setup ();
       for (i = 0; i < n; i++)
         {
-          rt_blame_add_report (blame, NOW + 5 * EL_SEC, &facts[i]);
+          rt_blame_add_report (blame, NOW + 5 * EL_SEC, &attrs[i]);
           if (round)
-            rt_blame_add_report (blame, NOW + 5 * EL_SEC, &facts[i / 2]);
+            rt_blame_add_report (blame, NOW + 5 * EL_SEC, &attrs[i / 2]);
         }
       judge (NOW + 5 * EL_SEC);
       odds[round] = rt_blame_get_status (blame, NOW, DEADLY).odds;
