--- a/coord/cfg_apply.c
+++ b/coord/cfg_apply.c
@@ -3,9 +3,9 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * The configuration in force on one host. A resource only ever moves to a
- * higher revision; a removal leaves its revision behind, so that a late
- * message from the platform or a peer can't bring the resource back.
+ * The configuration in effect on one host. The revision of a resource only
+ * ever increases; the revision of a removal is kept, so that a delayed message
+ * from the platform or another host can't bring the resource back.
  */
 #include <inttypes.h>
 #include <stdio.h>
@@ -17,7 +17,7 @@
 
 typedef struct cfg_entry
 {
-  char key[CFG_KEY_MAX]; /* kind's digit, '/', name */
+  char key[CFG_KEY_MAX]; /* digit of the kind, '/', name */
   uint64_t revision;
   co_resource_t *resource; /* NULL once removed */
   UT_hash_handle hh;
@@ -72,7 +72,7 @@
   return entry;
 }
 
-/* Put RESOURCE, or NULL for a removal, in force at REVISION. */
+/* Put RESOURCE, or NULL for a removal, into effect at REVISION. */
 static el_status_t
 entry_change (co_config_t *config, co_kind_t kind, el_str_t name,
               uint64_t revision, co_resource_t *resource, el_err_t *err)
@@ -100,8 +100,8 @@
   return EL_OK;
 }
 
-/** Put RESOURCE in force; the configuration owns it from here on, also when
-    it is refused (EL_CONFLICT: as high a revision is in force). */
+/** Put RESOURCE into effect. Takes ownership of it, also on failure
+    (EL_CONFLICT: the same or a higher revision is in effect). */
 el_status_t
 co_config_apply (co_config_t *config, co_resource_t *resource, el_err_t *err)
 {
@@ -113,7 +113,7 @@
   return status;
 }
 
-/** Take a resource out of force at REVISION. */
+/** Remove a resource at REVISION. */
 el_status_t
 co_config_remove (co_config_t *config, co_kind_t kind, el_str_t name,
                   uint64_t revision, el_err_t *err)
@@ -121,7 +121,7 @@
   return entry_change (config, kind, name, revision, NULL, err);
 }
 
-/** The resource in force, or NULL. */
+/** Return the resource in effect, or NULL. */
 const co_resource_t *
 co_config_get (const co_config_t *config, co_kind_t kind, el_str_t name)
 {
@@ -130,16 +130,17 @@
   return entry ? entry->resource : NULL;
 }
 
-/** All changes up to this revision were seen here. It is moved by
-    co_config_advance only: a host learns of a change of its own before it
-    learns of those that others made earlier. */
+/** Return the revision up to which all changes were seen here. Only
+    co_config_advance moves it: a host learns of a change of its own before it
+    learns of earlier changes made by others. */
 uint64_t
 co_config_revision (const co_config_t *config)
 {
   return config->revision;
 }
 
-/** Note that all changes up to REVISION were seen; never goes back. */
+/** Record that all changes up to REVISION were seen; a lower REVISION is
+    ignored. */
 void
 co_config_advance (co_config_t *config, uint64_t revision)
 {
@@ -165,7 +166,7 @@
     visit (arg, entry->resource);
 }
 
-/** Visit what changed after REVISION, so that another host can be told. */
+/** Visit all changes after REVISION, to pass them on to another host. */
 void
 co_config_since (const co_config_t *config, uint64_t revision,
                  co_config_change_cb visit, void *arg)
--- a/coord/cfg_schema.c
+++ b/coord/cfg_schema.c
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * From a resource's JSON to its typed form, by one table of fields. Errors
- * name the field and what it takes.
+ * Parses a resource from JSON, driven by a table of fields. Error messages
+ * name the field and the values that it accepts.
  */
 #include <inttypes.h>
 #include <arpa/inet.h>
@@ -68,8 +68,8 @@
   [FIELD_NAMES] = read_names,
 };
 
-#define AT(kind, field) offsetof (co_resource_t, spec.kind.field)
-#define HASH_HEX 64
+#define SPEC_OFFSET(kind, field) offsetof (co_resource_t, spec.kind.field)
+#define SHA256_HEX_LEN 64
 #define MODEL_MAX 128
 #define LAYERS_MAX 4096
 #define TOKENS_MAX 131072
@@ -78,48 +78,53 @@
 #define TIMEOUT_MAX_MS 600000
 
 static const field_t deployment_fields[] = {
-  { "model", FIELD_STR, AT (deployment, model), 1, 0, 1, MODEL_MAX },
-  { "generation", FIELD_U64, AT (deployment, generation), 0, 1, 1,
+  { "model", FIELD_STR, SPEC_OFFSET (deployment, model), 1, 0, 1, MODEL_MAX },
+  { "generation", FIELD_U64, SPEC_OFFSET (deployment, generation), 0, 1, 1,
     UINT32_MAX },
-  { "layers", FIELD_U64, AT (deployment, layers), 1, 0, 1, LAYERS_MAX },
-  { "maxTokens", FIELD_U64, AT (deployment, max_tokens), 0, 1024, 1,
+  { "layers", FIELD_U64, SPEC_OFFSET (deployment, layers), 1, 0, 1,
+    LAYERS_MAX },
+  { "maxTokens", FIELD_U64, SPEC_OFFSET (deployment, max_tokens), 0, 1024, 1,
     TOKENS_MAX },
   { NULL },
 };
 
 static const field_t pipeline_fields[] = {
-  { "deployment", FIELD_NAME, AT (pipeline, deployment), 1, 0, 1,
+  { "deployment", FIELD_NAME, SPEC_OFFSET (pipeline, deployment), 1, 0, 1,
     CO_NAME_MAX },
-  { "weight", FIELD_U64, AT (pipeline, weight), 0, 1, 1, WEIGHT_MAX },
-  { "stages", FIELD_STAGES, AT (pipeline, stages), 1, 0, 1, CO_STAGES_MAX },
+  { "weight", FIELD_U64, SPEC_OFFSET (pipeline, weight), 0, 1, 1, WEIGHT_MAX },
+  { "stages", FIELD_STAGES, SPEC_OFFSET (pipeline, stages), 1, 0, 1,
+    CO_STAGES_MAX },
   { NULL },
 };
 
 static const field_t customer_fields[] = {
-  { "keyHash", FIELD_HEX, AT (customer, key_hash), 1, 0, HASH_HEX, HASH_HEX },
-  { "priority", FIELD_U64, AT (customer, priority), 0, 1, 0,
+  { "keyHash", FIELD_HEX, SPEC_OFFSET (customer, key_hash), 1, 0,
+    SHA256_HEX_LEN, SHA256_HEX_LEN },
+  { "priority", FIELD_U64, SPEC_OFFSET (customer, priority), 0, 1, 0,
     CO_PRIORITIES - 1 },
-  { "weight", FIELD_U64, AT (customer, weight), 0, 1, 1, WEIGHT_MAX },
-  { "maxInFlight", FIELD_U64, AT (customer, max_in_flight), 0, 256, 1,
+  { "weight", FIELD_U64, SPEC_OFFSET (customer, weight), 0, 1, 1, WEIGHT_MAX },
+  { "maxInFlight", FIELD_U64, SPEC_OFFSET (customer, max_in_flight), 0, 256, 1,
     IN_FLIGHT_MAX },
   { NULL },
 };
 
 static const field_t endpoint_fields[] = {
-  { "address", FIELD_ADDRESS, AT (endpoint, address), 1, 0, 1, 64 },
-  { "hall", FIELD_NAME, AT (endpoint, hall), 1, 0, 1, CO_NAME_MAX },
-  { "role", FIELD_ROLE, AT (endpoint, role), 1, 0, 0, 0 },
-  { "capacity", FIELD_U64, AT (endpoint, capacity), 0, 64, 1, WEIGHT_MAX },
-  { "checksOrders", FIELD_BOOL, AT (endpoint, checks_orders), 0, 0, 0, 1 },
-  { "draining", FIELD_BOOL, AT (endpoint, draining), 0, 0, 0, 1 },
+  { "address", FIELD_ADDRESS, SPEC_OFFSET (endpoint, address), 1, 0, 1, 64 },
+  { "hall", FIELD_NAME, SPEC_OFFSET (endpoint, hall), 1, 0, 1, CO_NAME_MAX },
+  { "role", FIELD_ROLE, SPEC_OFFSET (endpoint, role), 1, 0, 0, 0 },
+  { "capacity", FIELD_U64, SPEC_OFFSET (endpoint, capacity), 0, 64, 1,
+    WEIGHT_MAX },
+  { "checksOrders", FIELD_BOOL, SPEC_OFFSET (endpoint, checks_orders), 0, 0, 0,
+    1 },
+  { "draining", FIELD_BOOL, SPEC_OFFSET (endpoint, draining), 0, 0, 0, 1 },
   { NULL },
 };
 
 static const field_t service_fields[] = {
-  { "endpoints", FIELD_NAMES, AT (service, endpoints), 1, 0, 1,
+  { "endpoints", FIELD_NAMES, SPEC_OFFSET (service, endpoints), 1, 0, 1,
     CO_STAGES_MAX },
-  { "repeatable", FIELD_BOOL, AT (service, repeatable), 0, 0, 0, 1 },
-  { "timeoutMs", FIELD_U64, AT (service, timeout_ms), 0, 30000, 1,
+  { "repeatable", FIELD_BOOL, SPEC_OFFSET (service, repeatable), 0, 0, 0, 1 },
+  { "timeoutMs", FIELD_U64, SPEC_OFFSET (service, timeout_ms), 0, 30000, 1,
     TIMEOUT_MAX_MS },
   { NULL },
 };
@@ -141,7 +146,7 @@
   [CO_WORKER] = "worker",
 };
 
-/** The kind's name as it stands in addresses, a plural. */
+/** Return the kind's name as used in paths, in the plural. */
 const char *
 co_kind_name (co_kind_t kind)
 {
@@ -162,8 +167,8 @@
   return 0;
 }
 
-/** Names are 1 to CO_NAME_MAX of a-z, 0-9, '-' and '.', which need no
-    escape in an address, a token or a log line. */
+/** Names are 1 to CO_NAME_MAX characters of a-z, 0-9, '-' and '.', so that
+    they need no escaping in a path, a token or a log line. */
 int
 co_name_valid (el_str_t name)
 {
@@ -413,8 +418,9 @@
   return EL_OK;
 }
 
-/** Check JSON against the schema of KIND. Keeps a reference to it on success;
-    gives NULL with the field named in ERR otherwise. */
+/** Check JSON against the schema of KIND. On success the resource holds a
+    reference to JSON; otherwise return NULL, with the faulty field named in
+    ERR. */
 co_resource_t *
 co_resource_parse (co_kind_t kind, el_str_t name, json_t *json,
                    uint64_t revision, el_err_t *err)
--- a/coord/coord.h
+++ b/coord/coord.h
@@ -3,9 +3,10 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * The coordination library: session tokens, the request ledger, and
- * configuration. It owns no socket, clock, thread or global: the holder
- * passes the time and events in and carries out what is handed back.
+ * The coordination library: session tokens, the request ledger, membership,
+ * rumors and configuration. It does no I/O and has no clock, thread or global
+ * state: the caller passes in the time and events, and acts on what the
+ * functions return or pass to their callbacks.
  */
 #ifndef ELMARCH_COORD_H
 #define ELMARCH_COORD_H
@@ -14,34 +15,35 @@
 
 #include "base.h"
 
-/* Incarnations: one life of one process. */
+/* Incarnations: an incarnation identifies one run of one host process. */
 
 #define CO_INCARNATION_BYTES 16
 
-/** Random bytes, so that no store and no clock is needed to make one that was
-    never used before, also at the address of a host that was replaced. */
+/** Random bytes, so that a new incarnation is unique without a store or a
+    clock, even when another host takes over the address of a former one. */
 typedef struct co_incarnation
 {
   unsigned char byte[CO_INCARNATION_BYTES];
 } co_incarnation_t;
 
-/** Digits of an incarnation in hexadecimal, without the final NUL. */
+/** Length of an incarnation in hexadecimal, without the final NUL. */
 #define CO_INCARNATION_HEX (2 * CO_INCARNATION_BYTES)
 
 void co_incarnation_hex (const co_incarnation_t *inc,
                          char out[CO_INCARNATION_HEX + 1]);
 int co_incarnation_eq (const co_incarnation_t *a, const co_incarnation_t *b);
 
-/* Session tokens: who may run a session's requests. */
+/* Session tokens: a token names the session, its home and the customer that
+   opened it. */
 
 #define CO_TOKEN_MAX 512
 
-/** What a token says. The strings point into the token's text. */
+/** The fields of a token. The strings point into the token's text. */
 typedef struct co_token
 {
-  el_str_t http;     /**< callers' address of the home, ip:port */
-  el_str_t peer;     /**< other hosts' address of the home, ip:port */
-  el_str_t customer; /**< who opened the session */
+  el_str_t http;     /**< address of the home for callers, ip:port */
+  el_str_t peer;     /**< address of the home for other hosts, ip:port */
+  el_str_t customer; /**< customer that opened the session */
   uint64_t session;  /**< unique within the incarnation */
   co_incarnation_t home;
 } co_token_t;
@@ -50,53 +52,53 @@
 el_status_t co_token_read (el_str_t text, el_str_t key, co_token_t *out,
                            el_err_t *err);
 
-/** Bytes of a message authentication code (HMAC-SHA-256). */
+/** Size of a message authentication code (HMAC-SHA-256), in bytes. */
 #define CO_MAC_BYTES 32
 void co_mac (el_str_t key, el_str_t data, unsigned char out[CO_MAC_BYTES]);
 int co_mac_eq (const unsigned char *a, const unsigned char *b);
 
-/* The request ledger: at most one run for each (session, sequence). */
+/* The request ledger runs each (session, sequence) at most once. */
 
 typedef struct co_ledger co_ledger_t;
 
-/** A session: the incarnation that opened it, and its number there. */
+/** Key of a session: the incarnation that opened it and its number there. */
 typedef struct co_session
 {
   co_incarnation_t home;
   uint64_t id;
 } co_session_t;
 
-/** What to do with a request that arrived. */
+/** How to handle a request that arrived. */
 typedef enum co_led_result
 {
-  CO_LED_RUN,       /**< the first: run it */
-  CO_LED_JOIN,      /**< it runs: wait for its answer */
-  CO_LED_ANSWER,    /**< it has ended: its answer is kept */
-  CO_LED_FORGOTTEN, /**< can't be told: may have run, never run it */
-  CO_LED_MISMATCH,  /**< the sequence belongs to another request */
-  CO_LED_SEALED,    /**< nothing new runs here: not run */
-  CO_LED_MOVED,     /**< the session was handed to another host */
-  CO_LED_ELSEWHERE, /**< the host that handed the session over runs it */
-  CO_LED_FULL       /**< no room to remember it: not run */
+  CO_LED_RUN,       /**< first arrival: run it */
+  CO_LED_JOIN,      /**< already running: wait for its answer */
+  CO_LED_ANSWER,    /**< finished: send the stored answer */
+  CO_LED_FORGOTTEN, /**< unknown, may have run: never run it */
+  CO_LED_MISMATCH,  /**< the sequence belongs to a different request */
+  CO_LED_SEALED,    /**< the ledger is sealed and runs nothing new: not run */
+  CO_LED_MOVED,     /**< the session was handed over to another host */
+  CO_LED_ELSEWHERE, /**< still running at the session's former host */
+  CO_LED_FULL       /**< no room for another entry: not run */
 } co_led_result_t;
 
 typedef struct co_ledger_options
 {
-  size_t max_sessions;   /**< sessions held at once */
-  size_t max_entries;    /**< requests remembered for each session */
-  size_t max_bytes;      /**< of the answers remembered, over all sessions */
-  el_time_t idle;        /**< an unused session is dropped after this */
-  co_incarnation_t home; /**< of the sessions opened here */
-  void (*release) (void *arg, void *answer); /**< an answer is forgotten */
+  size_t max_sessions; /**< maximum number of sessions */
+  size_t max_entries; /**< maximum number of requests remembered per session */
+  size_t max_bytes;   /**< maximum size of all remembered answers together */
+  el_time_t idle;     /**< a session that is unused this long is dropped */
+  co_incarnation_t home; /**< incarnation of sessions opened here */
+  void (*release) (void *arg, void *answer); /**< frees a dropped answer */
   void *arg;
 } co_ledger_options_t;
 
-/** One request of a session that is handed over. */
+/** A request of a session that is handed over. */
 typedef struct co_led_entry
 {
   uint64_t sequence;
   uint64_t digest;
-  int ended; /**< 0: it still runs at the host that hands over */
+  int ended; /**< 0: still running at the host that hands the session over */
   void *answer;
   size_t bytes;
 } co_led_entry_t;
@@ -111,7 +113,7 @@
   size_t nentries;
 } co_led_session_t;
 
-/** Called for each session; the entries last during the call. */
+/** Called for each session; the entries are valid during the call only. */
 typedef void (*co_led_export_cb) (void *arg, const co_led_session_t *session);
 
 co_ledger_t *co_ledger_new (const co_ledger_options_t *options);
@@ -124,7 +126,7 @@
 co_led_result_t co_ledger_begin (co_ledger_t *ledger, el_time_t now,
                                  const co_session_t *session,
                                  uint64_t sequence, uint64_t digest,
-                                 void *fresh, void **answer);
+                                 void *new_answer, void **answer);
 void co_ledger_end (co_ledger_t *ledger, el_time_t now,
                     const co_session_t *session, uint64_t sequence,
                     el_verdict_t verdict, size_t bytes);
@@ -141,50 +143,53 @@
 size_t co_ledger_bytes (const co_ledger_t *ledger);
 const char *co_led_result_name (co_led_result_t result);
 
-/* Membership: which hosts are there, at a cost that does not grow with their
-   number. Probing with suspicion and refutation after SWIM (Das, Gupta,
-   Motivala, 2002); news rides on the probes. */
+/* Membership: which hosts exist. The load per host does not depend on their
+   number. Probing with suspicion and refutation follows SWIM (Das, Gupta,
+   Motivala, 2002); updates are piggybacked on the probes. */
 
 typedef enum co_mbr_state
 {
   CO_MBR_ALIVE,
-  CO_MBR_SUSPECT, /**< did not answer; may still refute */
-  CO_MBR_DEAD,    /**< did not refute, or another incarnation answers */
-  CO_MBR_LEFT     /**< said that it ends */
+  CO_MBR_SUSPECT, /**< did not answer a probe; may still refute */
+  CO_MBR_DEAD,    /**< not refuted in time, or replaced at its address */
+  CO_MBR_LEFT     /**< announced its shutdown */
 } co_mbr_state_t;
 
-/** Whether a host that is alive should be sent callers. */
+/** Whether a live host should be sent callers. */
 typedef enum co_mbr_offer
 {
   CO_MBR_OFFERED,
-  CO_MBR_WITHDRAWN, /**< not for now: it lacks what it needs to serve them */
-  CO_MBR_DRAINING   /**< no more: it ends */
+  CO_MBR_WITHDRAWN, /**< temporarily not: it can't serve callers at present */
+  CO_MBR_DRAINING   /**< no longer: it is shutting down */
 } co_mbr_offer_t;
 
 /** One incarnation of a host. */
 typedef struct co_member
 {
-  co_incarnation_t incarnation; /**< who it is */
-  el_str_t peer;                /**< other hosts' address, ip:port */
-  el_str_t http;                /**< callers' address, ip:port */
+  co_incarnation_t incarnation; /**< identifies the member */
+  el_str_t peer;                /**< address for other hosts, ip:port */
+  el_str_t http;                /**< address for callers, ip:port */
   el_str_t hall;
-  uint64_t capacity; /**< how much it can carry: of several hosts that could do
-                          what one does for all, the largest does */
-  uint64_t counter;  /**< raised by the member itself, to refute */
+  uint64_t capacity; /**< load that it can carry; where one host acts for
+                        several, the one with the largest capacity is chosen */
+  uint64_t counter;  /**< raised only by the member itself, to refute or to
+                        announce a change of its own */
   co_mbr_state_t state;
   co_mbr_offer_t offer;
-  uint64_t revision;          /**< all changes up to it were seen */
-  co_incarnation_t successor; /**< took its sessions over; zero is none */
+  uint64_t revision; /**< the member has seen all configuration changes up to
+                        this revision */
+  co_incarnation_t successor; /**< incarnation that took its sessions over; all
+                                 zero when there is none */
 } co_member_t;
 
-/** An endpoint gave a sign that it leaves. */
+/** Notice that an endpoint is about to leave. */
 typedef struct co_leaving
 {
-  uint64_t id; /**< random, one for each sign */
+  uint64_t id; /**< random, unique per notice */
   el_str_t endpoint;
 } co_leaving_t;
 
-/** How a member is, for those that know it already. */
+/** State of a member, for hosts that know the member already. */
 typedef struct co_change
 {
   co_incarnation_t incarnation;
@@ -193,17 +198,19 @@
   co_mbr_offer_t offer;
 } co_change_t;
 
-/** Most news of each kind in one message, so that it fits a datagram. */
+/** Maximum number of updates of each kind in one message, so that it fits a
+    datagram. */
 #define CO_NEWS_MEMBERS 4
 #define CO_NEWS_CHANGES 12
 #define CO_NEWS_LEAVING 4
 
-/** What one probe, or its answer, carries. */
+/** Payload of a probe or of its answer. */
 typedef struct co_gossip
 {
   co_member_t self;
-  uint64_t digest; /**< of the members that the sender holds for alive */
-  co_member_t members[CO_NEWS_MEMBERS]; /**< they may not be known yet */
+  uint64_t digest; /**< digest of the sender's available members */
+  co_member_t members[CO_NEWS_MEMBERS]; /**< members that the receiver may not
+                                           know yet */
   size_t nmembers;
   co_change_t changes[CO_NEWS_CHANGES];
   size_t nchanges;
@@ -215,25 +222,27 @@
 
 typedef struct co_members_options
 {
-  co_member_t self;       /**< strings are copied */
-  el_str_t seeds;         /**< peer addresses with commas; never forgotten */
-  uint64_t seed;          /**< of the choices made at random */
-  el_time_t period;       /**< between two probes */
-  el_time_t timeout;      /**< of a direct probe; an indirect one takes as
-                               long again */
-  el_time_t forget;       /**< the dead are remembered this long */
-  el_time_t leaving_hold; /**< a sign that an endpoint leaves is passed on
-                               this long */
-  /** Probe the host at ADDRESS: send it co_members_speak, and hand what comes
-      of it to co_members_answer. With VIA, have the host there probe it. */
+  co_member_t self;  /**< this host; the strings are copied */
+  el_str_t seeds;    /**< comma-separated peer addresses that are probed for as
+                        long as the process runs */
+  uint64_t seed;     /**< seed of the random number generator */
+  el_time_t period;  /**< time between two probes */
+  el_time_t timeout; /**< timeout of a direct probe; an indirect probe takes as
+                        long again */
+  el_time_t forget;  /**< dead members are kept this long */
+  el_time_t leaving_hold; /**< a notice that an endpoint leaves is passed on
+                             this long */
+  /** Probe the host at ADDRESS: send it the message that co_members_speak
+      makes, and pass the outcome to co_members_answer. With VIA set, ask the
+      host at VIA to do the probing. */
   void (*probe) (void *arg, uint64_t id, el_str_t address, el_str_t via);
-  /** Ask the host at ADDRESS for all members that it knows, and hand the live
-      ones to co_members_take, the others to co_members_take_change; may be
+  /** Request the full member list from the host at ADDRESS; pass live members
+      to co_members_take and all others to co_members_take_change. May be
       NULL. */
   void (*sync) (void *arg, el_str_t address);
-  /** A member is new here, or changed. */
+  /** A member was added or has changed. */
   void (*changed) (void *arg, const co_member_t *member);
-  /** An endpoint leaves, as another host has seen. */
+  /** Another host reported that an endpoint leaves. */
   void (*leaving) (void *arg, el_str_t endpoint);
   void *arg;
 } co_members_options_t;
@@ -260,7 +269,7 @@
                                     const co_incarnation_t *incarnation);
 const co_member_t *co_members_pick (co_members_t *members);
 size_t co_members_some (co_members_t *members, const co_member_t **out,
-                        size_t most);
+                        size_t max);
 void co_members_seen (co_members_t *members, uint64_t revision);
 void co_members_endpoint (co_members_t *members, el_time_t now,
                           el_str_t endpoint);
@@ -268,30 +277,31 @@
 typedef void (*co_member_visit_cb) (void *arg, const co_member_t *member);
 void co_members_visit (const co_members_t *members, co_member_visit_cb visit,
                        void *arg);
-/** Whether a member is not to be taken. */
+/** Returns nonzero to skip a member. */
 typedef int (*co_member_skip_cb) (void *arg, const co_member_t *member);
 const co_member_t *co_members_first (const co_members_t *members,
                                      const co_member_t *after,
                                      co_member_skip_cb skip, void *arg);
 int co_member_before (const co_member_t *a, const co_member_t *b);
-int co_members_chosen (const co_members_t *members, size_t most);
+int co_members_chosen (const co_members_t *members, size_t max);
 const char *co_mbr_state_name (co_mbr_state_t state);
 const char *co_mbr_offer_name (co_mbr_offer_t offer);
 
-/* Rumors: small facts that all hosts should know soon. */
+/* Rumors: short messages that are spread quickly to all hosts. */
 
-/** Longest body of a rumor; most rumors of a message, and bytes of their
-   bodies: it fits a datagram. */
+/** Maximum size of a rumor's body, and maximum number of rumors and total size
+    of their bodies in one message, so that it fits a datagram. Sizes are in
+    bytes. */
 #define CO_RUMOR_BODY_MAX 1000
 #define CO_RUMORS_BATCH 16
 #define CO_RUMORS_BYTES 1000
 
-/** A fact; what its body says is its holder's. */
+/** A rumor; the format of the body is up to the caller. */
 typedef struct co_rumor
 {
-  uint64_t id;     /**< names it over all hosts */
-  el_time_t at;    /**< when it was first told, by this host's clock */
-  el_time_t until; /**< it is passed on and remembered until then */
+  uint64_t id;     /**< unique across all hosts */
+  el_time_t at;    /**< time of its first publication, on this host's clock */
+  el_time_t until; /**< time until which it is kept and passed on */
   el_str_t body;
 } co_rumor_t;
 
@@ -299,11 +309,11 @@
 
 typedef struct co_rumors_options
 {
-  size_t most;      /**< rumors remembered */
-  el_time_t gather; /**< those that come within it are passed on together */
-  /** Pass rumors on to a few other hosts. */
+  size_t most;      /**< maximum number of rumors kept */
+  el_time_t gather; /**< delay to collect rumors for one message */
+  /** Send rumors to a few other hosts. */
   void (*send) (void *arg, const co_rumor_t *list, size_t n);
-  /** Another host told of one that was not known here. */
+  /** A rumor that was not known here arrived from another host. */
   void (*heard) (void *arg, const co_rumor_t *rumor);
   void *arg;
 } co_rumors_options_t;
@@ -318,7 +328,7 @@
 el_time_t co_rumors_next (const co_rumors_t *rumors);
 uint64_t co_rumors_digest (const co_rumors_t *rumors);
 int co_rumors_behind (co_rumors_t *rumors, el_time_t now, uint64_t digest);
-void co_rumors_asked (co_rumors_t *rumors, size_t news);
+void co_rumors_asked (co_rumors_t *rumors, size_t added);
 typedef void (*co_rumor_visit_cb) (void *arg, const co_rumor_t *rumor);
 void co_rumors_visit (const co_rumors_t *rumors, co_rumor_visit_cb visit,
                       void *arg);
@@ -335,7 +345,7 @@
   CO_KINDS
 } co_kind_t;
 
-/** Most stages of a pipeline, and endpoints of a service. */
+/** Maximum number of stages of a pipeline, and of endpoints of a service. */
 #define CO_STAGES_MAX 64
 #define CO_NAME_MAX 63
 #define CO_PRIORITIES 4
@@ -355,16 +365,17 @@
 
 typedef struct co_deployment
 {
-  el_str_t model;      /**< the name that callers ask for */
-  uint64_t generation; /**< of the weights; stages of one route share it */
+  el_str_t model;      /**< model name that callers request */
+  uint64_t generation; /**< generation of the weights; all stages of a route
+                          have the same one */
   uint64_t layers;
-  uint64_t max_tokens; /**< most tokens of one answer */
+  uint64_t max_tokens; /**< maximum number of tokens in one answer */
 } co_deployment_t;
 
 typedef struct co_pipeline
 {
   el_str_t deployment;
-  uint64_t weight; /**< share of the deployment's flow */
+  uint64_t weight; /**< share of the deployment's traffic */
   co_stage_t *stages;
   size_t nstages;
 } co_pipeline_t;
@@ -373,8 +384,9 @@
 {
   el_str_t key_hash;      /**< SHA-256 of the customer's key, hexadecimal */
   uint64_t priority;      /**< 0, the lowest, to CO_PRIORITIES - 1 */
-  uint64_t weight;        /**< share between customers */
-  uint64_t max_in_flight; /**< requests at once over all hosts */
+  uint64_t weight;        /**< share relative to other customers */
+  uint64_t max_in_flight; /**< maximum number of concurrent requests over all
+                             hosts */
 } co_customer_t;
 
 typedef struct co_endpoint
@@ -382,9 +394,9 @@
   el_str_t address; /**< ip:port */
   el_str_t hall;
   uint64_t role;     /**< a co_role_t */
-  uint64_t capacity; /**< calls at once that it batches well */
+  uint64_t capacity; /**< number of concurrent calls that it batches well */
   uint64_t checks_orders;
-  uint64_t draining; /**< an operator asks for no new work */
+  uint64_t draining; /**< an operator requested that it gets no new work */
 } co_endpoint_t;
 
 typedef struct co_service
@@ -395,13 +407,13 @@
   uint64_t timeout_ms;
 } co_service_t;
 
-/** One resource as an operator declared it; frees as a whole. */
+/** A resource as declared by an operator; co_resource_free frees all of it. */
 typedef struct co_resource
 {
   co_kind_t kind;
   el_str_t name;
-  uint64_t revision; /**< the platform's, grows with each change */
-  json_t *json;      /**< the spec; the strings of the union point into it */
+  uint64_t revision; /**< assigned by the platform, increasing */
+  json_t *json;      /**< the spec; the strings in the union point into it */
   union
   {
     co_deployment_t deployment;
@@ -419,13 +431,13 @@
                                   uint64_t revision, el_err_t *err);
 void co_resource_free (co_resource_t *resource);
 
-/** The configuration in force on one host. */
+/** The configuration in effect on one host. */
 typedef struct co_config co_config_t;
 
 typedef struct co_config_options
 {
-  /** A resource came into force (next) in place of prev; either is NULL when
-      there was none, or is none any more. prev is freed after the call. */
+  /** The resource NEXT replaced PREV. PREV is NULL for a new resource, NEXT
+      for a removed one. PREV is freed after the call. */
   void (*changed) (void *arg, const co_resource_t *prev,
                    const co_resource_t *next);
   void *arg;
@@ -442,7 +454,7 @@
 uint64_t co_config_revision (const co_config_t *config);
 void co_config_advance (co_config_t *config, uint64_t revision);
 size_t co_config_count (const co_config_t *config);
-/** Visit all changes after a revision, removals too: RESOURCE is NULL then. */
+/** Called for each change after a revision; RESOURCE is NULL for a removal. */
 typedef void (*co_config_change_cb) (void *arg, co_kind_t kind, el_str_t name,
                                      uint64_t revision,
                                      const co_resource_t *resource);
--- a/coord/ledger.c
+++ b/coord/ledger.c
@@ -3,10 +3,10 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * The request ledger of one incarnation of one host. A request that carries a
- * session and a sequence is run at most once: the first arrival runs, others
- * join it. Memory is bounded: what is forgotten raises the session's floor,
- * and nothing at or below the floor ever runs.
+ * The request ledger of one incarnation of a host. A request with a session
+ * and a sequence number is run at most once: the first arrival runs, later
+ * ones get its answer. Memory is bounded: evicting an entry raises the
+ * session's floor, and a sequence at or below the floor is never run.
  */
 #include <string.h>
 
@@ -16,10 +16,11 @@
 typedef struct led_entry
 {
   uint64_t sequence; /* key */
-  uint64_t digest;   /* of the request, to tell another under its number */
+  uint64_t digest;   /* digest of the request, to detect another request under
+                        its number */
   int ended;
   int elsewhere; /* runs at the host that handed the session over */
-  size_t bytes;  /* of the answer, once ended */
+  size_t bytes;  /* size of the answer, once ended */
   void *answer;
   UT_hash_handle hh;
 } led_entry_t;
@@ -27,10 +28,11 @@
 typedef struct led_session
 {
   co_session_t key;
-  int moved; /* handed over, or on its way: it may run elsewhere */
+  int moved; /* handed over or being handed over: requests may run at the other
+                host */
   el_str_t customer;
   uint64_t floor;
-  el_time_t used;
+  el_time_t last_used;
   size_t running;
   led_entry_t *entries;
   UT_hash_handle hh;
@@ -120,16 +122,17 @@
   return session;
 }
 
-/* Move to the end, so that iteration meets the least recently used first. */
+/* Move to the end, so that iteration starts with the least recently used
+   session. */
 static void
 session_touch (co_ledger_t *ledger, led_session_t *session, el_time_t now)
 {
-  session->used = now;
+  session->last_used = now;
   HASH_DEL (ledger->sessions, session);
   HASH_ADD (hh, ledger->sessions, key, sizeof session->key, session);
 }
 
-/** Open a session for CUSTOMER; EL_LIMIT when sealed or full. */
+/** Open a session for CUSTOMER; EL_LIMIT when the ledger is sealed or full. */
 el_status_t
 co_ledger_open (co_ledger_t *ledger, el_time_t now, el_str_t customer,
                 uint64_t *id, el_err_t *err)
@@ -145,13 +148,14 @@
   session->key.home = ledger->options.home;
   session->key.id = ledger->next_session++;
   session->customer = el_str_dup (customer);
-  session->used = now;
+  session->last_used = now;
   HASH_ADD (hh, ledger->sessions, key, sizeof session->key, session);
   *id = session->key.id;
   return EL_OK;
 }
 
-/** End a session: its requests are forgotten, so none of them runs again. */
+/** Close a session. Its requests are forgotten, so none of them runs again.
+    EL_CONFLICT while a request is running. */
 el_status_t
 co_ledger_close (co_ledger_t *ledger, const co_session_t *key)
 {
@@ -187,33 +191,34 @@
   return entry;
 }
 
-/* Forget the ended entry of the lowest sequence and all numbers below it.
-   A running entry below it keeps its place: it is found before the floor is
-   looked at. */
+/* Evict the ended entry with the lowest sequence, and raise the floor to that
+   sequence. A running entry below the floor stays valid: entries are looked up
+   before the floor is checked. */
 static int
-entry_forget_oldest (co_ledger_t *ledger, led_session_t *session)
+entry_evict_lowest (co_ledger_t *ledger, led_session_t *session)
 {
   led_entry_t *entry;
   led_entry_t *next;
-  led_entry_t *oldest = NULL;
+  led_entry_t *lowest = NULL;
 
   HASH_ITER (hh, session->entries, entry, next)
-  if (entry->ended && (!oldest || entry->sequence < oldest->sequence))
-    oldest = entry;
-  if (!oldest)
+  if (entry->ended && (!lowest || entry->sequence < lowest->sequence))
+    lowest = entry;
+  if (!lowest)
     return 0;
-  if (oldest->sequence > session->floor)
-    session->floor = oldest->sequence;
-  entry_drop (ledger, session, oldest);
+  if (lowest->sequence > session->floor)
+    session->floor = lowest->sequence;
+  entry_drop (ledger, session, lowest);
   return 1;
 }
 
-/** A request arrived. On CO_LED_RUN the ledger takes FRESH as its answer; on
-    CO_LED_JOIN and CO_LED_ANSWER, *ANSWER is that of the first arrival.
-    DIGEST tells requests apart that a caller gave the same sequence. */
+/** Handle the arrival of a request. On CO_LED_RUN the ledger stores NEW_ANSWER
+   as its answer; on CO_LED_JOIN and CO_LED_ANSWER, *ANSWER is the answer of
+   the first arrival. DIGEST distinguishes different requests that a caller
+   sent with the same sequence. */
 co_led_result_t
 co_ledger_begin (co_ledger_t *ledger, el_time_t now, const co_session_t *key,
-                 uint64_t sequence, uint64_t digest, void *fresh,
+                 uint64_t sequence, uint64_t digest, void *new_answer,
                  void **answer)
 {
   led_session_t *session = session_find (ledger, key);
@@ -237,33 +242,33 @@
   if (ledger->sealed)
     return session->moved ? CO_LED_MOVED : CO_LED_SEALED;
   if (HASH_COUNT (session->entries) >= ledger->options.max_entries
-      && !entry_forget_oldest (ledger, session))
+      && !entry_evict_lowest (ledger, session))
     return CO_LED_FULL;
   if (sequence <= session->floor)
     return CO_LED_FORGOTTEN;
   entry = entry_add (ledger, session, sequence, digest);
-  entry->answer = fresh;
+  entry->answer = new_answer;
   session->running++;
   return CO_LED_RUN;
 }
 
-/* Forget answers, of the sessions that were not used for longest first, until
-   the rest keeps within its bound. */
+/* Evict answers until their total size is within max_bytes, starting with the
+   least recently used session. */
 static void
-ledger_trim (co_ledger_t *ledger)
+ledger_evict (co_ledger_t *ledger)
 {
   led_session_t *session;
   led_session_t *next;
 
   HASH_ITER (hh, ledger->sessions, session, next)
   while (ledger->bytes > ledger->options.max_bytes)
-    if (!entry_forget_oldest (ledger, session))
+    if (!entry_evict_lowest (ledger, session))
       break;
 }
 
-/** The run of a request ended. One that is proved not to have run is taken
-    out, so that the caller may send it again; any other stays answered, with
-    an answer of BYTES, as long as all answers keep within their bound. */
+/** Record the end of a request. One that is proved not to have run is removed,
+    so that the caller may send it again. Any other is kept with an answer of
+    BYTES for as long as all answers fit within max_bytes. */
 void
 co_ledger_end (co_ledger_t *ledger, el_time_t now, const co_session_t *key,
                uint64_t sequence, el_verdict_t verdict, size_t bytes)
@@ -284,24 +289,25 @@
   session->running--;
   ledger->bytes += bytes;
   if (ledger->bytes > ledger->options.max_bytes)
-    ledger_trim (ledger);
+    ledger_evict (ledger);
 }
 
-/** Whether a session is known here. */
+/** Return whether a session is known here. */
 int
 co_ledger_holds (co_ledger_t *ledger, const co_session_t *key)
 {
   return session_find (ledger, key) != NULL;
 }
 
-/** From now on nothing new runs here; what runs goes on. */
+/** Run no new requests from now on; running ones continue. */
 void
 co_ledger_seal (co_ledger_t *ledger)
 {
   ledger->sealed = 1;
 }
 
-/** Drop the sessions that were not used for the idle time. */
+/** Drop the sessions that were not used for the idle time and have no running
+    request. */
 void
 co_ledger_expire (co_ledger_t *ledger, el_time_t now)
 {
@@ -310,7 +316,7 @@
 
   HASH_ITER (hh, ledger->sessions, session, next)
   {
-    if (session->used + ledger->options.idle > now)
+    if (session->last_used + ledger->options.idle > now)
       break;
     if (!session->running)
       session_drop (ledger, session);
@@ -329,16 +335,16 @@
   return ledger->nentries;
 }
 
-/** Bytes of the answers that are remembered. */
+/** Return the total size of the remembered answers, in bytes. */
 size_t
 co_ledger_bytes (const co_ledger_t *ledger)
 {
   return ledger->bytes;
 }
 
-/** Hand out all sessions that were opened here, so that another host can go on
-    with them. The ledger is sealed before: what is handed out never runs here
-    any more. */
+/** Pass all sessions to VISIT, so that another host can continue them. The
+    ledger must be sealed first, so that no exported session runs a new request
+    here. */
 void
 co_ledger_export (co_ledger_t *ledger, co_led_export_cb visit, void *arg)
 {
@@ -365,8 +371,8 @@
   }
 }
 
-/* Take over one request. One that is known already only changes when it ended
-   meanwhile where it ran. */
+/* Import one request. A known entry only changes if it was still running at
+   the other host and has ended there since. */
 static void
 entry_import (co_ledger_t *ledger, led_session_t *session,
               const co_led_entry_t *from)
@@ -388,10 +394,10 @@
   ledger->bytes += from->bytes;
 }
 
-/** Take a session over, or what ended of it since it was taken over; the
-    answers are taken over in either case. Harmless when it is repeated.
-    EL_LIMIT when there is no room or this host is stopping itself: then
-    nothing was taken. */
+/** Import a session, or the requests that ended since it was first imported.
+    Takes ownership of the answers in any case. Importing the same data again
+    has no effect. EL_LIMIT when there is no room or this host is itself
+    stopping; nothing is imported then. */
 el_status_t
 co_ledger_import (co_ledger_t *ledger, el_time_t now,
                   const co_led_session_t *from)
@@ -415,17 +421,17 @@
       session->key = from->key;
       session->customer = el_str_dup (from->customer);
       session->floor = from->floor;
-      session->used = now;
+      session->last_used = now;
       HASH_ADD (hh, ledger->sessions, key, sizeof session->key, session);
     }
   for (i = 0; i < from->nentries; i++)
     entry_import (ledger, session, &from->entries[i]);
-  ledger_trim (ledger);
+  ledger_evict (ledger);
   return EL_OK;
 }
 
-/** A session was handed over, may have been (its new host did not answer), or
-    was refused there (MOVED is 0). */
+/** Record whether a session was handed over. MOVED is also set when the new
+    host did not answer and may have it; 0 means that it refused. */
 void
 co_ledger_moved (co_ledger_t *ledger, const co_session_t *key, int moved)
 {
--- a/coord/libcoord.h
+++ b/coord/libcoord.h
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Internals of the coordination library.
+ * Internal definitions of the coordination library.
  */
 #ifndef ELMARCH_LIBCOORD_H
 #define ELMARCH_LIBCOORD_H
@@ -11,33 +11,33 @@
 #include "coord.h"
 #include "map.h"
 
-/* Times that a piece of news is passed on at the most, for any number of
-   members: see mbr_news_most. */
-#define MBR_SENDS_MAX 64
+/* Upper bound of the number of times that an update is sent, for any number of
+   members: see update_transmit_limit in mbr_update.c. */
+#define MBR_TRANSMITS_MAX 64
 
-/* A piece of news that waits to be passed on. */
-typedef struct mbr_news
+/* An update that is queued for sending. */
+typedef struct mbr_update
 {
   struct mbr_entry *entry;
-  unsigned sent; /* times that it was passed on */
-  int waits;
-  struct mbr_news *prev;
-  struct mbr_news *next;
-} mbr_news_t;
+  unsigned sent; /* number of times it was sent */
+  int queued;
+  struct mbr_update *prev;
+  struct mbr_update *next;
+} mbr_update_t;
 
-/* News of one kind, by the times that they were passed on. */
+/* Updates of one kind, indexed by the number of times they were sent. */
 typedef struct mbr_queue
 {
-  mbr_news_t *sent[MBR_SENDS_MAX];
+  mbr_update_t *sent[MBR_TRANSMITS_MAX];
 } mbr_queue_t;
 
 typedef struct mbr_entry
 {
   co_members_t *members;
-  co_member_t m;      /* its incarnation is the key; strings are owned */
-  mbr_news_t whole;   /* for those that do not know it */
-  mbr_news_t change;  /* for those that do */
-  mbr_queue_t *queue; /* that its change waits in */
+  co_member_t m;       /* keyed by its incarnation; owns its strings */
+  mbr_update_t full;   /* full record, for hosts that do not know the member */
+  mbr_update_t change; /* state only, for hosts that know it */
+  mbr_queue_t *queue;  /* queue that holds its change */
   el_timer_t timer;
   UT_hash_handle hh;
 } mbr_entry_t;
@@ -45,7 +45,7 @@
 typedef struct mbr_leaving
 {
   co_members_t *members;
-  co_leaving_t l; /* its id is the key */
+  co_leaving_t l; /* keyed by its id */
   unsigned sent;
   el_timer_t timer;
   UT_hash_handle hh;
@@ -55,9 +55,9 @@
 {
   uint64_t id;
   el_str_t address;
-  int expects; /* an incarnation is expected there */
+  int has_incarnation; /* a particular incarnation is expected there */
   co_incarnation_t incarnation;
-  int indirect; /* other hosts were asked */
+  int indirect; /* other hosts were asked to probe it */
   el_time_t due;
   struct mbr_probe *prev;
   struct mbr_probe *next;
@@ -69,32 +69,33 @@
   uint64_t rng;
   co_member_t self;
   mbr_entry_t *entries;
-  mbr_entry_t **order; /* the order of this host's probes */
+  mbr_entry_t **order; /* in probing order */
   size_t norder;
   size_t cursor;
-  size_t live; /* others that are not known to be dead */
+  size_t live; /* number of other members that are alive or suspect */
   el_str_t seeds;
-  size_t seed_at;
+  size_t seed_offset;
   mbr_probe_t *probes;
   uint64_t next_probe;
   mbr_leaving_t *leaving;
-  mbr_queue_t bad;   /* members that should be sent nothing any more */
-  mbr_queue_t good;  /* other changes */
-  mbr_queue_t whole; /* members that others may not know */
-  uint64_t digest;   /* of the members held for alive, this one not included */
-  unsigned strange;  /* messages in a row whose digest was another one */
-  unsigned behind;   /* times that all members are still to be asked for */
-  el_time_t changed; /* when a member was new or changed last */
-  el_time_t heard;   /* when another host was heard last */
-  el_time_t synced;  /* when all members were asked for last */
+  mbr_queue_t unavailable; /* changes of members that must get no new work */
+  mbr_queue_t available;   /* all other changes */
+  mbr_queue_t full;    /* full records of members that others may not know */
+  uint64_t digest;     /* digest of the available members, without this host */
+  unsigned mismatches; /* consecutive messages whose digest differed from this
+                          host's */
+  unsigned syncs_left; /* full member lists that are still to be requested */
+  el_time_t last_change; /* time of the last change of a member */
+  el_time_t last_heard;  /* time of the last message from another host */
+  el_time_t last_sync;   /* time of the last request for a full member list */
   el_timers_t timers;
   el_time_t next_period;
   el_time_t last_tick;
-  el_time_t young_until; /* probes more often before */
-  unsigned young;        /* such probes so far */
+  el_time_t startup_until; /* probes are more frequent until then */
+  unsigned startup_probes; /* number of such probes so far */
 };
 
-/* splitmix64, by Sebastiano Vigna, public domain. */
+/* splitmix64 by Sebastiano Vigna, public domain. */
 static inline uint64_t
 mbr_random (co_members_t *members)
 {
@@ -118,7 +119,7 @@
 }
 
 static inline int
-mbr_is_bad (const co_member_t *m)
+mbr_is_unavailable (const co_member_t *m)
 {
   return m->state != CO_MBR_ALIVE || m->offer != CO_MBR_OFFERED;
 }
@@ -126,24 +127,24 @@
 /* mbr_members.c */
 mbr_entry_t *mbr_entry_find (const co_members_t *members,
                              const co_incarnation_t *inc);
-void mbr_member_hear (co_members_t *members, el_time_t now,
-                      const co_member_t *member, int all);
-void mbr_change_hear (co_members_t *members, el_time_t now,
-                      const co_change_t *change);
-void mbr_entry_state (co_members_t *members, el_time_t now, mbr_entry_t *entry,
-                      co_mbr_state_t state);
-el_time_t mbr_suspect_time (const co_members_t *members);
-
-/* mbr_news.c */
-void mbr_news_whole (mbr_entry_t *entry);
-void mbr_news_change (mbr_entry_t *entry);
-void mbr_news_drop (mbr_entry_t *entry);
-int mbr_news_urgent (const co_members_t *members);
+void mbr_member_apply (co_members_t *members, el_time_t now,
+                       const co_member_t *member, int all);
+void mbr_change_apply (co_members_t *members, el_time_t now,
+                       const co_change_t *change);
+void mbr_entry_set_state (co_members_t *members, el_time_t now,
+                          mbr_entry_t *entry, co_mbr_state_t state);
+el_time_t mbr_suspect_timeout (const co_members_t *members);
+
+/* mbr_update.c */
+void mbr_update_full (mbr_entry_t *entry);
+void mbr_update_change (mbr_entry_t *entry);
+void mbr_update_drop (mbr_entry_t *entry);
+int mbr_update_urgent (const co_members_t *members);
 uint64_t mbr_digest (const co_member_t *member);
 void mbr_leaving_free (co_members_t *members);
 
 /* mbr_probe.c */
-void mbr_probe_sooner (co_members_t *members, el_time_t now);
+void mbr_probe_expedite (co_members_t *members, el_time_t now);
 void mbr_probes_free (co_members_t *members);
 
 #endif
--- a/coord/mbr_members.c
+++ b/coord/mbr_members.c
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Membership by probing. A member is one incarnation of a host: a host that
- * was replaced at its address is another member, and the address answering
+ * The member table. A member is one incarnation of a host: a host that was
+ * replaced at its address is a different member. An answer from the address
  * with another incarnation proves the former one dead, without any clock.
  */
 #include <stdio.h>
@@ -13,7 +13,7 @@
 #include "libcoord.h"
 
 #define SUSPECT_PERIODS 4
-#define SUCCESSOR_FACTOR 6
+#define HANDOVER_FORGET_FACTOR 6
 
 static const char *const state_names[] = {
   [CO_MBR_ALIVE] = "alive",
@@ -65,7 +65,7 @@
 }
 
 static void
-entry_order (co_members_t *members, mbr_entry_t *entry)
+order_insert (co_members_t *members, mbr_entry_t *entry)
 {
   size_t at = mbr_random (members) % (members->norder + 1);
 
@@ -77,7 +77,7 @@
 }
 
 static void
-entry_unorder (co_members_t *members, const mbr_entry_t *entry)
+order_remove (co_members_t *members, const mbr_entry_t *entry)
 {
   size_t i;
 
@@ -94,8 +94,8 @@
 static void
 entry_drop (co_members_t *members, mbr_entry_t *entry)
 {
-  entry_unorder (members, entry);
-  mbr_news_drop (entry);
+  order_remove (members, entry);
+  mbr_update_drop (entry);
   el_timers_cancel (&members->timers, &entry->timer);
   HASH_DEL (members->entries, entry);
   member_clear (&entry->m);
@@ -103,29 +103,29 @@
 }
 
 el_time_t
-mbr_suspect_time (const co_members_t *members)
+mbr_suspect_timeout (const co_members_t *members)
 {
   return members->options.period * SUSPECT_PERIODS
          * mbr_log2 (members->live + 1) / 2;
 }
 
-/* A host that handed its sessions over is remembered longer: its tokens are
-   still in callers' hands. */
+/* A host that handed its sessions over is kept longer, because callers still
+   hold its tokens. */
 static el_time_t
-forget_time (const co_members_t *members, const mbr_entry_t *entry)
+forget_delay (const co_members_t *members, const mbr_entry_t *entry)
 {
   static const co_incarnation_t none;
 
   return co_incarnation_eq (&entry->m.successor, &none)
              ? members->options.forget
-             : members->options.forget * SUCCESSOR_FACTOR;
+             : members->options.forget * HANDOVER_FORGET_FACTOR;
 }
 
 void
-mbr_entry_state (co_members_t *members, el_time_t now, mbr_entry_t *entry,
-                 co_mbr_state_t state)
+mbr_entry_set_state (co_members_t *members, el_time_t now, mbr_entry_t *entry,
+                     co_mbr_state_t state)
 {
-  el_time_t wait = forget_time (members, entry);
+  el_time_t wait = forget_delay (members, entry);
   int was_live = mbr_is_live (entry);
 
   members->digest ^= mbr_digest (&entry->m);
@@ -137,24 +137,25 @@
   else
     {
       if (state == CO_MBR_SUSPECT)
-        wait = mbr_suspect_time (members);
+        wait = mbr_suspect_timeout (members);
       el_timers_set (&members->timers, &entry->timer, now + wait);
     }
-  members->changed = now;
-  mbr_news_change (entry);
-  if (mbr_is_bad (&entry->m))
-    mbr_probe_sooner (members, now);
+  members->last_change = now;
+  mbr_update_change (entry);
+  if (mbr_is_unavailable (&entry->m))
+    mbr_probe_expedite (members, now);
   members->options.changed (members->options.arg, &entry->m);
 }
 
-/* A suspect that did not refute is dead; the dead are forgotten. */
+/* A suspect that did not refute in time is declared dead; other members are
+   removed. */
 static void
 entry_timer (void *arg, el_time_t now)
 {
   mbr_entry_t *entry = arg;
 
   if (entry->m.state == CO_MBR_SUSPECT)
-    mbr_entry_state (entry->members, now, entry, CO_MBR_DEAD);
+    mbr_entry_set_state (entry->members, now, entry, CO_MBR_DEAD);
   else
     entry_drop (entry->members, entry);
 }
@@ -169,17 +170,19 @@
   entry->timer.cb = entry_timer;
   entry->timer.arg = entry;
   HASH_ADD (hh, members->entries, m.incarnation, CO_INCARNATION_BYTES, entry);
-  entry_order (members, entry);
-  entry->m.state = CO_MBR_DEAD; /* not live yet */
-  mbr_entry_state (members, now, entry, member->state);
-  /* Those who know it have heard how it is from whoever saw that. */
-  mbr_news_drop (entry);
+  order_insert (members, entry);
+  entry->m.state = CO_MBR_DEAD; /* not counted as live yet */
+  mbr_entry_set_state (members, now, entry, member->state);
+  /* Hosts that know the member were told of its state by the host that
+     observed it. */
+  mbr_update_drop (entry);
   return entry;
 }
 
-/* News of this host itself. What doubts it is refuted by a higher counter. */
+/* Handle an update about this host itself. A report that it is suspect or dead
+   is refuted by a higher counter. */
 static void
-self_hear (co_members_t *members, const co_change_t *change)
+self_apply (co_members_t *members, const co_change_t *change)
 {
   if (change->state == CO_MBR_ALIVE || change->counter < members->self.counter
       || members->self.state == CO_MBR_LEFT)
@@ -187,17 +190,17 @@
   members->self.counter = change->counter + 1;
 }
 
-/** Take in what is said of a member that may be known: a higher counter, which
-    only it raises, goes first; at the same counter the worse state does. */
+/** Apply an update of a member. The higher counter, which only the member
+    itself raises, takes precedence; at equal counters the worse state does. */
 void
-mbr_change_hear (co_members_t *members, el_time_t now,
-                 const co_change_t *change)
+mbr_change_apply (co_members_t *members, el_time_t now,
+                  const co_change_t *change)
 {
   mbr_entry_t *entry;
 
   if (co_incarnation_eq (&change->incarnation, &members->self.incarnation))
     {
-      self_hear (members, change);
+      self_apply (members, change);
       return;
     }
   entry = mbr_entry_find (members, &change->incarnation);
@@ -209,12 +212,13 @@
   entry->m.counter = change->counter;
   entry->m.offer = change->offer;
   members->digest ^= mbr_digest (&entry->m);
-  mbr_entry_state (members, now, entry, change->state);
+  mbr_entry_set_state (members, now, entry, change->state);
 }
 
-/* Whether MEMBER names another successor than is known: all must learn it. */
+/* Store MEMBER's successor; returns whether it is new, so that all hosts must
+   learn it. */
 static int
-successor_hear (mbr_entry_t *entry, const co_member_t *member)
+successor_apply (mbr_entry_t *entry, const co_member_t *member)
 {
   if (member->counter < entry->m.counter
       || co_incarnation_eq (&entry->m.successor, &member->successor))
@@ -223,44 +227,46 @@
   return 1;
 }
 
-/** Take in a member, known or not. One that was not is news for others, too,
-    but where ALL were asked for: they ask for themselves. */
+/** Apply a full record of a member, known or not. A member that was not known
+    is passed on to others, except when the record came in a full member list
+    (ALL is set): the others request the list themselves. */
 void
-mbr_member_hear (co_members_t *members, el_time_t now,
-                 const co_member_t *member, int all)
+mbr_member_apply (co_members_t *members, el_time_t now,
+                  const co_member_t *member, int all)
 {
   const co_change_t change = { .incarnation = member->incarnation,
                                .counter = member->counter,
                                .state = member->state,
                                .offer = member->offer };
   mbr_entry_t *entry = mbr_entry_find (members, &member->incarnation);
-  int news = 0;
+  int is_new = 0;
 
   if (co_incarnation_eq (&member->incarnation, &members->self.incarnation))
     {
-      self_hear (members, &change);
+      self_apply (members, &change);
       return;
     }
   if (entry)
     {
-      news = successor_hear (entry, member);
+      is_new = successor_apply (entry, member);
       if (member->revision > entry->m.revision)
         entry->m.revision = member->revision;
-      mbr_change_hear (members, now, &change);
+      mbr_change_apply (members, now, &change);
     }
   else if (member->state <= CO_MBR_SUSPECT)
     {
       entry = entry_add (members, now, member);
-      news = !all;
+      is_new = !all;
     }
-  if (news)
+  if (is_new)
     {
-      mbr_news_whole (entry);
-      mbr_probe_sooner (members, now);
+      mbr_update_full (entry);
+      mbr_probe_expedite (members, now);
     }
 }
 
-/** This host takes no new work (CO_MBR_ALIVE), or ends (CO_MBR_LEFT). */
+/** Mark this host as draining: it takes no new work (STATE is CO_MBR_ALIVE),
+    or shuts down (CO_MBR_LEFT). */
 void
 co_members_drain (co_members_t *members, co_mbr_state_t state)
 {
@@ -269,7 +275,8 @@
   members->self.counter++;
 }
 
-/** This host should be sent no callers for now, or may be again. */
+/** Set whether this host should temporarily be sent no callers. Has no effect
+    on a draining host. */
 void
 co_members_withdraw (co_members_t *members, int withdrawn)
 {
@@ -281,7 +288,7 @@
   members->self.counter++;
 }
 
-/** SUCCESSOR has taken this host's sessions over. */
+/** Record that SUCCESSOR has taken over this host's sessions. */
 void
 co_members_hand_over (co_members_t *members, const co_incarnation_t *successor)
 {
@@ -289,7 +296,7 @@
   members->self.counter++;
 }
 
-/** The member of an incarnation, this host included, or NULL. */
+/** Return the member with INCARNATION, which may be this host, or NULL. */
 const co_member_t *
 co_members_find (const co_members_t *members,
                  const co_incarnation_t *incarnation)
@@ -302,8 +309,8 @@
   return entry ? &entry->m : NULL;
 }
 
-/** Another host that is alive and not draining, of this hall when there is
-    one; NULL without any. */
+/** Return another host that is alive and offered to callers, preferably in
+    this hall, starting at random; NULL when there is none. */
 const co_member_t *
 co_members_pick (co_members_t *members)
 {
@@ -315,7 +322,7 @@
   for (i = 0; i < members->norder; i++)
     {
       entry = members->order[(start + i) % members->norder];
-      if (mbr_is_bad (&entry->m))
+      if (mbr_is_unavailable (&entry->m))
         continue;
       if (el_str_eq (entry->m.hall, members->self.hall))
         return &entry->m;
@@ -324,29 +331,30 @@
   return best ? &best->m : NULL;
 }
 
-/** At most MOST other hosts that are not known to be dead, by chance; gives
-   how many there are in OUT. */
+/** Store up to MAX randomly chosen hosts other than this one that are alive
+    or suspect in OUT, and return their number. */
 size_t
-co_members_some (co_members_t *members, const co_member_t **out, size_t most)
+co_members_some (co_members_t *members, const co_member_t **out, size_t max)
 {
   size_t seen = 0;
   size_t at;
   size_t i;
 
-  /* Each has the same chance, in one pass (reservoir sampling). */
+  /* Reservoir sampling: every host is equally likely, in a single pass. */
   for (i = 0; i < members->norder; i++)
     {
       if (!mbr_is_live (members->order[i]))
         continue;
-      at = seen < most ? seen : mbr_random (members) % (seen + 1);
-      if (at < most)
+      at = seen < max ? seen : mbr_random (members) % (seen + 1);
+      if (at < max)
         out[at] = &members->order[i]->m;
       seen++;
     }
-  return seen < most ? seen : most;
+  return seen < max ? seen : max;
 }
 
-/** This host has seen all changes of configuration up to REVISION. */
+/** Set the revision up to which this host has seen all configuration
+    changes. */
 void
 co_members_seen (co_members_t *members, uint64_t revision)
 {
@@ -382,14 +390,15 @@
   free (members);
 }
 
-/** Hosts that are not known to be dead, this one included. */
+/** Return the number of hosts that are alive or suspect, including this
+    one. */
 size_t
 co_members_live (const co_members_t *members)
 {
   return members->live + 1;
 }
 
-/** Visit this host first, then all that are remembered. */
+/** Visit this host first, then all members in the table. */
 void
 co_members_visit (const co_members_t *members, co_member_visit_cb visit,
                   void *arg)
@@ -402,10 +411,10 @@
   visit (arg, &entry->m);
 }
 
-/** Whether A comes before B where one host does what all need: the larger one,
-    then the one with the lower incarnation. Whether they are withdrawn plays
-   no part: when all are, and are offered again one by one, nobody would know
-   whom to ask. */
+/** Return whether A precedes B in the order by which one host is chosen to act
+    for several: by higher capacity, then by lower incarnation. Whether a host
+    is withdrawn is not considered: otherwise, when all hosts are withdrawn and
+    are offered again one by one, no host would know which one to ask. */
 int
 co_member_before (const co_member_t *a, const co_member_t *b)
 {
@@ -416,35 +425,36 @@
          < 0;
 }
 
-/* Whether MEMBER may do what one host of this hall does for all of them. */
+/* Whether MEMBER is eligible to act for the hosts of this hall. */
 static int
-member_serves (const co_members_t *members, const co_member_t *member)
+member_is_eligible (const co_members_t *members, const co_member_t *member)
 {
   return member->state == CO_MBR_ALIVE && member->offer != CO_MBR_DRAINING
          && el_str_eq (member->hall, members->self.hall);
 }
 
-/** Whether this host is one of the MOST of its hall that are chosen for what
-    only a few should do. Every host works the same out from its view; while
-    views differ a few more or fewer may do it, which does no harm. */
+/** Return whether this host is among the first MAX of its hall, which perform
+    the tasks that only a few hosts should perform. Every host works this out
+    from its own view. While views differ, a few hosts more or fewer may
+    perform them, which is harmless. */
 int
-co_members_chosen (const co_members_t *members, size_t most)
+co_members_chosen (const co_members_t *members, size_t max)
 {
   size_t before = 0;
   mbr_entry_t *entry;
   mbr_entry_t *next;
 
   HASH_ITER (hh, members->entries, entry, next)
-  if (member_serves (members, &entry->m)
+  if (member_is_eligible (members, &entry->m)
       && co_member_before (&entry->m, &members->self))
     before++;
-  return before < most;
+  return before < max;
 }
 
-/** The member of this hall, this host included, that comes next after AFTER of
-    those that are alive, not draining and not skipped, or the first one when
-    AFTER is NULL; NULL without any. Hosts that see the same members find the
-    same one. */
+/** Return the first member of this hall (this host included) after AFTER, or
+    the very first one when AFTER is NULL, that is alive, not draining and not
+    skipped; NULL when there is none. Hosts with the same view get the same
+    result. */
 const co_member_t *
 co_members_first (const co_members_t *members, const co_member_t *after,
                   co_member_skip_cb skip, void *arg)
@@ -453,12 +463,12 @@
   mbr_entry_t *entry;
   mbr_entry_t *next;
 
-  if (member_serves (members, &members->self)
+  if (member_is_eligible (members, &members->self)
       && (!after || co_member_before (after, &members->self))
       && !skip (arg, &members->self))
     first = &members->self;
   HASH_ITER (hh, members->entries, entry, next)
-  if (member_serves (members, &entry->m)
+  if (member_is_eligible (members, &entry->m)
       && (!after || co_member_before (after, &entry->m))
       && (!first || co_member_before (&entry->m, first))
       && !skip (arg, &entry->m))
--- a/coord/mbr_probe.c
+++ b/coord/mbr_probe.c
@@ -3,29 +3,31 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * The probes of membership: whom to probe next, what an answer and its absence
- * say, and the time that drives both.
+ * The failure detector: which member to probe next, how answers and missing
+ * answers are handled, and the timing of both.
  */
 #include <string.h>
 
 #include "libcoord.h"
 
 #define INDIRECT_PROBES 3
-/* A tick that comes this many periods late tells that the host was paused:
-   what it waited for then says nothing of others. */
+/* A tick that is this many periods late shows that the process was paused:
+   answers that are missing then say nothing about other hosts. */
 #define PAUSED_PERIODS 3
-/* A host that has just started probes this many times as often for so many
-   periods: where all start at once, all know each other within a second. */
-#define YOUNG_PERIODS 4
-#define YOUNG_TIMES 5
-/* Every so many of these probes it asks for all members that another one
-   knows. */
-#define YOUNG_SYNC 3
-/* While there are bad news that few know, probes come this many times as
-   often, to carry them. */
-#define URGENT_TIMES 5
+/* For this many periods after its start, a host sends probes STARTUP_SPEEDUP
+   times as often: hosts that all start at once know each other within a
+   second. */
+#define STARTUP_PERIODS 4
+#define STARTUP_SPEEDUP 5
+/* During that time, every STARTUP_SYNC_PROBES-th probe is accompanied by a
+   request for the full member list. */
+#define STARTUP_SYNC_PROBES 3
+/* While there are urgent updates, probes are this many times as frequent, to
+   carry them. */
+#define URGENT_SPEEDUP 5
 
-/* The next member to probe: all in turn, in an order of this host's own. */
+/* Return the next live member to probe. All are probed in turn, in an order
+   that is random on each host. */
 static mbr_entry_t *
 probe_next (co_members_t *members)
 {
@@ -52,7 +54,7 @@
   probe->due = now + members->options.timeout;
   if (entry)
     {
-      probe->expects = 1;
+      probe->has_incarnation = 1;
       probe->incarnation = entry->m.incarnation;
     }
   DL_APPEND (members->probes, probe);
@@ -72,17 +74,17 @@
   return el_str_eq (address, members->self.peer);
 }
 
-/* The next seed, where no live member is known there: to join, and to meet
-   again after the network was cut. */
+/* Probe the next seed at whose address no live member is known, to join, and
+   to find the others again after a network partition. */
 static void
 probe_seed (co_members_t *members, el_time_t now)
 {
-  el_str_t rest = el_str_after (members->seeds, members->seed_at);
+  el_str_t rest = el_str_after (members->seeds, members->seed_offset);
   el_str_t address = el_str_cut (&rest, ',');
 
   if (members->seeds.len == 0)
     return;
-  members->seed_at = rest.len ? members->seeds.len - rest.len : 0;
+  members->seed_offset = rest.len ? members->seeds.len - rest.len : 0;
   if (address.len && !address_is_live (members, address))
     probe_add (members, now, NULL, address);
 }
@@ -115,20 +117,21 @@
   free (probe);
 }
 
-/* Neither it nor others reached the member. */
+/* Neither the direct nor the indirect probe was answered. */
 static void
 probe_failed (co_members_t *members, el_time_t now, mbr_probe_t *probe)
 {
-  mbr_entry_t *entry
-      = probe->expects ? mbr_entry_find (members, &probe->incarnation) : NULL;
+  mbr_entry_t *entry = probe->has_incarnation
+                           ? mbr_entry_find (members, &probe->incarnation)
+                           : NULL;
 
   if (entry && entry->m.state == CO_MBR_ALIVE)
-    mbr_entry_state (members, now, entry, CO_MBR_SUSPECT);
+    mbr_entry_set_state (members, now, entry, CO_MBR_SUSPECT);
   probe_drop (members, probe);
 }
 
 static void
-probes_look (co_members_t *members, el_time_t now, int paused)
+probes_check (co_members_t *members, el_time_t now, int paused)
 {
   mbr_probe_t *probe;
   mbr_probe_t *next;
@@ -139,15 +142,15 @@
       probe_drop (members, probe);
     else if (now < probe->due)
       continue;
-    else if (probe->indirect || !probe->expects)
+    else if (probe->indirect || !probe->has_incarnation)
       probe_failed (members, now, probe);
     else
       probe_indirect (members, now, probe);
   }
 }
 
-/** An answer to probe ID, direct or by way of another host, or none (OK is
-    0). */
+/** Handle the outcome of probe ID: an answer, direct or by way of another
+    host, or no answer (OK is 0). */
 void
 co_members_answer (co_members_t *members, el_time_t now, uint64_t id, int ok,
                    const co_gossip_t *gossip)
@@ -162,19 +165,20 @@
     break;
   if (!probe || !ok)
     return;
-  entry
-      = probe->expects ? mbr_entry_find (members, &probe->incarnation) : NULL;
+  entry = probe->has_incarnation
+              ? mbr_entry_find (members, &probe->incarnation)
+              : NULL;
   if (entry
       && !co_incarnation_eq (&gossip->self.incarnation, &probe->incarnation)
       && el_str_eq (gossip->self.peer, probe->address) && mbr_is_live (entry))
-    mbr_entry_state (members, now, entry, CO_MBR_DEAD);
+    mbr_entry_set_state (members, now, entry, CO_MBR_DEAD);
   probe_drop (members, probe);
 }
 
-/* After a pause the suspects get their whole time again: what they said
-   meanwhile is still on its way in. */
+/* After a pause, restart the timeouts of suspects: their refutations from that
+   time may not have been read yet. */
 static void
-suspects_wait (co_members_t *members, el_time_t now)
+suspects_restart (co_members_t *members, el_time_t now)
 {
   mbr_entry_t *entry;
   mbr_entry_t *next;
@@ -182,27 +186,29 @@
   HASH_ITER (hh, members->entries, entry, next)
   if (entry->m.state == CO_MBR_SUSPECT)
     el_timers_set (&members->timers, &entry->timer,
-                   now + mbr_suspect_time (members));
+                   now + mbr_suspect_timeout (members));
 }
 
-/* All seeds, once: the first of them may be down. */
+/* Probe all seeds once, as the first of them may be down. */
 static void
 probe_all_seeds (co_members_t *members, el_time_t now)
 {
   do
     probe_seed (members, now);
-  while (members->seed_at);
+  while (members->seed_offset);
 }
 
-/* What a host does besides probing while it is young. */
+/* Request a full member list from time to time just after the start. */
 static void
-young_tick (co_members_t *members, const mbr_entry_t *other)
+startup_sync (co_members_t *members, const mbr_entry_t *other)
 {
-  if (other && members->options.sync && members->young++ % YOUNG_SYNC == 0)
+  if (other && members->options.sync
+      && members->startup_probes++ % STARTUP_SYNC_PROBES == 0)
     members->options.sync (members->options.arg, other->m.peer);
 }
 
-/** Look after probes and suspicions; call it when co_members_next says so. */
+/** Check probes and suspicions for timeouts and send the next probe; call it
+    at the time that co_members_next gives. */
 void
 co_members_tick (co_members_t *members, el_time_t now)
 {
@@ -213,22 +219,22 @@
   mbr_entry_t *entry;
 
   members->last_tick = now;
-  probes_look (members, now, paused);
+  probes_check (members, now, paused);
   if (paused)
-    suspects_wait (members, now);
+    suspects_restart (members, now);
   el_timers_run (&members->timers, now);
   if (now < members->next_period)
     return;
   if (first)
-    members->young_until = now + YOUNG_PERIODS * period;
+    members->startup_until = now + STARTUP_PERIODS * period;
   entry = probe_next (members);
-  if (now < members->young_until)
+  if (now < members->startup_until)
     {
-      period /= YOUNG_TIMES;
-      young_tick (members, entry);
+      period /= STARTUP_SPEEDUP;
+      startup_sync (members, entry);
     }
-  if (mbr_news_urgent (members))
-    period = members->options.period / URGENT_TIMES;
+  if (mbr_update_urgent (members))
+    period = members->options.period / URGENT_SPEEDUP;
   members->next_period = now + period;
   if (entry)
     probe_add (members, now, entry, entry->m.peer);
@@ -238,7 +244,7 @@
     probe_seed (members, now);
 }
 
-/** When co_members_tick wants to be called. */
+/** Return when to call co_members_tick. */
 el_time_t
 co_members_next (const co_members_t *members)
 {
@@ -253,17 +259,17 @@
   return due;
 }
 
-/** There are bad news: the next probe is not far off. */
+/** Send the next probe sooner, to carry an urgent update. */
 void
-mbr_probe_sooner (co_members_t *members, el_time_t now)
+mbr_probe_expedite (co_members_t *members, el_time_t now)
 {
-  el_time_t due = now + members->options.period / URGENT_TIMES;
+  el_time_t due = now + members->options.period / URGENT_SPEEDUP;
 
   if (due < members->next_period)
     members->next_period = due;
 }
 
-/* Forget all probes that are out. */
+/* Free all outstanding probes. */
 void
 mbr_probes_free (co_members_t *members)
 {
--- a/coord/rumor.c
+++ b/coord/rumor.c
@@ -3,27 +3,28 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Rumors: small facts that all hosts should know sooner than news of
- * membership spread. Each host passes on what is new to it, once, to a few
- * others chosen by chance; who missed some notices by the digest that probes
- * carry, and asks for all. Bounded: the rumors that end first give way.
+ * Rumors: short messages that spread to all hosts faster than membership
+ * updates do. Each host forwards a rumor that is new to it once, to a few
+ * others chosen at random. A host that missed one notices a different digest
+ * on a probe and requests all rumors. The number of rumors is bounded: the one
+ * that expires first is evicted.
  */
 #include <string.h>
 
 #include "coord.h"
 #include "map.h"
 
-/* Digests differ for a moment while a rumor spreads. */
-#define STRANGE_AFTER (300 * EL_MSEC)
-/* Asking others for all that they know: soon again after an answer that held
-   news, later each time after one that did not. */
-#define ASK_FIRST (500 * EL_MSEC)
-#define ASK_MOST (32 * EL_SEC)
+/* Digests differ for a short time while a rumor spreads. */
+#define DIGEST_SETTLE (300 * EL_MSEC)
+/* Time between requests for all rumors: reset after an answer with new rumors,
+   doubled after each answer without any. */
+#define SYNC_RETRY_MIN (500 * EL_MSEC)
+#define SYNC_RETRY_MAX (32 * EL_SEC)
 
 typedef struct rumor
 {
   co_rumor_t r;
-  int fresh; /* to be passed on */
+  int unsent; /* not sent yet */
   struct rumor *prev;
   struct rumor *next;
   UT_hash_handle hh;
@@ -33,16 +34,16 @@
 {
   co_rumors_options_t options;
   rumor_t *by_id;
-  rumor_t *list; /* as they came */
+  rumor_t *list; /* in order of arrival */
   uint64_t digest;
   el_time_t changed;
-  el_time_t due; /* fresh ones are passed on; EL_TIME_NEVER: there are none */
-  el_time_t ask_due;
-  el_time_t ask_wait;
+  el_time_t due; /* time to send new ones, or EL_TIME_NEVER */
+  el_time_t sync_due;
+  el_time_t sync_backoff;
 };
 
 static uint64_t
-rumor_digest (uint64_t id)
+rumor_hash (uint64_t id)
 {
   uint64_t z = id * 0x9e3779b97f4a7c15ULL;
 
@@ -50,7 +51,7 @@
   return z ^ (z >> 27);
 }
 
-/** A host that knows none. */
+/** Create an empty set of rumors. */
 co_rumors_t *
 co_rumors_new (const co_rumors_options_t *options)
 {
@@ -64,7 +65,7 @@
 static void
 rumor_drop (co_rumors_t *rumors, rumor_t *rumor)
 {
-  rumors->digest ^= rumor_digest (rumor->r.id);
+  rumors->digest ^= rumor_hash (rumor->r.id);
   DL_DELETE (rumors->list, rumor);
   HASH_DEL (rumors->by_id, rumor);
   el_str_free (&rumor->r.body);
@@ -80,7 +81,7 @@
 }
 
 static void
-room_make (co_rumors_t *rumors)
+evict_if_full (co_rumors_t *rumors)
 {
   rumor_t *first = rumors->list;
   rumor_t *rumor;
@@ -93,7 +94,7 @@
   rumor_drop (rumors, first);
 }
 
-/* Keep a rumor that is new here; NULL when it is known or over. */
+/* Add a rumor; NULL when it is known, expired or too long. */
 static rumor_t *
 rumor_add (co_rumors_t *rumors, el_time_t now, const co_rumor_t *from)
 {
@@ -102,28 +103,28 @@
   HASH_FIND (hh, rumors->by_id, &from->id, sizeof from->id, rumor);
   if (rumor || from->until <= now || from->body.len > CO_RUMOR_BODY_MAX)
     return NULL;
-  room_make (rumors);
+  evict_if_full (rumors);
   rumor = el_alloc (sizeof *rumor);
   rumor->r = *from;
   rumor->r.body = el_str_dup (from->body);
-  rumor->fresh = 1;
+  rumor->unsent = 1;
   HASH_ADD (hh, rumors->by_id, r.id, sizeof rumor->r.id, rumor);
   DL_APPEND (rumors->list, rumor);
-  rumors->digest ^= rumor_digest (from->id);
+  rumors->digest ^= rumor_hash (from->id);
   rumors->changed = now;
   if (rumors->due == EL_TIME_NEVER)
     rumors->due = now + rumors->options.gather;
   return rumor;
 }
 
-/** All hosts should know of RUMOR, which is copied. */
+/** Spread RUMOR to all hosts; it is copied. */
 void
 co_rumors_tell (co_rumors_t *rumors, el_time_t now, const co_rumor_t *rumor)
 {
   rumor_add (rumors, now, rumor);
 }
 
-/** Another host told of RUMOR; gives 0 when it was known. */
+/** Handle RUMOR from another host; returns 0 when it was not added. */
 int
 co_rumors_hear (co_rumors_t *rumors, el_time_t now, const co_rumor_t *rumor)
 {
@@ -134,7 +135,7 @@
   return added != NULL;
 }
 
-/* Pass on what is new, as much in a message as a datagram holds. */
+/* Send the new rumors in batches that fit a datagram. */
 static void
 rumors_send (co_rumors_t *rumors)
 {
@@ -145,9 +146,9 @@
 
   DL_FOREACH (rumors->list, rumor)
   {
-    if (!rumor->fresh)
+    if (!rumor->unsent)
       continue;
-    rumor->fresh = 0;
+    rumor->unsent = 0;
     if (n == CO_RUMORS_BATCH
         || (n && bytes + rumor->r.body.len > CO_RUMORS_BYTES))
       {
@@ -162,7 +163,8 @@
     rumors->options.send (rumors->options.arg, batch, n);
 }
 
-/** Pass on and forget what is due; call it when co_rumors_next says so. */
+/** Send new rumors and drop expired ones; call it at the time that
+    co_rumors_next gives. */
 void
 co_rumors_tick (co_rumors_t *rumors, el_time_t now)
 {
@@ -179,48 +181,49 @@
     rumor_drop (rumors, rumor);
 }
 
-/** When co_rumors_tick wants to be called. */
+/** Return when to call co_rumors_tick to send new rumors. */
 el_time_t
 co_rumors_next (const co_rumors_t *rumors)
 {
   return rumors->due;
 }
 
-/** Names the set of rumors that this host knows. */
+/** Return a digest of the set of rumors that this host knows. */
 uint64_t
 co_rumors_digest (const co_rumors_t *rumors)
 {
   return rumors->digest;
 }
 
-/** Another host knows the rumors that DIGEST names: whether to ask it for all
-    of them. */
+/** Compare with the DIGEST of another host's rumors; returns whether to
+    request all of them from it. */
 int
 co_rumors_behind (co_rumors_t *rumors, el_time_t now, uint64_t digest)
 {
   if (digest == rumors->digest)
     {
-      rumors->ask_wait = 0;
+      rumors->sync_backoff = 0;
       return 0;
     }
-  if (now < rumors->changed + STRANGE_AFTER || now < rumors->ask_due)
+  if (now < rumors->changed + DIGEST_SETTLE || now < rumors->sync_due)
     return 0;
-  rumors->ask_wait = rumors->ask_wait ? 2 * rumors->ask_wait : ASK_FIRST;
-  if (rumors->ask_wait > ASK_MOST)
-    rumors->ask_wait = ASK_MOST;
-  rumors->ask_due = now + rumors->ask_wait;
+  rumors->sync_backoff
+      = rumors->sync_backoff ? 2 * rumors->sync_backoff : SYNC_RETRY_MIN;
+  if (rumors->sync_backoff > SYNC_RETRY_MAX)
+    rumors->sync_backoff = SYNC_RETRY_MAX;
+  rumors->sync_due = now + rumors->sync_backoff;
   return 1;
 }
 
-/** What another host was asked for came; NEWS of it were new. */
+/** Record the answer to a request for all rumors, ADDED of which were new. */
 void
-co_rumors_asked (co_rumors_t *rumors, size_t news)
+co_rumors_asked (co_rumors_t *rumors, size_t added)
 {
-  if (news)
-    rumors->ask_wait = 0;
+  if (added)
+    rumors->sync_backoff = 0;
 }
 
-/** Visit all rumors, the newest last. */
+/** Visit all rumors in order of arrival. */
 void
 co_rumors_visit (const co_rumors_t *rumors, co_rumor_visit_cb visit, void *arg)
 {
--- a/coord/token.c
+++ b/coord/token.c
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Incarnations and session tokens. A token is the text
- * v1~HTTP~PEER~INCARNATION~SESSION~CUSTOMER~MAC; no field may hold a '~'.
+ * Incarnations and session tokens. A token has the form
+ * v1~HTTP~PEER~INCARNATION~SESSION~CUSTOMER~MAC; no field may contain '~'.
  */
 #include <inttypes.h>
 #include <string.h>
@@ -84,14 +84,14 @@
         data.len, out, NULL);
 }
 
-/** Compare two codes in a time that does not tell where they differ. */
+/** Compare two authentication codes in constant time. */
 int
 co_mac_eq (const unsigned char *a, const unsigned char *b)
 {
   return CRYPTO_memcmp (a, b, CO_MAC_BYTES) == 0;
 }
 
-/** Append the text of TOKEN, authenticated under KEY, to OUT. */
+/** Append the text of TOKEN, authenticated with KEY, to OUT. */
 void
 co_token_write (el_buf_t *out, const co_token_t *token, el_str_t key)
 {
@@ -110,8 +110,8 @@
   el_buf_add (out, el_str (hex));
 }
 
-/** Read and check a token; its strings point into TEXT. EL_DENIED when the
-    code does not fit, EL_INVALID when it is no token. */
+/** Parse and verify a token; its strings point into TEXT. EL_DENIED when the
+    authentication code does not match, EL_INVALID when TEXT is malformed. */
 el_status_t
 co_token_read (el_str_t text, el_str_t key, co_token_t *out, el_err_t *err)
 {
@@ -140,7 +140,7 @@
   return EL_OK;
 }
 
-/** The session that a token is for. */
+/** Return the key of a token's session. */
 co_session_t
 co_token_session (const co_token_t *token)
 {
