--- a/base/base.h
+++ b/base/base.h
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Parts that every package uses: counted strings, random numbers, status and
- * verdict types, the timer service, counters, logs and settings.
+ * Common code of all packages: counted strings, random numbers, status and
+ * verdict types, timers, metrics, logs and settings.
  */
 #ifndef ELMARCH_BASE_H
 #define ELMARCH_BASE_H
@@ -14,22 +14,22 @@
 
 /* Counted strings. */
 
-/** Bytes that the holder does not own; need not end in NUL. */
+/** A byte string that does not own its memory; it need not end in NUL. */
 typedef struct el_str
 {
   const char *ptr; /**< first byte, NULL when len is 0 */
   size_t len;      /**< bytes */
 } el_str_t;
 
-/** A growing byte buffer that its holder owns. */
+/** A growable byte buffer that owns its memory. */
 typedef struct el_buf
 {
-  char *ptr;  /**< first byte, kept NUL terminated when not NULL */
+  char *ptr;  /**< first byte; NUL-terminated unless NULL */
   size_t len; /**< bytes in use */
   size_t cap; /**< bytes allocated */
 } el_buf_t;
 
-/** The counted string of a literal. */
+/** A counted string from a string literal. */
 #define EL_STR(lit) ((el_str_t){ (lit), sizeof (lit) - 1 })
 
 el_str_t el_str (const char *cstr);
@@ -56,24 +56,24 @@
 
 uint64_t el_random (uint64_t *state);
 
-/* Status: whether a call of this code worked, and why not. */
+/* Status: whether a function call succeeded, and why not. */
 
 typedef enum el_status
 {
   EL_OK = 0,
-  EL_INVALID,   /**< input breaks a rule that the message names */
+  EL_INVALID,   /**< the input breaks a rule that the message names */
   EL_NOT_FOUND, /**< no such object */
-  EL_CONFLICT,  /**< another change came first */
-  EL_LIMIT,     /**< a bound would be passed */
-  EL_DENIED,    /**< the asker did not prove who it is */
-  EL_AWAY,      /**< the other side can't be reached */
-  EL_SYSTEM     /**< the operating system refused */
+  EL_CONFLICT,  /**< conflicts with an earlier change or the state */
+  EL_LIMIT,     /**< a limit would be exceeded */
+  EL_DENIED,    /**< not authenticated */
+  EL_AWAY,      /**< the remote side is unreachable */
+  EL_SYSTEM     /**< the operating system reported an error */
 } el_status_t;
 
-/** Longest message of an error, in bytes with the final NUL. */
+/** Maximum length of an error message, with the final NUL. */
 #define EL_ERR_MAX 256
 
-/** A status with its last message. */
+/** A status and its error message. */
 typedef struct el_err
 {
   el_status_t status;
@@ -86,42 +86,42 @@
 
 /* Verdict: whether a request may have run. */
 
-/** Zero is the cautious value, so that a forgotten verdict never claims that
-    a request did not run. */
+/** The zero value is the safe one: a verdict that was never set does not claim
+    that the request did not run. */
 typedef enum el_verdict
 {
-  EL_MAY_HAVE_RUN = 0, /**< it can't be told */
-  EL_NOT_RUN,          /**< proved: nothing that starts it was accepted */
-  EL_RAN               /**< proved: an answer came back */
+  EL_MAY_HAVE_RUN = 0, /**< unknown */
+  EL_NOT_RUN,          /**< proven: nothing that starts it was accepted */
+  EL_RAN               /**< proven: an answer arrived */
 } el_verdict_t;
 
 el_verdict_t el_verdict_join (el_verdict_t a, el_verdict_t b);
 const char *el_verdict_name (el_verdict_t verdict);
 int el_verdict_parse (el_str_t name, el_verdict_t *out);
 
-/* Timer service. */
+/* Timers. */
 
-/** Microseconds on a clock that never goes back. */
+/** Microseconds on a clock that never goes backward. */
 typedef uint64_t el_time_t;
 #define EL_TIME_NEVER UINT64_MAX
 #define EL_MSEC ((el_time_t)1000)
 #define EL_SEC ((el_time_t)1000000)
 
-int el_str_to_time (el_str_t s, el_time_t most, el_time_t *out);
+int el_str_to_time (el_str_t s, el_time_t max, el_time_t *out);
 
 typedef struct el_timer el_timer_t;
 typedef void (*el_timer_cb) (void *arg, el_time_t now);
 
-/** One subscription; its holder owns the memory. Zero it before first use. */
+/** A timer; the caller owns the memory. Zero it before first use. */
 struct el_timer
 {
-  el_time_t due;  /**< when it fires */
-  el_timer_cb cb; /**< what is called */
-  void *arg;      /**< handed to cb */
-  size_t slot;    /**< place in the heap plus one; 0 when not set */
+  el_time_t due;  /**< time at which it fires */
+  el_timer_cb cb; /**< called when it fires */
+  void *arg;      /**< passed to cb */
+  size_t slot;    /**< index in the heap plus one; 0 when not set */
 };
 
-/** A heap of subscriptions; owns no clock. */
+/** A heap of timers; it has no clock of its own. */
 typedef struct el_timers
 {
   el_timer_t **heap;
@@ -135,7 +135,7 @@
 void el_timers_run (el_timers_t *timers, el_time_t now);
 void el_timers_free (el_timers_t *timers);
 
-/* Counters. */
+/* Metrics. */
 
 typedef enum el_metric_kind
 {
@@ -144,7 +144,7 @@
   EL_HISTOGRAM
 } el_metric_kind_t;
 
-/** Buckets of a histogram: 4 to each doubling, over 64 bits. */
+/** Number of buckets of a histogram: 4 per power of two, for 64-bit values. */
 #define EL_HIST_BUCKETS 256
 
 typedef struct el_hist
@@ -154,7 +154,7 @@
   uint64_t sum;
 } el_hist_t;
 
-/** A named metric; the value lives with the part that counts. */
+/** A named metric; the value is owned by the code that updates it. */
 typedef struct el_metric
 {
   const char *name;
@@ -186,7 +186,7 @@
   EL_LOG_DEBUG
 } el_log_level_t;
 
-/** One field of a log line: a string, or a number when str.ptr is NULL. */
+/** A field of a log line: a string, or a number if is_num is set. */
 typedef struct el_field
 {
   const char *key;
@@ -218,16 +218,17 @@
 {
   EL_SET_STRING, /**< const char * */
   EL_SET_U64,    /**< uint64_t within min and max */
-  EL_SET_NUMBER, /**< double within min and max, with a fraction or without */
+  EL_SET_NUMBER, /**< double within min and max, may have a fraction */
   EL_SET_FLAG    /**< int */
 } el_set_kind_t;
 
-/** One row of a program's table of settings. */
+/** One entry of a program's table of settings. */
 typedef struct el_set
 {
-  const char *name; /**< flag without dashes; the variable is made from it */
+  const char *name; /**< name of the flag without dashes; the name of the
+                       environment variable is derived from it */
   el_set_kind_t kind;
-  size_t offset; /**< of the field in the program's struct */
+  size_t offset; /**< offset of the field in the program's struct */
   const char *def;
   uint64_t min;
   uint64_t max;
@@ -239,20 +240,21 @@
 typedef struct el_set_options
 {
   const char *program;
-  const char *env_prefix; /**< ELMARCHD makes ELMARCHD_LOG_LEVEL */
+  const char *env_prefix; /**< prefix of environment variables: with ELMARCHD,
+                             log-level is ELMARCHD_LOG_LEVEL */
   const char *usage;
   const el_set_t *table;
   size_t ntable;
 } el_set_options_t;
 
-/** Exit status for settings that break a rule. */
+/** Exit status for invalid settings. */
 #define EL_EXIT_USAGE 2
 
 typedef enum el_set_result
 {
-  EL_SET_RUN,     /**< go on */
+  EL_SET_RUN,     /**< continue */
   EL_SET_DONE,    /**< help or version was printed: exit with 0 */
-  EL_SET_REFUSED, /**< err says which setting and the range: exit with 2 */
+  EL_SET_REFUSED, /**< err names the setting and its range: exit with 2 */
 } el_set_result_t;
 
 el_set_result_t el_set_parse (const el_set_options_t *options, int argc,
--- a/base/counter.c
+++ b/base/counter.c
@@ -3,7 +3,8 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Counters and log-linear histograms, and their text form for scraping.
+ * Counters, gauges and log-linear histograms, and their text format for
+ * scraping.
  */
 #include <inttypes.h>
 #include <stdlib.h>
@@ -62,11 +63,11 @@
   hist->sum += value;
 }
 
-/** The upper bound of the bucket that holds quantile Q (0 to 1). */
+/** Return the upper bound of the bucket that holds quantile Q (0 to 1). */
 uint64_t
 el_hist_quantile (const el_hist_t *hist, double q)
 {
-  uint64_t want = (uint64_t)(q * (double)hist->count);
+  uint64_t rank = (uint64_t)(q * (double)hist->count);
   uint64_t seen = 0;
   unsigned i;
 
@@ -75,7 +76,7 @@
   for (i = 0; i < EL_HIST_BUCKETS; i++)
     {
       seen += hist->bucket[i];
-      if (seen > want || seen == hist->count)
+      if (seen > rank || seen == hist->count)
         return hist_bound (i);
     }
   return 0;
@@ -94,7 +95,7 @@
                  hist->sum, m->name, hist->count);
 }
 
-/** Write all metrics in the text format that scrapers read. */
+/** Write all metrics in the Prometheus text format. */
 void
 el_metrics_print (const el_metrics_t *metrics, el_buf_t *out)
 {
--- a/base/err.c
+++ b/base/err.c
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Status with its last message, and the verdict on a request.
+ * Status codes with their messages, and verdicts on requests.
  */
 #include <stdarg.h>
 #include <stdio.h>
@@ -27,14 +27,15 @@
   [EL_RAN] = "ran",
 };
 
-/* How far a verdict has risen: not run, may have run, ran. */
+/* Rank of the verdicts: not run, may have run, ran. */
 static const int verdict_rank[] = {
   [EL_NOT_RUN] = 0,
   [EL_MAY_HAVE_RUN] = 1,
   [EL_RAN] = 2,
 };
 
-/** Fill ERR, when given, and hand STATUS back. */
+/** Store STATUS and the message in ERR, unless it is NULL, and return
+    STATUS. */
 el_status_t
 el_err_set (el_err_t *err, el_status_t status, const char *fmt, ...)
 {
@@ -55,7 +56,7 @@
   return status_names[status];
 }
 
-/** The verdict on a request from those on two of its parts: the higher one. */
+/** Combine the verdicts on two parts of a request: the higher rank wins. */
 el_verdict_t
 el_verdict_join (el_verdict_t a, el_verdict_t b)
 {
@@ -68,7 +69,8 @@
   return verdict_names[verdict];
 }
 
-/** Read a verdict's name; gives 0, and the cautious value, on any other. */
+/** Parse the name of a verdict; on any other text, return 0 and store the safe
+    value EL_MAY_HAVE_RUN. */
 int
 el_verdict_parse (el_str_t name, el_verdict_t *out)
 {
--- a/base/log.c
+++ b/base/log.c
@@ -3,8 +3,9 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Logs through log4c: one line of key=value pairs for each event. Values are
- * quoted so that what a caller sends can't forge a line or a field.
+ * Logging through log4c: one line of key=value pairs per event. Values are
+ * quoted where needed, so that data from callers can't forge a line or a
+ * field.
  */
 #include <fcntl.h>
 #include <inttypes.h>
@@ -30,9 +31,9 @@
   [EL_LOG_DEBUG] = { "debug", LOG4C_PRIORITY_DEBUG },
 };
 
-/* Lines that a second may hold; more are dropped and counted, so that a storm
-   of events neither fills the disk nor takes the processor. */
-#define LINES_PER_S 5000
+/* Maximum number of lines per second. Further lines are dropped and counted,
+   so that a burst of events neither fills the disk nor saturates the CPU. */
+#define LINES_PER_SEC_MAX 5000
 
 static const char *log_layout (const log4c_layout_t *layout,
                                const log4c_logging_event_t *event);
@@ -46,17 +47,17 @@
 static const log4c_layout_type_t layout_type
     = { .name = "elmarch_kv", .format = log_layout };
 
-/* log4c keeps its categories for the whole process, so the handle to ours is
-   the one variable here that outlives a call. */
+/* log4c owns its categories for the life of the process, so this handle is a
+   global variable. */
 static log4c_category_t *category;
 static const char *program_name;
 
-/* What was written to standard output, which the process has one of. */
+/* State of standard output, of which the process has only one. */
 static struct
 {
-  long second; /* the one that lines are counted in */
+  long second; /* second for which lines are counted */
   unsigned lines;
-  int cut; /* the last line is not whole */
+  int partial; /* the last line was written in part */
   uint64_t dropped;
 } output;
 
@@ -104,20 +105,21 @@
   return 0;
 }
 
-/* Whether this second has room for a line. */
+/* Whether the limit of this second allows one more line. */
 static int
-log_room (long second)
+log_within_limit (long second)
 {
   if (second != output.second)
     {
       output.second = second;
       output.lines = 0;
     }
-  return output.lines++ < LINES_PER_S;
+  return output.lines++ < LINES_PER_SEC_MAX;
 }
 
-/* Standard output may be a pipe whose reader is slow: what it does not take at
-   once is dropped, and a line that was cut is ended before the next one. */
+/* Standard output may be a pipe with a slow reader: what can't be written at
+   once is dropped. A line that was written in part is terminated before the
+   next one. */
 static int
 log_append (log4c_appender_t *appender, const log4c_logging_event_t *event)
 {
@@ -125,29 +127,29 @@
   ssize_t n;
 
   (void)appender;
-  if (!log_room ((long)event->evt_timestamp.tv_sec))
+  if (!log_within_limit ((long)event->evt_timestamp.tv_sec))
     {
       output.dropped++;
       return 0;
     }
-  if (output.cut && write (STDOUT_FILENO, "\n", 1) == 1)
-    output.cut = 0;
+  if (output.partial && write (STDOUT_FILENO, "\n", 1) == 1)
+    output.partial = 0;
   n = write (STDOUT_FILENO, event->evt_rendered_msg, len);
   if (n != (ssize_t)len)
     output.dropped++;
   if (n > 0)
-    output.cut = n != (ssize_t)len;
+    output.partial = n != (ssize_t)len;
   return 0;
 }
 
-/** Lines that were not written, or not wholly. */
+/** Number of lines that were dropped or written only in part. */
 const uint64_t *
 el_log_dropped (void)
 {
   return &output.dropped;
 }
 
-/** Log to standard output from LEVEL up; gives 0 on success. */
+/** Log to standard output at LEVEL and above; returns 0 on success. */
 int
 el_log_open (const char *program, el_log_level_t level)
 {
@@ -209,7 +211,7 @@
   el_buf_add (out, EL_STR ("\""));
 }
 
-/** Write the event and its fields as they stand in a line. */
+/** Format an event and its fields as they appear in a log line. */
 void
 el_log_format (el_buf_t *out, const char *event, const el_field_t *fields,
                size_t nfields)
@@ -229,7 +231,7 @@
     }
 }
 
-/** Log one event; nothing is written before el_log_open. */
+/** Log an event; does nothing before el_log_open. */
 void
 el_log_event (el_log_level_t level, const char *event,
               const el_field_t *fields, size_t nfields)
--- a/base/map.h
+++ b/base/map.h
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * uthash with the project's hash function. Included by the files that keep
- * a hash table, in place of uthash.h.
+ * uthash with XXH3 as hash function. Included instead of uthash.h by files
+ * that use a hash table.
  */
 #ifndef ELMARCH_MAP_H
 #define ELMARCH_MAP_H
--- a/base/random.c
+++ b/base/random.c
@@ -3,13 +3,13 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Random numbers for choices that only have to differ between hosts; nothing
- * that must not be guessed may hang on them.
+ * Random numbers for choices that only need to differ between hosts. They are
+ * predictable and must not be used for secrets.
  */
 #include "base.h"
 
-/** The next number after STATE, which must not be 0 (xorshift64, by George
-    Marsaglia). */
+/** Return the next number after STATE, which must not be 0 (xorshift64 by
+    George Marsaglia). */
 uint64_t
 el_random (uint64_t *state)
 {
--- a/base/settings.c
+++ b/base/settings.c
@@ -3,8 +3,9 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Settings from flags and environment variables, by one table: popt reads
- * the flags, a variable of the same name stands in for one not given.
+ * Settings from flags and environment variables, driven by a table: popt
+ * parses the flags; an environment variable is used where the flag is not
+ * given.
  */
 #include <inttypes.h>
 #include <stdio.h>
@@ -39,64 +40,65 @@
 }
 
 static el_status_t
-set_string (const el_set_t *set, const char *text, const char **field,
+set_string (const el_set_t *setting, const char *text, const char **field,
             el_err_t *err)
 {
   size_t len = strlen (text);
 
-  if (len < set->min || (set->max && len > set->max))
+  if (len < setting->min || (setting->max && len > setting->max))
     return el_err_set (err, EL_INVALID,
                        "--%s: takes %" PRIu64 " to %" PRIu64
                        " characters, not %zu",
-                       set->name, set->min, set->max, len);
+                       setting->name, setting->min, setting->max, len);
   el_str_free (&(el_str_t){ *field, 0 });
   *field = el_str_dup (el_str (text)).ptr;
   return EL_OK;
 }
 
 static el_status_t
-set_number (const el_set_t *set, const char *text, double *field,
+set_number (const el_set_t *setting, const char *text, double *field,
             el_err_t *err)
 {
   char *end;
   double number = strtod (text, &end);
 
-  if (*text == '\0' || *end || !(number >= (double)set->min)
-      || !(number <= (double)set->max))
+  if (*text == '\0' || *end || !(number >= (double)setting->min)
+      || !(number <= (double)setting->max))
     return el_err_set (err, EL_INVALID,
                        "--%s: takes a number from %" PRIu64 " to %" PRIu64
                        ", not '%.64s'",
-                       set->name, set->min, set->max, text);
+                       setting->name, setting->min, setting->max, text);
   *field = number;
   return EL_OK;
 }
 
 static el_status_t
-set_value (const el_set_t *set, const char *text, void *out, el_err_t *err)
+set_value (const el_set_t *setting, const char *text, void *out, el_err_t *err)
 {
-  void *field = (char *)out + set->offset;
+  void *field = (char *)out + setting->offset;
   uint64_t number;
 
-  if (set->kind == EL_SET_STRING)
-    return set_string (set, text, field, err);
-  if (set->kind == EL_SET_NUMBER)
-    return set_number (set, text, field, err);
-  if (!el_str_to_u64 (el_str (text), &number) || number < set->min
-      || number > set->max)
+  if (setting->kind == EL_SET_STRING)
+    return set_string (setting, text, field, err);
+  if (setting->kind == EL_SET_NUMBER)
+    return set_number (setting, text, field, err);
+  if (!el_str_to_u64 (el_str (text), &number) || number < setting->min
+      || number > setting->max)
     return el_err_set (err, EL_INVALID,
                        "--%s: takes a whole number from %" PRIu64
                        " to %" PRIu64 ", not '%.64s'",
-                       set->name, set->min, set->max, text);
-  if (set->kind == EL_SET_FLAG)
+                       setting->name, setting->min, setting->max, text);
+  if (setting->kind == EL_SET_FLAG)
     *(int *)field = (int)number;
   else
     *(uint64_t *)field = number;
   return EL_OK;
 }
 
-/* Defaults and variables first, so that a flag overrides them. */
+/* Defaults and environment variables are applied first, so that a flag
+   overrides them. */
 static el_status_t
-set_defaults (const el_set_options_t *options, void *out, el_err_t *err)
+apply_defaults (const el_set_options_t *options, void *out, el_err_t *err)
 {
   char name[ENV_NAME_MAX];
   const char *text;
@@ -116,20 +118,21 @@
 }
 
 static el_status_t
-set_required (const el_set_options_t *options, const void *out, el_err_t *err)
+check_required (const el_set_options_t *options, const void *out,
+                el_err_t *err)
 {
-  const el_set_t *set;
+  const el_set_t *setting;
   size_t i;
 
   for (i = 0; i < options->ntable; i++)
     {
-      set = &options->table[i];
-      if (!set->required || set->kind != EL_SET_STRING)
+      setting = &options->table[i];
+      if (!setting->required || setting->kind != EL_SET_STRING)
         continue;
       if (!*(const char *const *)(const void *)((const char *)out
-                                                + set->offset))
-        return el_err_set (err, EL_INVALID, "--%s: is required: %s", set->name,
-                           set->help);
+                                                + setting->offset))
+        return el_err_set (err, EL_INVALID, "--%s: is required: %s",
+                           setting->name, setting->help);
     }
   return EL_OK;
 }
@@ -149,22 +152,22 @@
   };
   for (i = 0; i < options->ntable; i++)
     {
-      const el_set_t *set = &options->table[i];
-
-      table[i + 2]
-          = (struct poptOption){ set->name,
-                                 '\0',
-                                 set->kind == EL_SET_FLAG ? POPT_ARG_NONE
-                                                          : POPT_ARG_STRING,
-                                 NULL,
-                                 (int)i + OPT_FIRST,
-                                 set->help,
-                                 set->arg };
+      const el_set_t *setting = &options->table[i];
+
+      table[i + 2] = (struct poptOption){ setting->name,
+                                          '\0',
+                                          setting->kind == EL_SET_FLAG
+                                              ? POPT_ARG_NONE
+                                              : POPT_ARG_STRING,
+                                          NULL,
+                                          (int)i + OPT_FIRST,
+                                          setting->help,
+                                          setting->arg };
     }
   return table;
 }
 
-/** Free the strings that el_set_parse put into OUT. */
+/** Free the strings that el_set_parse stored in OUT. */
 void
 el_set_free (const el_set_options_t *options, void *out)
 {
@@ -180,9 +183,9 @@
       }
 }
 
-/** Read flags and variables into OUT, a zeroed struct that the table
-    describes; el_set_free releases it, also after a refusal. REST, when given,
-    receives the arguments that are no flags, NULL terminated. */
+/** Parse flags and environment variables into OUT, a zeroed struct that the
+    table describes. Release it with el_set_free, also after a failure. REST,
+    unless NULL, receives the remaining arguments, terminated by NULL. */
 el_set_result_t
 el_set_parse (const el_set_options_t *options, int argc, const char **argv,
               void *out, const char ***rest, el_err_t *err)
@@ -196,7 +199,7 @@
   int opt;
 
   poptSetOtherOptionHelp (context, options->usage);
-  if (set_defaults (options, out, err))
+  if (apply_defaults (options, out, err))
     result = EL_SET_REFUSED;
   while (result == EL_SET_RUN && (opt = poptGetNextOpt (context)) != -1)
     {
@@ -227,7 +230,7 @@
           free (text);
         }
     }
-  if (result == EL_SET_RUN && set_required (options, out, err))
+  if (result == EL_SET_RUN && check_required (options, out, err))
     result = EL_SET_REFUSED;
   if (rest)
     {
--- a/base/str.c
+++ b/base/str.c
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Counted strings and growing buffers.
+ * Counted strings and growable buffers.
  */
 #include <errno.h>
 #include <stdarg.h>
@@ -19,7 +19,7 @@
 #define U64_DIGITS_MAX 20
 #define DECIMAL 10
 
-/** Allocate zeroed memory; a process without memory can only end. */
+/** Allocate zeroed memory; aborts when out of memory. */
 void *
 el_alloc (size_t size)
 {
@@ -30,7 +30,8 @@
   return ptr;
 }
 
-/** Resize an array to COUNT items of SIZE bytes each. */
+/** Resize an array to COUNT items of SIZE bytes each; aborts when out of
+    memory. */
 void *
 el_grow (void *ptr, size_t count, size_t size)
 {
@@ -41,7 +42,7 @@
   return grown;
 }
 
-/** The counted string of a C string; NULL gives the empty one. */
+/** Make a counted string of a C string; NULL gives the empty string. */
 el_str_t
 el_str (const char *cstr)
 {
@@ -61,14 +62,15 @@
          && el_str_eq ((el_str_t){ s.ptr, prefix.len }, prefix);
 }
 
-/** What follows the first N bytes; N is at most the length. */
+/** Return S without its first N bytes; N is at most the length. */
 el_str_t
 el_str_after (el_str_t s, size_t n)
 {
   return (el_str_t){ s.ptr + n, s.len - n };
 }
 
-/** Cut the part before SEP off REST; without SEP it is all of REST. */
+/** Return the part of REST before SEP, and remove it and SEP from REST;
+    without SEP, all of REST is returned. */
 el_str_t
 el_str_cut (el_str_t *rest, char sep)
 {
@@ -85,7 +87,7 @@
   return part;
 }
 
-/** Read a decimal number; gives 0 when S is anything else. */
+/** Parse a decimal number; returns 0 when S is not one. */
 int
 el_str_to_u64 (el_str_t s, uint64_t *out)
 {
@@ -101,10 +103,10 @@
   return errno == 0 && *end == '\0';
 }
 
-/** Read seconds, fractions too: digits, and digits behind a point; what passes
-    MOST is cut to it. Gives 0 when S is anything else. */
+/** Parse a number of seconds, with an optional decimal fraction; a value above
+    MAX is reduced to it. Returns 0 when S is not such a number. */
 int
-el_str_to_time (el_str_t s, el_time_t most, el_time_t *out)
+el_str_to_time (el_str_t s, el_time_t max, el_time_t *out)
 {
   el_time_t unit = EL_SEC;
   int point = 0;
@@ -125,8 +127,8 @@
       if (point)
         unit /= 10;
       *out = point ? *out + digit * unit : *out * 10 + digit * EL_SEC;
-      if (*out > most)
-        *out = most;
+      if (*out > max)
+        *out = max;
     }
   return s.len > 0;
 }
@@ -137,7 +139,7 @@
   return XXH3_64bits (s.ptr, s.len);
 }
 
-/** A copy that the caller frees with el_str_free; NUL terminated. */
+/** Return a NUL-terminated copy; free it with el_str_free. */
 el_str_t
 el_str_dup (el_str_t s)
 {
@@ -196,7 +198,7 @@
   buf->len += (size_t)len;
 }
 
-/** Empty the buffer and keep its memory. */
+/** Empty the buffer but keep its memory. */
 void
 el_buf_reset (el_buf_t *buf)
 {
--- a/base/timer.c
+++ b/base/timer.c
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * The timer service: a binary heap of subscriptions. The holder of the clock
- * asks when the next is due and calls el_timers_run then.
+ * Timers in a binary heap. The owner of the clock asks when the next timer is
+ * due and calls el_timers_run then.
  */
 #include <stdlib.h>
 
@@ -49,7 +49,7 @@
   heap_put (timers, i, timer);
 }
 
-/** Subscribe TIMER, or move it, to fire once at DUE. */
+/** Set TIMER, or move it, to fire once at DUE. */
 void
 el_timers_set (el_timers_t *timers, el_timer_t *timer, el_time_t due)
 {
@@ -81,14 +81,14 @@
   heap_down (timers, last->slot - 1);
 }
 
-/** When the next timer is due, or EL_TIME_NEVER. */
+/** Return when the next timer is due, or EL_TIME_NEVER. */
 el_time_t
 el_timers_next (const el_timers_t *timers)
 {
   return timers->len ? timers->heap[0]->due : EL_TIME_NEVER;
 }
 
-/** Fire all that is due at NOW. */
+/** Fire all timers that are due at NOW. */
 void
 el_timers_run (el_timers_t *timers, el_time_t now)
 {
