--- a/net/clock.c
+++ b/net/clock.c
@@ -3,17 +3,17 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * The process's clock, and addresses as settings write them.
+ * The process's clock, and parsing of ip:port addresses.
  *
- * One clock is right wherever a time is compared: the one since boot, which
- * goes on while the host is suspended and never goes back. What is bounded by
- * a time is bounded for others too, who don't sleep meanwhile: leases of
- * duties, the age of the rules and of keys, deadlines of callers, news of
- * endpoints and of hosts, evidence about requests and how long they are
- * blocked. The steady clock of libuv stands still in a suspension: a lease of
- * 2 s that was held for 1 s before one of 5 s would be believed for 1 s more.
- * The time of day jumps, and only stands in logs. Where endpoints tell a time
- * of theirs (born) it is compared with another one of the same endpoint alone.
+ * All times that are compared come from the clock since boot, which advances
+ * while the host is suspended and never goes backward. Time limits also bind
+ * other hosts, which are not suspended with this one: leases of duties, the
+ * age of the rules and of keys, callers' deadlines, news of endpoints and of
+ * hosts, evidence about requests and how long they are blocked. libuv's
+ * monotonic clock stops during a suspension: a lease of 2 s that was held for
+ * 1 s before a suspension of 5 s would be considered valid for 1 s more. The
+ * wall clock jumps and is used in logs only. Times that endpoints report of
+ * themselves (born) are only compared with other times of the same endpoint.
  */
 #include <arpa/inet.h>
 #include <string.h>
@@ -23,8 +23,9 @@
 
 #define NSEC_PER_USEC 1000
 #define USEC_PER_MSEC 1000
-/* libuv's timer counts on the steady clock, and is set anew whenever a timer
-   of the service is; one that rests longer than this is looked at again. */
+/* libuv's timer runs on its monotonic clock and is set again whenever a timer
+   here is. A longer wait is cut to this, so that a timer fires at most this
+   late after a suspension. */
 #define DRIVER_MAX_MS 1000
 
 static void
@@ -48,7 +49,8 @@
   clock->driver.data = clock;
 }
 
-/** Now, in microseconds since the host was booted, suspensions included. */
+/** Return the time in microseconds since the host was booted, including
+    suspensions. */
 el_time_t
 net_clock_now (const net_clock_t *clock)
 {
@@ -60,7 +62,7 @@
          + (el_time_t)now.tv_nsec / NSEC_PER_USEC;
 }
 
-/** Set libuv's timer to what is due next. */
+/** Set libuv's timer to the next due time. */
 void
 net_clock_arm (net_clock_t *clock)
 {
@@ -82,7 +84,7 @@
   uv_timer_start (&clock->driver, clock_fire, wait, 0);
 }
 
-/** Have TIMER fire after WAIT microseconds. */
+/** Set TIMER to fire after WAIT microseconds. */
 void
 net_clock_set (net_clock_t *clock, el_timer_t *timer, el_time_t wait)
 {
@@ -96,7 +98,7 @@
   el_timers_cancel (&clock->timers, timer);
 }
 
-/** Read ip:port; gives 0 when TEXT is anything else. */
+/** Parse ip:port; returns 0 when TEXT is anything else. */
 int
 net_address_parse (el_str_t text, struct sockaddr_in *out)
 {
@@ -116,7 +118,7 @@
   return inet_pton (AF_INET, ip, &out->sin_addr) == 1;
 }
 
-/** Whether ADDRESS is ip:port. */
+/** Return whether ADDRESS is ip:port. */
 int
 net_address_valid (el_str_t address)
 {
--- a/net/http_client.c
+++ b/net/http_client.c
@@ -3,22 +3,24 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * The HTTP/1.1 client's requests: each goes out once, on a connection that
- * rested or on a new one, and ends with one result. It never sends a request
- * twice, and tells a connection that was not made from one that broke and
- * from one that ended.
+ * Requests of the HTTP/1.1 client. Each is sent once, on an idle or a new
+ * connection, and ends with one result. The client never resends a request,
+ * and it distinguishes a connection that was not established from one that
+ * broke and from one that was closed cleanly.
  */
 #include <stdlib.h>
 #include <string.h>
 
 #include "libnet.h"
 
-/* Bytes of body that are collected when the sender names no bound. */
-#define ANSWER_MAX ((size_t)16 << 20)
-/* A timer that fires later than this was held up with the process. */
-#define LATE (5 * EL_MSEC)
+/* Maximum size of a response's body, in bytes, when the caller sets no
+   limit. */
+#define RESPONSE_MAX_DEFAULT ((size_t)16 << 20)
+/* A timer that fires later than this was delayed because the process was
+   stalled. */
+#define TIMER_SLACK (5 * EL_MSEC)
 
-/** A client without connections; it lives as long as the process. */
+/** Create a client; it lives as long as the process. */
 net_client_t *
 net_client_new (net_clock_t *clock)
 {
@@ -28,7 +30,7 @@
   return client;
 }
 
-/** What the client counted so far. */
+/** Return the client's counters. */
 const net_client_counts_t *
 net_client_counts (const net_client_t *client)
 {
@@ -37,7 +39,7 @@
 
 /* Exchanges. */
 
-/** Forget the headers taken so far. */
+/** Free the headers received so far. */
 void
 net_exchange_clear_headers (net_exchange_t *ex)
 {
@@ -66,7 +68,7 @@
   free (ex);
 }
 
-/** End an exchange; its connection is either closed or already idle. */
+/** End an exchange; its connection must be closed or idle. */
 void
 net_exchange_end (net_exchange_t *ex, net_outcome_t net)
 {
@@ -83,7 +85,7 @@
   exchange_free (ex);
 }
 
-/** End an exchange and the connection that it has, if any. */
+/** End an exchange and close its connection, if any. */
 void
 net_exchange_fail (net_exchange_t *ex, net_outcome_t net)
 {
@@ -95,34 +97,34 @@
   net_exchange_end (ex, net);
 }
 
-/* A process that was held up runs its timers before it reads what came
-   meanwhile: the answer may be there. */
+/* After a stall, timers run before incoming data is read: the response may
+   have arrived already. The exchange is given a little more time, once. */
 static void
 exchange_timeout (void *arg, el_time_t now)
 {
   net_exchange_t *ex = arg;
 
-  if (now > ex->timer.due + LATE && !ex->late)
+  if (now > ex->timer.due + TIMER_SLACK && !ex->stalled)
     {
-      ex->late = 1;
-      net_clock_set (ex->client->clock, &ex->timer, LATE);
+      ex->stalled = 1;
+      net_clock_set (ex->client->clock, &ex->timer, TIMER_SLACK);
       return;
     }
   net_exchange_fail (ex, NET_TIMEOUT);
 }
 
 static void
-exchange_refused (void *arg, el_time_t now)
+exchange_connect_failed (void *arg, el_time_t now)
 {
   (void)now;
   net_exchange_fail (arg, NET_CONNECT);
 }
 
-/** Fail an exchange as not connected, once its sender has returned. */
+/** Fail an exchange with NET_CONNECT, after net_client_send has returned. */
 void
-net_exchange_refuse (net_exchange_t *ex)
+net_exchange_fail_connect (net_exchange_t *ex)
 {
-  ex->timer.cb = exchange_refused;
+  ex->timer.cb = exchange_connect_failed;
   net_clock_set (ex->client->clock, &ex->timer, 0);
 }
 
@@ -147,7 +149,8 @@
   return pool;
 }
 
-/* The connection used last, unless it rested too long for this request. */
+/* Take the most recently used idle connection, unless it was idle too long for
+   this request. */
 static net_conn_t *
 pool_take (net_pool_t *pool, const net_send_t *send, el_time_t now)
 {
@@ -158,7 +161,7 @@
   if (send->max_idle && now - conn->idle_since > send->max_idle)
     return NULL;
   DL_DELETE (pool->idle, conn);
-  conn->resting = 0;
+  conn->pooled = 0;
   net_clock_cancel (conn->client->clock, &conn->idle);
   return conn;
 }
@@ -186,7 +189,7 @@
   el_buf_add (out, send->body);
 }
 
-/** Send one request. */
+/** Send a request. */
 net_exchange_t *
 net_client_send (net_client_t *client, const net_send_t *send)
 {
@@ -202,7 +205,7 @@
   ex->piece = send->piece;
   ex->drop = send->drop;
   ex->arg = send->arg;
-  ex->max_answer = send->max_answer ? send->max_answer : ANSWER_MAX;
+  ex->max_answer = send->max_answer ? send->max_answer : RESPONSE_MAX_DEFAULT;
   ex->is_head = el_str_eq (send->method, EL_STR ("HEAD"));
   request_write (&ex->request, send);
   ex->timer.arg = ex;
@@ -210,7 +213,7 @@
   client->counts.requests++;
   if (!pool)
     {
-      net_exchange_refuse (ex);
+      net_exchange_fail_connect (ex);
       return ex;
     }
   if (send->timeout)
@@ -223,8 +226,8 @@
   return ex;
 }
 
-/** Forget an exchange; its callbacks are not called any more, and what it
-    began at the endpoint is broken off. */
+/** Cancel an exchange and close its connection. Only its drop callback is
+    called. */
 void
 net_client_cancel (net_exchange_t *ex)
 {
@@ -238,14 +241,15 @@
   exchange_free (ex);
 }
 
-/** Whether a header has that NAME, in lower case. */
+/** Return whether a header is called NAME, which is in lower case. */
 int
 net_header_is (const net_header_t *header, el_str_t name)
 {
   return h2o_lcstris (header->name.ptr, header->name.len, name.ptr, name.len);
 }
 
-/** The value of an answer's header, NAME in lower case; empty without. */
+/** Return the value of a response header, NAME in lower case; empty when
+    missing. */
 el_str_t
 net_result_header (const net_result_t *result, const char *name)
 {
--- a/net/http_conn.c
+++ b/net/http_conn.c
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * The HTTP/1.1 client's connections: made, written to, read by http_parser,
- * and kept for as long as the endpoint says, less a margin.
+ * Connections of the HTTP/1.1 client: connected, written to, parsed with
+ * http_parser, and kept for as long as the endpoint allows, less a margin.
  */
 #include <netinet/in.h>
 #include <netinet/tcp.h>
@@ -12,15 +12,15 @@
 
 #include "libnet.h"
 
-/* Time for a connection to come up: an address that is gone says nothing. */
-#define CONNECT_LIMIT (1 * EL_SEC)
-/* How long the kernel waits for the peer to take what was sent. */
-#define UNTAKEN_LIMIT_MS 2000
-/* Kept for this long when the endpoint does not say how long it keeps; one
-   that names no whole second may close at any moment. */
-#define IDLE_UNSAID (500 * EL_MSEC)
-#define IDLE_MOST (20 * EL_SEC)
-/* A connection is left this long before the endpoint closes it. */
+/* Timeout for connecting: an address that no longer exists does not answer. */
+#define CONNECT_TIMEOUT (1 * EL_SEC)
+/* TCP_USER_TIMEOUT: how long the peer may leave sent data unacknowledged. */
+#define USER_TIMEOUT_MS 2000
+/* Idle time when the endpoint does not specify one. An endpoint that names no
+   whole number of seconds may close the connection at any moment. */
+#define IDLE_DEFAULT (500 * EL_MSEC)
+#define IDLE_MAX (20 * EL_SEC)
+/* A connection is closed this long before the endpoint would close it. */
 #define IDLE_MARGIN (400 * EL_MSEC)
 
 typedef struct conn_write
@@ -52,14 +52,14 @@
   free (handle->data);
 }
 
-/** Close a connection; it leaves its pool and its exchange. */
+/** Close a connection and detach it from its pool and its exchange. */
 void
 net_conn_close (net_conn_t *conn)
 {
   if (conn->closing)
     return;
   conn->closing = 1;
-  if (conn->resting)
+  if (conn->pooled)
     DL_DELETE (conn->pool->idle, conn);
   net_clock_cancel (conn->client->clock, &conn->idle);
   conn->exchange = NULL;
@@ -67,7 +67,7 @@
 }
 
 static void
-conn_idle_over (void *arg, el_time_t now)
+conn_idle_timeout (void *arg, el_time_t now)
 {
   (void)now;
   net_conn_close (arg);
@@ -125,7 +125,7 @@
 }
 
 static void
-header_take (net_exchange_t *ex)
+header_finish (net_exchange_t *ex)
 {
   net_header_t *header;
 
@@ -145,7 +145,7 @@
 {
   net_exchange_t *ex = ((net_conn_t *)parser->data)->exchange;
 
-  header_take (ex);
+  header_finish (ex);
   el_buf_add (&ex->name, (el_str_t){ at, len });
   return 0;
 }
@@ -160,9 +160,10 @@
   return 0;
 }
 
-/* How long the endpoint keeps a connection, from "timeout=SECONDS". */
+/* Read how long the endpoint keeps an idle connection from
+   "timeout=SECONDS". */
 static el_time_t
-keep_read (el_str_t value)
+keep_alive_parse (el_str_t value)
 {
   el_str_t part;
   uint64_t seconds;
@@ -178,11 +179,11 @@
       if (!el_str_to_u64 (el_str_after (part, 8), &seconds))
         break;
       keep = seconds * EL_SEC;
-      if (keep > IDLE_MOST)
-        keep = IDLE_MOST;
+      if (keep > IDLE_MAX)
+        keep = IDLE_MAX;
       return keep > IDLE_MARGIN ? keep - IDLE_MARGIN : 0;
     }
-  return IDLE_UNSAID;
+  return IDLE_DEFAULT;
 }
 
 static int
@@ -192,15 +193,15 @@
   net_exchange_t *ex = conn->exchange;
   net_result_t result;
 
-  header_take (ex);
+  header_finish (ex);
   ex->status = (int)parser->status_code;
   if (ex->status < 200)
     return 0;
   result = (net_result_t){ .status = ex->status,
                            .headers = ex->headers,
                            .nheaders = ex->nheaders };
-  conn->keep = keep_read (net_result_header (&result, "keep-alive"));
-  ex->begun = 1;
+  conn->keep = keep_alive_parse (net_result_header (&result, "keep-alive"));
+  ex->head_received = 1;
   if (ex->head)
     ex->head (ex->arg, &result);
   if (conn->exchange != ex)
@@ -233,16 +234,16 @@
 {
   net_conn_t *conn = parser->data;
 
-  if (conn->exchange->begun)
+  if (conn->exchange->head_received)
     {
-      conn->exchange->whole = 1;
+      conn->exchange->complete = 1;
       http_parser_pause (parser, 1);
     }
   return 0;
 }
 
 static void
-conn_rest (net_conn_t *conn)
+conn_make_idle (net_conn_t *conn)
 {
   if (conn->keep == 0)
     {
@@ -250,16 +251,16 @@
       return;
     }
   conn->idle_since = net_clock_now (conn->client->clock);
-  conn->idle.cb = conn_idle_over;
-  conn->resting = 1;
+  conn->idle.cb = conn_idle_timeout;
+  conn->pooled = 1;
   DL_PREPEND (conn->pool->idle, conn);
   net_clock_set (conn->client->clock, &conn->idle, conn->keep);
 }
 
-/* The whole answer is there. Bytes behind it, or a request that is not
-   wholly sent, make the connection useless for another. */
+/* The response is complete. Surplus bytes, or a request that was not sent
+   completely, make the connection unusable for another request. */
 static void
-conn_answered (net_conn_t *conn, int surplus)
+conn_complete (net_conn_t *conn, int surplus)
 {
   net_exchange_t *ex = conn->exchange;
   int keep = http_should_keep_alive (&conn->parser);
@@ -271,7 +272,7 @@
   if (surplus || !keep || conn->writing)
     net_conn_close (conn);
   else
-    conn_rest (conn);
+    conn_make_idle (conn);
   net_exchange_end (ex, NET_OK);
 }
 
@@ -283,17 +284,17 @@
   used = http_parser_execute (&conn->parser, &parser_settings, bytes, len);
   if (conn->closing || !conn->exchange)
     return;
-  if (conn->exchange->whole)
-    conn_answered (conn, used < len);
+  if (conn->exchange->complete)
+    conn_complete (conn, used < len);
   else if (HTTP_PARSER_ERRNO (&conn->parser) != HPE_OK)
     net_exchange_fail (conn->exchange, NET_BROKEN);
 }
 
-/* libuv reports an end where data and a reset arrive together: it does not
-   read the error then. An answer without length that was reset is not whole.
- */
+/* libuv reports an end of file when data and a reset arrive together, as it
+   does not read the error then. A response without a length is not complete if
+   the connection was reset. */
 static int
-conn_ended_well (net_conn_t *conn)
+conn_closed_cleanly (net_conn_t *conn)
 {
   uv_os_fd_t fd;
   char byte;
@@ -327,9 +328,10 @@
     }
   if (n > 0)
     conn_parse (conn, buf->base, (size_t)n);
-  else if (n == UV_EOF && conn->exchange->begun && conn_ended_well (conn))
+  else if (n == UV_EOF && conn->exchange->head_received
+           && conn_closed_cleanly (conn))
     {
-      /* The end of the connection may be the end of the answer. */
+      /* The end of the connection may be the end of the response. */
       conn->keep = 0;
       conn_parse (conn, NULL, 0);
       if (!conn->closing && conn->exchange)
@@ -341,20 +343,20 @@
 
 /* Connecting. */
 
-/* Its sender does not want it to leave any more; the connection is good. */
+/* The may callback withheld the request; the connection can be reused. */
 static void
-conn_held (net_conn_t *conn)
+conn_withheld (net_conn_t *conn)
 {
   net_exchange_t *ex = conn->exchange;
 
   ex->conn = NULL;
   conn->exchange = NULL;
-  conn->keep = IDLE_UNSAID;
-  conn_rest (conn);
+  conn->keep = IDLE_DEFAULT;
+  conn_make_idle (conn);
   net_exchange_end (ex, NET_HELD);
 }
 
-/** Send an exchange's request on a connection that is up. */
+/** Send an exchange's request on an established connection. */
 void
 net_conn_begin (net_conn_t *conn, net_exchange_t *ex)
 {
@@ -366,7 +368,7 @@
 }
 
 static void
-conn_connect_over (void *arg, el_time_t now)
+conn_connect_timeout (void *arg, el_time_t now)
 {
   net_conn_t *conn = arg;
 
@@ -379,7 +381,7 @@
 on_connect (uv_connect_t *req, int status)
 {
   net_conn_t *conn = req->data;
-  unsigned limit = UNTAKEN_LIMIT_MS;
+  unsigned limit = USER_TIMEOUT_MS;
   uv_os_fd_t fd;
 
   if (conn->closing)
@@ -398,12 +400,12 @@
     setsockopt (fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &limit, sizeof limit);
   uv_read_start ((uv_stream_t *)&conn->tcp, on_alloc, on_read);
   if (conn->exchange->may && !conn->exchange->may (conn->exchange->arg))
-    conn_held (conn);
+    conn_withheld (conn);
   else
     net_conn_begin (conn, conn->exchange);
 }
 
-/** Make a connection for an exchange, which begins when it is up. */
+/** Open a connection for an exchange, which is sent once it is established. */
 void
 net_conn_open (net_pool_t *pool, net_exchange_t *ex)
 {
@@ -420,13 +422,13 @@
   conn->tcp.data = conn;
   conn->connect.data = conn;
   conn->idle.arg = conn;
-  conn->idle.cb = conn_connect_over;
+  conn->idle.cb = conn_connect_timeout;
   rc = uv_tcp_connect (&conn->connect, &conn->tcp,
                        (struct sockaddr *)&pool->addr, on_connect);
   if (rc == 0)
     {
-      net_clock_set (client->clock, &conn->idle, CONNECT_LIMIT);
+      net_clock_set (client->clock, &conn->idle, CONNECT_TIMEOUT);
       return;
     }
-  net_exchange_refuse (ex);
+  net_exchange_fail_connect (ex);
 }
--- a/net/http_server.c
+++ b/net/http_server.c
@@ -3,7 +3,8 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * The HTTP server: one h2o context on the caller's loop, HTTP/1.1 and HTTP/2.
+ * The HTTP server: one h2o context on the caller's loop, for HTTP/1.1 and
+ * HTTP/2.
  */
 #include <netinet/in.h>
 #include <stdlib.h>
@@ -11,8 +12,8 @@
 #include "net.h"
 
 #define BACKLOG 1024
-#define REQ_TIMEOUT_MS 10000
-#define HTTP_2 0x200
+#define IDLE_TIMEOUT_DEFAULT_MS 10000
+#define HTTP2_VERSION 0x200
 #define HTTP2_IDLE_MS 60000
 
 struct net_server
@@ -25,8 +26,8 @@
   int stopped;
 };
 
-/* Watches for the caller to leave while its request is under way; lives in
-   the request's pool, and the socket points to it. */
+/* Detects that the caller disconnects while its request is being processed.
+   Lives in the request's pool; the socket points to it. */
 typedef struct server_watch
 {
   h2o_socket_t *sock;
@@ -104,8 +105,9 @@
   h2o_config_init (&server->config);
   server->config.server_name = h2o_iovec_init (H2O_STRLIT ("elmarch"));
   server->config.max_request_entity_size = server->options.max_body;
-  server->config.http1.req_timeout
-      = server->options.idle_ms ? server->options.idle_ms : REQ_TIMEOUT_MS;
+  server->config.http1.req_timeout = server->options.idle_ms
+                                         ? server->options.idle_ms
+                                         : IDLE_TIMEOUT_DEFAULT_MS;
   server->config.http2.idle_timeout = HTTP2_IDLE_MS;
   host = h2o_config_register_host (
       &server->config, h2o_iovec_init (H2O_STRLIT ("default")), 65535);
@@ -118,7 +120,8 @@
   server->accept.hosts = server->config.hosts;
 }
 
-/** Listen; NULL, with the reason in ERR, when the address can't be had. */
+/** Start listening. Returns NULL, with the reason in ERR, when the address is
+    not available. */
 net_server_t *
 net_server_new (const net_server_options_t *options, el_err_t *err)
 {
@@ -151,7 +154,7 @@
   return server;
 }
 
-/** The port listened on. */
+/** Return the listening port. */
 unsigned
 net_server_port (const net_server_t *server)
 {
@@ -162,8 +165,8 @@
   return ntohs (addr.sin_port);
 }
 
-/** Accept no further connection, and ask those open to end after what they
-    have begun. */
+/** Stop accepting connections, and ask open ones to close after their current
+    requests. */
 void
 net_server_stop (net_server_t *server)
 {
@@ -174,23 +177,24 @@
   h2o_context_request_shutdown (&server->context);
 }
 
-/** Go on, but have each answer say that its connection ends. */
+/** Continue to serve, but have each response announce that its connection will
+    be closed. */
 void
 net_server_retire (net_server_t *server)
 {
   h2o_context_request_shutdown (&server->context);
 }
 
-/** Callers' connections may rest this long from now on. */
+/** Set the idle timeout of connections. */
 void
 net_server_idle (net_server_t *server, uint64_t ms)
 {
   server->context.http1.req_timeout.timeout = ms;
 }
 
-/* Watching for callers that leave. h2o does not read a connection whose
-   request is under way, so the read is begun here; what comes stays in the
-   connection's buffer, where h2o finds it when the answer is sent. */
+/* Detecting disconnects. h2o does not read from a connection while its request
+   is being processed, so reading is started here. Incoming data stays in the
+   connection's buffer, where h2o finds it once the response is sent. */
 
 static h2o_iovec_t
 pool_copy (h2o_mem_pool_t *pool, h2o_iovec_t v)
@@ -198,9 +202,10 @@
   return v.len ? h2o_strdup (pool, v.base, v.len) : v;
 }
 
-/* Reading on may move the buffer that the request's strings point into. */
+/* Further reading may move the buffer that the request's strings point into,
+   so they are copied to the request's pool. */
 static void
-req_own (h2o_req_t *req)
+req_copy_strings (h2o_req_t *req)
 {
   size_t i;
 
@@ -243,9 +248,9 @@
     watch->gone (watch->arg, 0);
 }
 
-/** Call GONE when REQ's caller leaves before the answer is sent, and in any
-    case once when REQ is about to be freed (FREED is 1 then). The request's
-    strings do not move any more. */
+/** Call GONE when the caller disconnects before the response to REQ is sent
+    (HTTP/1.1 only), and in any case once when REQ is about to be freed (FREED
+    is 1 then). The request's strings are not moved any more after this. */
 void
 net_req_watch (h2o_req_t *req, net_gone_cb gone, void *arg)
 {
@@ -253,22 +258,22 @@
       = h2o_mem_alloc_shared (&req->pool, sizeof *watch, watch_dispose);
 
   *watch = (server_watch_t){ NULL, gone, arg };
-  req_own (req);
-  if (req->version >= HTTP_2)
+  req_copy_strings (req);
+  if (req->version >= HTTP2_VERSION)
     return;
   watch->sock = req->conn->callbacks->get_socket (req->conn);
   watch->sock->on_close.data = watch;
   h2o_socket_read_start (watch->sock, watch_read);
 }
 
-/** The method as sent. */
+/** Return the method as sent. */
 el_str_t
 net_req_method (const h2o_req_t *req)
 {
   return (el_str_t){ req->method.base, req->method.len };
 }
 
-/** The path as sent, without the query. */
+/** Return the path as sent, without the query. */
 el_str_t
 net_req_path (const h2o_req_t *req)
 {
@@ -277,7 +282,7 @@
   return (el_str_t){ req->path.base, len };
 }
 
-/** The value of a query's field; gives 0 when it is not there. */
+/** Get the value of a field of the query; returns 0 when it is missing. */
 int
 net_req_query (const h2o_req_t *req, el_str_t name, el_str_t *value)
 {
@@ -299,7 +304,8 @@
   return 0;
 }
 
-/** The value of a header, NAME in lower case; empty when it is not there. */
+/** Return the value of a request header, NAME in lower case; empty when
+    missing. */
 el_str_t
 net_req_header (const h2o_req_t *req, const char *name)
 {
@@ -316,14 +322,14 @@
   return (el_str_t){ NULL, 0 };
 }
 
-/** The whole body; empty without one. */
+/** Return the body; empty without one. */
 el_str_t
 net_req_body (const h2o_req_t *req)
 {
   return (el_str_t){ req->entity.base, req->entity.len };
 }
 
-/** Add a header to the answer; the strings are copied. */
+/** Add a header to the response; the strings are copied. */
 void
 net_req_add_header (h2o_req_t *req, el_str_t name, el_str_t value)
 {
@@ -334,22 +340,22 @@
                          v.base, v.len);
 }
 
-/** Cut the caller's connection: what was not yet sent of an answer does not
-    follow, and no end of it either. The answer has to be ended all the same,
-    so that the request is freed. */
+/** Shut down the caller's connection: neither the unsent part of the response
+    nor its end is sent. The response must still be ended, so that the request
+    is freed. */
 void
 net_req_cut (h2o_req_t *req)
 {
   h2o_socket_t *sock;
 
   req->http1_is_persistent = 0;
-  if (req->version >= HTTP_2)
+  if (req->version >= HTTP2_VERSION)
     return;
   sock = req->conn->callbacks->get_socket (req->conn);
   shutdown (h2o_socket_get_fd (sock), SHUT_RDWR);
 }
 
-/** The reason phrase of a status. */
+/** Return the reason phrase of a status. */
 const char *
 net_status_reason (int status)
 {
@@ -361,7 +367,7 @@
   return "Status";
 }
 
-/** Answer a request whole; the strings are copied. */
+/** Send a complete response; the strings are copied. */
 void
 net_req_reply (h2o_req_t *req, int status, el_str_t type, el_str_t body)
 {
--- a/net/libnet.h
+++ b/net/libnet.h
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * What the client's requests and its connections share. A request is an
- * exchange: net/http_client.c begins and ends it, net/http_conn.c carries it.
+ * Shared by the client's requests and connections. A request is an exchange:
+ * net/http_client.c starts and ends it, net/http_conn.c transfers it.
  */
 #ifndef ELMARCH_LIBNET_H
 #define ELMARCH_LIBNET_H
@@ -16,7 +16,7 @@
 #include "map.h"
 #include "net.h"
 
-/** "255.255.255.255:65535" and its end, with room. */
+/** Room for "255.255.255.255:65535" and its NUL. */
 #define NET_ADDRESS_MAX 32
 #define NET_READ_BYTES 65536
 
@@ -27,11 +27,11 @@
 {
   char address[NET_ADDRESS_MAX];
   struct sockaddr_in addr;
-  net_conn_t *idle; /**< the one used last comes first */
+  net_conn_t *idle; /**< most recently used first */
   UT_hash_handle hh;
 } net_pool_t;
 
-/** One connection; its exchange is NULL while it is idle or closing. */
+/** A connection; its exchange is NULL while it is idle or closing. */
 struct net_conn
 {
   uv_tcp_t tcp;
@@ -42,9 +42,9 @@
   http_parser parser;
   el_timer_t idle;
   el_time_t idle_since;
-  el_time_t keep; /**< idle time that the endpoint grants */
+  el_time_t keep; /**< idle time that the endpoint allows */
   unsigned writing;
-  int resting; /**< in the pool's list */
+  int pooled; /**< in the pool's list of idle connections */
   int closing;
   net_conn_t *prev;
   net_conn_t *next;
@@ -72,14 +72,14 @@
   size_t max_answer;
   int is_head;
   int sent;
-  int begun; /**< the head of the answer was handed on */
-  int whole;
-  int late; /**< its time was over while the process was held up */
+  int head_received; /**< the response's header was passed on */
+  int complete;
+  int stalled; /**< it timed out while the process was stalled */
   int status;
   el_buf_t request;
   net_header_t *headers;
   size_t nheaders;
-  int in_value; /**< the last part of the head was a header's value */
+  int in_value; /**< the last header part was a value */
   el_buf_t name;
   el_buf_t value;
   el_buf_t body;
@@ -90,7 +90,7 @@
 
 void net_exchange_end (net_exchange_t *ex, net_outcome_t net);
 void net_exchange_fail (net_exchange_t *ex, net_outcome_t net);
-void net_exchange_refuse (net_exchange_t *ex);
+void net_exchange_fail_connect (net_exchange_t *ex);
 void net_exchange_clear_headers (net_exchange_t *ex);
 
 void net_conn_open (net_pool_t *pool, net_exchange_t *ex);
--- a/net/net.h
+++ b/net/net.h
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * HTTP by h2o on libuv: a server, a client, and the clock that both and the
- * rest of a process subscribe to.
+ * HTTP by h2o on libuv: a server, a client, and the clock that drives their
+ * timers and those of the rest of the process.
  */
 #ifndef ELMARCH_NET_H
 #define ELMARCH_NET_H
@@ -13,13 +13,13 @@
 
 #include "base.h"
 
-/** The process's clock: libuv's loop driving a timer service. */
+/** The process's clock: runs timers from libuv's event loop. */
 typedef struct net_clock
 {
   uv_loop_t *loop;
   el_timers_t timers;
   uv_timer_t driver;
-  /** Asked for a due time besides those of the timers; may be NULL. */
+  /** Returns a due time in addition to those of the timers; may be NULL. */
   el_time_t (*next) (void *arg);
   void (*fire) (void *arg, el_time_t now);
   void *arg;
@@ -41,9 +41,10 @@
 typedef struct net_server_options
 {
   uv_loop_t *loop;
-  el_str_t address; /**< ip:port; port 0 takes a free one */
-  size_t max_body;  /**< bytes; a longer one is answered with 413 */
-  uint64_t idle_ms; /**< connections may rest this long; 0: 10 s */
+  el_str_t address; /**< ip:port; port 0 picks a free port */
+  size_t max_body;  /**< maximum body size in bytes; a longer body is answered
+                       with 413 */
+  uint64_t idle_ms; /**< idle timeout of connections; 0: 10 s */
   void (*handle) (void *arg, h2o_req_t *req);
   void *arg;
 } net_server_options_t;
@@ -73,16 +74,16 @@
 typedef struct net_client net_client_t;
 typedef struct net_exchange net_exchange_t;
 
-/** How an exchange ended. */
+/** Outcome of an exchange. */
 typedef enum net_outcome
 {
-  NET_OK,      /**< a whole answer came */
-  NET_CONNECT, /**< no connection: nothing has left */
-  NET_REFUSED, /**< the same, as nobody listens there */
-  NET_BROKEN,  /**< something may have left, no whole answer came */
-  NET_TIMEOUT, /**< as NET_BROKEN, after the time given */
-  NET_HELD,    /**< kept back by its sender: nothing has left */
-  NET_TOO_BIG  /**< the answer passes the bound */
+  NET_OK,      /**< a complete response arrived */
+  NET_CONNECT, /**< connecting failed: nothing was sent */
+  NET_REFUSED, /**< connection refused: nothing was sent */
+  NET_BROKEN, /**< connection lost: may have been sent, no complete response */
+  NET_TIMEOUT, /**< as NET_BROKEN, on timeout */
+  NET_HELD,    /**< withheld by the may callback: nothing was sent */
+  NET_TOO_BIG  /**< the response exceeds the size limit */
 } net_outcome_t;
 
 typedef struct net_header
@@ -91,11 +92,11 @@
   el_str_t value;
 } net_header_t;
 
-/** The outcome; strings are valid during the callback only. */
+/** The result of an exchange; strings are valid during the callback only. */
 typedef struct net_result
 {
   net_outcome_t net;
-  el_verdict_t verdict; /**< of the exchange alone */
+  el_verdict_t verdict; /**< for this exchange only */
   int status;
   const net_header_t *headers;
   size_t nheaders;
@@ -109,37 +110,36 @@
 typedef struct net_send
 {
   el_str_t address; /**< ip:port */
-  el_str_t host;    /**< the Host header; empty takes the address */
+  el_str_t host;    /**< the Host header; the address if empty */
   el_str_t method;
   el_str_t path;
   const net_header_t *headers;
   size_t nheaders;
   el_str_t body;
-  int fresh;              /**< use a connection of its own */
-  el_time_t max_idle;     /**< take no connection that rested longer; 0 takes
-                               any */
-  el_time_t timeout;      /**< microseconds; 0 is none */
-  size_t max_answer;      /**< bytes of body; 0 takes the client's own bound */
-  int (*may) (void *arg); /**< asked once more before it leaves on a connection
-                               that had to be made; 0 keeps it back; may be
-                               NULL */
+  int fresh;          /**< use a new connection */
+  el_time_t max_idle; /**< maximum idle time of a connection; 0 is no limit */
+  el_time_t timeout;  /**< in microseconds; 0 is none */
+  size_t max_answer;  /**< maximum size of the body in bytes; 0 is the client's
+                         default */
+  int (*may) (void *arg); /**< called before sending on a new connection; 0
+                             withholds the request; may be NULL */
   net_head_cb head;       /**< called with status and headers; may be NULL */
-  net_piece_cb piece; /**< called with each piece of the body, which is then
-                           not collected; may be NULL */
-  net_result_cb done; /**< called once, unless cancelled, never before
-                          net_client_send has returned */
+  net_piece_cb piece;     /**< called with each part of the body, which is not
+                             collected then; may be NULL */
+  net_result_cb done; /**< called once unless the exchange is cancelled, and
+                         never before net_client_send has returned */
   void (*drop) (void *arg); /**< called instead of done when the exchange is
-                                 cancelled; may be NULL */
+                               cancelled; may be NULL */
   void *arg;
 } net_send_t;
 
-/** What a client counts. */
+/** Counters of a client. */
 typedef struct net_client_counts
 {
   uint64_t requests;
   uint64_t opened;  /**< connections */
-  uint64_t surplus; /**< connections ended by bytes that belong to no request
-                     */
+  uint64_t surplus; /**< connections closed because of bytes that belong to no
+                       request */
 } net_client_counts_t;
 
 net_client_t *net_client_new (net_clock_t *clock);
--- a/net/rpc.c
+++ b/net/rpc.c
@@ -4,8 +4,8 @@
  */
 /** @file
  * ONC RPC over TCP and UDP on libuv. A record that is too long, truncated, of
- * another program or version, or not sealed with the key is refused and
- * counted; the connection that brought it is closed.
+ * another program or version, or not sealed with the key is rejected and
+ * counted, and its connection is closed.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -48,9 +48,9 @@
   int server;
   int open;
   int closing;
-  char address[ADDRESS_MAX]; /* key of a client's */
+  char address[ADDRESS_MAX]; /* key of an outgoing connection */
   el_buf_t in;
-  el_buf_t waiting; /* written once the connection is made */
+  el_buf_t unsent; /* written once the connection is established */
   char chunk[READ_CHUNK];
   rpc_conn_t *prev;
   rpc_conn_t *next;
@@ -61,7 +61,7 @@
 {
   net_rpc_t *rpc;
   rpc_conn_t *conn;        /* NULL for a datagram */
-  struct sockaddr_in from; /* of a datagram */
+  struct sockaddr_in from; /* sender of a datagram */
   uint32_t xid;
   uint32_t proc;
 };
@@ -72,8 +72,8 @@
   uv_tcp_t listener;
   uv_udp_t datagrams;
   char datagram[READ_CHUNK];
-  rpc_conn_t *clients; /* by address */
-  rpc_conn_t *conns;   /* all */
+  rpc_conn_t *clients; /* outgoing connections, by address */
+  rpc_conn_t *conns;   /* all connections */
   rpc_call_t *calls;
   uint32_t next_xid;
   int stopped;
@@ -100,7 +100,7 @@
   if (--conn->refs)
     return;
   el_buf_free (&conn->in);
-  el_buf_free (&conn->waiting);
+  el_buf_free (&conn->unsent);
   free (conn);
 }
 
@@ -119,7 +119,7 @@
   free (call);
 }
 
-/* Close a connection; the calls on it have no answer. */
+/* Close a connection; its calls fail without an answer. */
 static void
 conn_close (rpc_conn_t *conn)
 {
@@ -167,7 +167,7 @@
     conn_close (conn);
 }
 
-/* Write what BUF holds; takes its memory over. */
+/* Write the contents of BUF and take over its memory. */
 static void
 conn_write (rpc_conn_t *conn, el_buf_t *buf)
 {
@@ -197,8 +197,8 @@
   free (datagram);
 }
 
-/* Send what BUF holds; takes its memory over. A datagram that is lost on the
-   way is noticed by whoever waits for its answer. */
+/* Send the contents of BUF and take over its memory. A lost datagram is
+   noticed by the timeout of its call. */
 static void
 datagram_write (net_rpc_t *rpc, const struct sockaddr_in *to, el_buf_t *buf)
 {
@@ -215,9 +215,9 @@
     datagram_done (&datagram->req, -1);
 }
 
-/* A message is no message from a host of ours. */
+/* Reject a message that is not from one of our hosts. */
 static void
-refuse (net_rpc_t *rpc, rpc_conn_t *conn)
+reject (net_rpc_t *rpc, rpc_conn_t *conn)
 {
   ++*rpc->options.refused;
   if (conn)
@@ -225,8 +225,8 @@
 }
 
 static void
-server_record (net_rpc_t *rpc, rpc_conn_t *conn,
-               const struct sockaddr_in *from, XDR *xdr)
+call_receive (net_rpc_t *rpc, rpc_conn_t *conn, const struct sockaddr_in *from,
+              XDR *xdr)
 {
   char cred[MAX_AUTH_BYTES];
   char verf[MAX_AUTH_BYTES];
@@ -246,7 +246,7 @@
                          (uint32_t)msg.rm_call.cb_proc, msg.rm_xid, &sealed))
     {
       xdr_free ((xdrproc_t)xdr_peer_sealed, (char *)&sealed);
-      refuse (rpc, conn);
+      reject (rpc, conn);
       return;
     }
   req = el_alloc (sizeof *req);
@@ -264,7 +264,7 @@
 }
 
 static void
-client_record (net_rpc_t *rpc, rpc_conn_t *conn, XDR *xdr)
+reply_receive (net_rpc_t *rpc, rpc_conn_t *conn, XDR *xdr)
 {
   char verf[MAX_AUTH_BYTES];
   struct rpc_msg msg;
@@ -281,13 +281,13 @@
   if (ok)
     HASH_FIND (hh, rpc->calls, &msg.rm_xid, sizeof call->xid, call);
   if (ok && !call)
-    return; /* an answer that nobody waits for any more */
+    return; /* the call has already ended */
   if (!ok || call->conn != conn
       || !rpc_wire_read (rpc->options.key, xdr, 'r', call->proc, call->xid,
                          &sealed))
     {
       xdr_free ((xdrproc_t)xdr_peer_sealed, (char *)&sealed);
-      refuse (rpc, conn);
+      reject (rpc, conn);
       return;
     }
   call_end (rpc, call, 1, 1,
@@ -296,19 +296,19 @@
 }
 
 static void
-conn_record (rpc_conn_t *conn, char *bytes, size_t len)
+record_receive (rpc_conn_t *conn, char *bytes, size_t len)
 {
   XDR xdr;
 
   xdrmem_create (&xdr, bytes, (u_int)len, XDR_DECODE);
   if (conn->server)
-    server_record (conn->rpc, conn, NULL, &xdr);
+    call_receive (conn->rpc, conn, NULL, &xdr);
   else
-    client_record (conn->rpc, conn, &xdr);
+    reply_receive (conn->rpc, conn, &xdr);
   xdr_destroy (&xdr);
 }
 
-/* Take whole records off the front of what was read. */
+/* Process all complete records at the start of the input. */
 static void
 conn_parse (rpc_conn_t *conn)
 {
@@ -316,20 +316,20 @@
   uint32_t mark;
   size_t len;
 
-  while (!conn->closing && conn->in.len - at >= MARK_BYTES)
+  while (!conn->closing && conn->in.len - at >= RECORD_MARK_BYTES)
     {
-      memcpy (&mark, conn->in.ptr + at, MARK_BYTES);
+      memcpy (&mark, conn->in.ptr + at, RECORD_MARK_BYTES);
       mark = ntohl (mark);
-      len = mark & ~RECORD_LAST;
-      if (!(mark & RECORD_LAST) || len > RECORD_MAX)
+      len = mark & ~RECORD_LAST_FRAGMENT;
+      if (!(mark & RECORD_LAST_FRAGMENT) || len > RECORD_MAX)
         {
-          refuse (conn->rpc, conn);
+          reject (conn->rpc, conn);
           return;
         }
-      if (conn->in.len - at - MARK_BYTES < len)
+      if (conn->in.len - at - RECORD_MARK_BYTES < len)
         break;
-      conn_record (conn, conn->in.ptr + at + MARK_BYTES, len);
-      at += MARK_BYTES + len;
+      record_receive (conn, conn->in.ptr + at + RECORD_MARK_BYTES, len);
+      at += RECORD_MARK_BYTES + len;
     }
   if (conn->closing || at == 0)
     return;
@@ -371,7 +371,7 @@
   *buf = uv_buf_init (rpc->datagram, sizeof rpc->datagram);
 }
 
-/* The second word of a message tells a call from an answer. */
+/* The second word of a message distinguishes calls from replies. */
 static void
 datagram_read (uv_udp_t *handle, ssize_t nread, const uv_buf_t *buf,
                const struct sockaddr *from, unsigned flags)
@@ -385,15 +385,15 @@
     return;
   if ((size_t)nread < sizeof words)
     {
-      refuse (rpc, NULL);
+      reject (rpc, NULL);
       return;
     }
   memcpy (words, buf->base, sizeof words);
   xdrmem_create (&xdr, buf->base, (u_int)nread, XDR_DECODE);
   if (ntohl (words[1]) == CALL)
-    server_record (rpc, NULL, (const struct sockaddr_in *)from, &xdr);
+    call_receive (rpc, NULL, (const struct sockaddr_in *)from, &xdr);
   else
-    client_record (rpc, NULL, &xdr);
+    reply_receive (rpc, NULL, &xdr);
   xdr_destroy (&xdr);
 }
 
@@ -416,8 +416,8 @@
   uv_read_start ((uv_stream_t *)&conn->tcp, conn_alloc, conn_read);
 }
 
-/** Listen for the other hosts; NULL, with the reason in ERR, when the address
-    can't be had. */
+/** Start listening for other hosts. Returns NULL, with the reason in ERR, when
+    the address is not available. */
 net_rpc_t *
 net_rpc_new (const net_rpc_options_t *options, el_err_t *err)
 {
@@ -465,7 +465,7 @@
       conn->open = 1;
       uv_tcp_nodelay (&conn->tcp, 1);
       uv_read_start ((uv_stream_t *)&conn->tcp, conn_alloc, conn_read);
-      conn_write (conn, &conn->waiting);
+      conn_write (conn, &conn->unsent);
     }
   else
     conn_close (conn);
@@ -473,7 +473,7 @@
 }
 
 static rpc_conn_t *
-client_conn (net_rpc_t *rpc, el_str_t address)
+conn_get (net_rpc_t *rpc, el_str_t address)
 {
   struct sockaddr_in addr;
   uv_connect_t *req;
@@ -512,15 +512,15 @@
             (el_str_t){ NULL, 0 });
 }
 
-/* Begin a call: remember who waits, and write the message. */
+/* Register a call and encode its message. */
 static void
-call_begin (net_rpc_t *rpc, const rpc_call_t *like, el_str_t body,
+call_begin (net_rpc_t *rpc, const rpc_call_t *template, el_str_t body,
             el_time_t timeout, el_buf_t *record)
 {
   rpc_call_t *call = el_alloc (sizeof *call);
   struct rpc_msg msg;
 
-  *call = *like;
+  *call = *template;
   call->rpc = rpc;
   call->xid = rpc->next_xid++;
   call->timer.cb = call_timeout;
@@ -538,14 +538,15 @@
                   call->proc, body);
 }
 
-/** Call procedure PROC at ADDRESS; DONE is called once, at the latest after
-    TIMEOUT microseconds. */
+/** Call procedure PROC at ADDRESS over TCP. DONE is called once, within
+    TIMEOUT microseconds and possibly before this function returns. */
 void
 net_rpc_call (net_rpc_t *rpc, el_str_t address, uint32_t proc, el_str_t body,
               el_time_t timeout, net_rpc_done_fn done, void *arg)
 {
-  rpc_conn_t *conn = rpc->stopped ? NULL : client_conn (rpc, address);
-  rpc_call_t like = { .proc = proc, .conn = conn, .done = done, .arg = arg };
+  rpc_conn_t *conn = rpc->stopped ? NULL : conn_get (rpc, address);
+  rpc_call_t template
+      = { .proc = proc, .conn = conn, .done = done, .arg = arg };
   el_buf_t record = { NULL, 0, 0 };
 
   if (!conn)
@@ -553,22 +554,22 @@
       done (arg, 0, 0, (el_str_t){ NULL, 0 });
       return;
     }
-  call_begin (rpc, &like, body, timeout, &record);
+  call_begin (rpc, &template, body, timeout, &record);
   if (conn->open)
     conn_write (conn, &record);
   else
     {
-      el_buf_add (&conn->waiting, el_buf_str (&record));
+      el_buf_add (&conn->unsent, el_buf_str (&record));
       el_buf_free (&record);
     }
 }
 
-/** As net_rpc_call, in a datagram: for what is small and may be lost. */
+/** As net_rpc_call, but over UDP: for small messages that may be lost. */
 void
 net_rpc_send (net_rpc_t *rpc, el_str_t address, uint32_t proc, el_str_t body,
               el_time_t timeout, net_rpc_done_fn done, void *arg)
 {
-  rpc_call_t like = { .proc = proc, .done = done, .arg = arg };
+  rpc_call_t template = { .proc = proc, .done = done, .arg = arg };
   el_buf_t record = { NULL, 0, 0 };
   struct sockaddr_in to;
 
@@ -577,11 +578,11 @@
       done (arg, 0, 0, (el_str_t){ NULL, 0 });
       return;
     }
-  call_begin (rpc, &like, body, timeout, &record);
+  call_begin (rpc, &template, body, timeout, &record);
   datagram_write (rpc, &to, &record);
 }
 
-/** Answer a call that was served, and forget it. */
+/** Send the answer to a call and free REQ. */
 void
 net_rpc_reply (net_rpc_req_t *req, el_str_t body)
 {
@@ -610,7 +611,8 @@
   free (req);
 }
 
-/** Close all connections; calls that are out end without an answer. */
+/** Stop listening and close all connections; outstanding calls fail without an
+    answer. */
 void
 net_rpc_stop (net_rpc_t *rpc)
 {
--- a/net/rpc.h
+++ b/net/rpc.h
@@ -3,10 +3,10 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * ONC RPC version 2 over TCP and UDP (RFC 5531) on libuv, with libtirpc's
- * codecs.
- * Calls and results travel as sealed bodies: opaque bytes with an
- * authentication code over direction, procedure, transaction and body.
+ * ONC RPC version 2 over TCP and UDP (RFC 5531) on libuv, with libtirpc's XDR
+ * codecs. Calls and results are sent as sealed bodies: opaque bytes with a
+ * message authentication code over direction, procedure, transaction ID and
+ * body.
  */
 #ifndef ELMARCH_RPC_H
 #define ELMARCH_RPC_H
@@ -20,18 +20,18 @@
 typedef void (*net_rpc_serve_fn) (void *arg, net_rpc_req_t *req, uint32_t proc,
                                   el_str_t body);
 
-/** The outcome of a call. OK is 0 when there is no answer; SENT tells whether
-    the call may have arrived. */
+/** Outcome of a call. OK is 0 when there is no answer; SENT tells whether the
+    call may have reached the other host. */
 typedef void (*net_rpc_done_fn) (void *arg, int ok, int sent, el_str_t body);
 
 typedef struct net_rpc_options
 {
   net_clock_t *clock;
   el_str_t listen; /**< ip:port */
-  el_str_t key;    /**< shared by the hosts */
+  el_str_t key;    /**< secret shared by the hosts */
   net_rpc_serve_fn serve;
   void *arg;
-  uint64_t *refused; /**< counts messages that are no call from a host */
+  uint64_t *refused; /**< counts messages that are not from one of our hosts */
   uint64_t *messages;
   uint64_t *bytes;
 } net_rpc_options_t;
--- a/net/rpc_wire.c
+++ b/net/rpc_wire.c
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Sealed bodies: opaque bytes with an authentication code over direction,
- * procedure, transaction and body.
+ * Sealed bodies: opaque bytes with a message authentication code over
+ * direction, procedure, transaction ID and body.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -13,7 +13,7 @@
 
 #include "rpc_wire.h"
 
-/* Room for a message's header and the lengths around its body. */
+/* Room for a message's header and the length fields of its body. */
 #define HEAD_ROOM 512
 
 static void
@@ -28,8 +28,8 @@
   el_buf_free (&text);
 }
 
-/** Append MSG and the body, sealed under KEY; a RECORD has its mark before
-    it. */
+/** Append MSG and the body, sealed with KEY. With RECORD set, a record mark
+    comes first. */
 void
 rpc_wire_write (el_str_t key, el_buf_t *out, struct rpc_msg *msg, int record,
                 uint32_t proc, el_str_t body)
@@ -50,28 +50,29 @@
   ok = direction == 'c' ? xdr_callmsg (&xdr, msg) : xdr_replymsg (&xdr, msg);
   if (ok && xdr_peer_sealed (&xdr, &sealed))
     {
-      mark = htonl (RECORD_LAST | xdr_getpos (&xdr));
+      mark = htonl (RECORD_LAST_FRAGMENT | xdr_getpos (&xdr));
       if (record)
-        el_buf_add (out, (el_str_t){ (char *)&mark, MARK_BYTES });
+        el_buf_add (out, (el_str_t){ (char *)&mark, RECORD_MARK_BYTES });
       el_buf_add (out, (el_str_t){ bytes, xdr_getpos (&xdr) });
     }
   xdr_destroy (&xdr);
   free (bytes);
 }
 
-/** Read the sealed body behind a message; gives 0 when the code does not
-   fit. The body points into allocated memory that xdr_free releases. */
+/** Decode and verify the sealed body of a message; returns 0 when the
+    authentication code does not match. In any case the body is allocated
+    memory that xdr_free releases. */
 int
 rpc_wire_read (el_str_t key, XDR *xdr, char direction, uint32_t proc,
                uint32_t xid, peer_sealed *sealed)
 {
-  unsigned char want[CO_MAC_BYTES];
+  unsigned char expected[CO_MAC_BYTES];
   el_str_t body;
 
   memset (sealed, 0, sizeof *sealed);
   if (!xdr_peer_sealed (xdr, sealed))
     return 0;
   body = (el_str_t){ sealed->body.body_val, sealed->body.body_len };
-  seal_mac (key, direction, proc, xid, body, want);
-  return co_mac_eq (want, (unsigned char *)sealed->mac);
+  seal_mac (key, direction, proc, xid, body, expected);
+  return co_mac_eq (expected, (unsigned char *)sealed->mac);
 }
--- a/net/rpc_wire.h
+++ b/net/rpc_wire.h
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * What ONC RPC messages of ours look like on the wire.
+ * Encoding of our ONC RPC messages.
  */
 #ifndef ELMARCH_RPC_WIRE_H
 #define ELMARCH_RPC_WIRE_H
@@ -13,9 +13,9 @@
 #include "coord.h"
 #include "peer_proto.h"
 
-/** Marks the last fragment of a record on a stream. */
-#define RECORD_LAST 0x80000000U
-#define MARK_BYTES 4
+/** Marks the last fragment of a record on a stream (RFC 5531, section 11). */
+#define RECORD_LAST_FRAGMENT 0x80000000U
+#define RECORD_MARK_BYTES 4
 
 void rpc_wire_write (el_str_t key, el_buf_t *out, struct rpc_msg *msg,
                      int record, uint32_t proc, el_str_t body);
