--- a/net/http_conn.c
+++ b/net/http_conn.c
@@ -343,7 +343,7 @@
 
 /* Connecting. */
 
-/* The may callback withheld the request; the connection can be reused. */
+/* The caller withheld the request; the connection can be reused. */
 static void
 conn_withheld (net_conn_t *conn)
 {
--- a/net/net.h
+++ b/net/net.h
@@ -82,7 +82,7 @@
   NET_REFUSED, /**< connection refused: nothing was sent */
   NET_BROKEN, /**< connection lost: may have been sent, no complete response */
   NET_TIMEOUT, /**< as NET_BROKEN, on timeout */
-  NET_HELD,    /**< withheld by the may callback: nothing was sent */
+  NET_HELD,    /**< withheld by the caller: nothing was sent */
   NET_TOO_BIG  /**< the response exceeds the size limit */
 } net_outcome_t;
 
@@ -116,8 +116,8 @@
   const net_header_t *headers;
   size_t nheaders;
   el_str_t body;
-  int fresh;          /**< use a new connection */
-  el_time_t max_idle; /**< maximum idle time of a connection; 0 is no limit */
+  int fresh;          /**< use a new connection, do not reuse one */
+  el_time_t max_idle; /**< longest idle time of a reused one; 0 is any */
   el_time_t timeout;  /**< in microseconds; 0 is none */
   size_t max_answer;  /**< maximum size of the body in bytes; 0 is the client's
                          default */
