--- a/base/base.h
+++ b/base/base.h
@@ -34,7 +34,7 @@
 
 el_str_t el_str (const char *cstr);
 int el_str_eq (el_str_t a, el_str_t b);
-int el_str_starts (el_str_t s, el_str_t prefix);
+int el_str_starts_with (el_str_t s, el_str_t prefix);
 el_str_t el_str_after (el_str_t s, size_t n);
 el_str_t el_str_cut (el_str_t *rest, char sep);
 int el_str_to_u64 (el_str_t s, uint64_t *out);
@@ -61,13 +61,13 @@
 typedef enum el_status
 {
   EL_OK = 0,
-  EL_INVALID,   /**< the input breaks a rule that the message names */
-  EL_NOT_FOUND, /**< no such object */
-  EL_CONFLICT,  /**< conflicts with an earlier change or the state */
-  EL_LIMIT,     /**< a limit would be exceeded */
-  EL_DENIED,    /**< not authenticated */
-  EL_AWAY,      /**< the remote side is unreachable */
-  EL_SYSTEM     /**< the operating system reported an error */
+  EL_INVALID,     /**< the input breaks a rule that the message names */
+  EL_NOT_FOUND,   /**< no such object */
+  EL_CONFLICT,    /**< conflicts with an earlier change or the state */
+  EL_LIMIT,       /**< a limit would be exceeded */
+  EL_DENIED,      /**< not authenticated */
+  EL_UNREACHABLE, /**< the remote side is unreachable */
+  EL_SYSTEM       /**< the operating system reported an error */
 } el_status_t;
 
 /** Maximum length of an error message, with the final NUL. */
@@ -115,10 +115,10 @@
 /** A timer; the caller owns the memory. Zero it before first use. */
 struct el_timer
 {
-  el_time_t due;  /**< time at which it fires */
-  el_timer_cb cb; /**< called when it fires */
-  void *arg;      /**< passed to cb */
-  size_t slot;    /**< index in the heap plus one; 0 when not set */
+  el_time_t due;     /**< time at which it fires */
+  el_timer_cb cb;    /**< called when it fires */
+  void *arg;         /**< passed to cb */
+  size_t heap_index; /**< index in the heap plus one; 0 when not set */
 };
 
 /** A heap of timers; it has no clock of its own. */
@@ -131,7 +131,7 @@
 
 void el_timers_set (el_timers_t *timers, el_timer_t *timer, el_time_t due);
 void el_timers_cancel (el_timers_t *timers, el_timer_t *timer);
-el_time_t el_timers_next (const el_timers_t *timers);
+el_time_t el_timers_next_due (const el_timers_t *timers);
 void el_timers_run (el_timers_t *timers, el_time_t now);
 void el_timers_free (el_timers_t *timers);
 
@@ -214,20 +214,20 @@
 
 /* Settings. */
 
-typedef enum el_set_kind
+typedef enum el_setting_kind
 {
-  EL_SET_STRING, /**< const char * */
-  EL_SET_U64,    /**< uint64_t within min and max */
-  EL_SET_NUMBER, /**< double within min and max, may have a fraction */
-  EL_SET_FLAG    /**< int */
-} el_set_kind_t;
+  EL_SETTING_STRING, /**< const char * */
+  EL_SETTING_U64,    /**< uint64_t within min and max */
+  EL_SETTING_DOUBLE, /**< double within min and max, may have a fraction */
+  EL_SETTING_FLAG    /**< int */
+} el_setting_kind_t;
 
 /** One entry of a program's table of settings. */
-typedef struct el_set
+typedef struct el_setting
 {
   const char *name; /**< name of the flag without dashes; the name of the
                        environment variable is derived from it */
-  el_set_kind_t kind;
+  el_setting_kind_t kind;
   size_t offset; /**< offset of the field in the program's struct */
   const char *def;
   uint64_t min;
@@ -235,33 +235,33 @@
   int required;
   const char *arg;
   const char *help;
-} el_set_t;
+} el_setting_t;
 
-typedef struct el_set_options
+typedef struct el_settings_options
 {
   const char *program;
   const char *env_prefix; /**< prefix of environment variables: with ELMARCHD,
                              log-level is ELMARCHD_LOG_LEVEL */
   const char *usage;
-  const el_set_t *table;
+  const el_setting_t *table;
   size_t ntable;
-} el_set_options_t;
+} el_settings_options_t;
 
 /** Exit status for invalid settings. */
 #define EL_EXIT_USAGE 2
 
-typedef enum el_set_result
+typedef enum el_settings_result
 {
-  EL_SET_RUN,     /**< continue */
-  EL_SET_DONE,    /**< help or version was printed: exit with 0 */
-  EL_SET_REFUSED, /**< err names the setting and its range: exit with 2 */
-} el_set_result_t;
+  EL_SETTINGS_OK,      /**< continue */
+  EL_SETTINGS_DONE,    /**< help or version was printed: exit with 0 */
+  EL_SETTINGS_INVALID, /**< err names the setting and its range: exit with 2 */
+} el_settings_result_t;
 
-el_set_result_t el_set_parse (const el_set_options_t *options, int argc,
-                              const char **argv, void *out, const char ***rest,
-                              el_err_t *err);
+el_settings_result_t el_settings_parse (const el_settings_options_t *options,
+                                        int argc, const char **argv, void *out,
+                                        const char ***rest, el_err_t *err);
 
-void el_set_free (const el_set_options_t *options, void *out);
+void el_settings_free (const el_settings_options_t *options, void *out);
 
 #define EL_VERSION "0.1.0"
 
--- a/base/err.c
+++ b/base/err.c
@@ -17,7 +17,7 @@
   [EL_CONFLICT] = "conflict",
   [EL_LIMIT] = "limit",
   [EL_DENIED] = "denied",
-  [EL_AWAY] = "away",
+  [EL_UNREACHABLE] = "away",
   [EL_SYSTEM] = "system",
 };
 
--- a/base/settings.c
+++ b/base/settings.c
@@ -40,7 +40,7 @@
 }
 
 static el_status_t
-set_string (const el_set_t *setting, const char *text, const char **field,
+set_string (const el_setting_t *setting, const char *text, const char **field,
             el_err_t *err)
 {
   size_t len = strlen (text);
@@ -56,7 +56,7 @@
 }
 
 static el_status_t
-set_number (const el_set_t *setting, const char *text, double *field,
+set_number (const el_setting_t *setting, const char *text, double *field,
             el_err_t *err)
 {
   char *end;
@@ -73,14 +73,15 @@
 }
 
 static el_status_t
-set_value (const el_set_t *setting, const char *text, void *out, el_err_t *err)
+set_value (const el_setting_t *setting, const char *text, void *out,
+           el_err_t *err)
 {
   void *field = (char *)out + setting->offset;
   uint64_t number;
 
-  if (setting->kind == EL_SET_STRING)
+  if (setting->kind == EL_SETTING_STRING)
     return set_string (setting, text, field, err);
-  if (setting->kind == EL_SET_NUMBER)
+  if (setting->kind == EL_SETTING_DOUBLE)
     return set_number (setting, text, field, err);
   if (!el_str_to_u64 (el_str (text), &number) || number < setting->min
       || number > setting->max)
@@ -88,7 +89,7 @@
                        "--%s: takes a whole number from %" PRIu64
                        " to %" PRIu64 ", not '%.64s'",
                        setting->name, setting->min, setting->max, text);
-  if (setting->kind == EL_SET_FLAG)
+  if (setting->kind == EL_SETTING_FLAG)
     *(int *)field = (int)number;
   else
     *(uint64_t *)field = number;
@@ -98,7 +99,7 @@
 /* Defaults and environment variables are applied first, so that a flag
    overrides them. */
 static el_status_t
-apply_defaults (const el_set_options_t *options, void *out, el_err_t *err)
+apply_defaults (const el_settings_options_t *options, void *out, el_err_t *err)
 {
   char name[ENV_NAME_MAX];
   const char *text;
@@ -118,16 +119,16 @@
 }
 
 static el_status_t
-check_required (const el_set_options_t *options, const void *out,
+check_required (const el_settings_options_t *options, const void *out,
                 el_err_t *err)
 {
-  const el_set_t *setting;
+  const el_setting_t *setting;
   size_t i;
 
   for (i = 0; i < options->ntable; i++)
     {
       setting = &options->table[i];
-      if (!setting->required || setting->kind != EL_SET_STRING)
+      if (!setting->required || setting->kind != EL_SETTING_STRING)
         continue;
       if (!*(const char *const *)(const void *)((const char *)out
                                                 + setting->offset))
@@ -138,7 +139,7 @@
 }
 
 static struct poptOption *
-popt_table (const el_set_options_t *options)
+popt_table (const el_settings_options_t *options)
 {
   struct poptOption *table = el_alloc ((options->ntable + 3) * sizeof *table);
   size_t i;
@@ -152,11 +153,11 @@
   };
   for (i = 0; i < options->ntable; i++)
     {
-      const el_set_t *setting = &options->table[i];
+      const el_setting_t *setting = &options->table[i];
 
       table[i + 2] = (struct poptOption){ setting->name,
                                           '\0',
-                                          setting->kind == EL_SET_FLAG
+                                          setting->kind == EL_SETTING_FLAG
                                               ? POPT_ARG_NONE
                                               : POPT_ARG_STRING,
                                           NULL,
@@ -167,15 +168,15 @@
   return table;
 }
 
-/** Free the strings that el_set_parse stored in OUT. */
+/** Free the strings that el_settings_parse stored in OUT. */
 void
-el_set_free (const el_set_options_t *options, void *out)
+el_settings_free (const el_settings_options_t *options, void *out)
 {
   const char **field;
   size_t i;
 
   for (i = 0; i < options->ntable; i++)
-    if (options->table[i].kind == EL_SET_STRING)
+    if (options->table[i].kind == EL_SETTING_STRING)
       {
         field = (void *)((char *)out + options->table[i].offset);
         el_str_free (&(el_str_t){ *field, 0 });
@@ -184,41 +185,42 @@
 }
 
 /** Parse flags and environment variables into OUT, a zeroed struct that the
-    table describes. Release it with el_set_free, also after a failure. REST,
-    unless NULL, receives the remaining arguments, terminated by NULL. */
-el_set_result_t
-el_set_parse (const el_set_options_t *options, int argc, const char **argv,
-              void *out, const char ***rest, el_err_t *err)
+    table describes. Release it with el_settings_free, also after a failure.
+   REST, unless NULL, receives the remaining arguments, terminated by NULL. */
+el_settings_result_t
+el_settings_parse (const el_settings_options_t *options, int argc,
+                   const char **argv, void *out, const char ***rest,
+                   el_err_t *err)
 {
   struct poptOption *table = popt_table (options);
   poptContext context
       = poptGetContext (options->program, argc, argv, table, 0);
-  el_set_result_t result = EL_SET_RUN;
+  el_settings_result_t result = EL_SETTINGS_OK;
   const char **args;
   size_t nrest = 0;
   int opt;
 
   poptSetOtherOptionHelp (context, options->usage);
   if (apply_defaults (options, out, err))
-    result = EL_SET_REFUSED;
-  while (result == EL_SET_RUN && (opt = poptGetNextOpt (context)) != -1)
+    result = EL_SETTINGS_INVALID;
+  while (result == EL_SETTINGS_OK && (opt = poptGetNextOpt (context)) != -1)
     {
       if (opt < -1)
         {
           el_err_set (err, EL_INVALID, "%s: %s",
                       poptBadOption (context, POPT_BADOPTION_NOALIAS),
                       poptStrerror (opt));
-          result = EL_SET_REFUSED;
+          result = EL_SETTINGS_INVALID;
         }
       else if (opt == OPT_HELP)
         {
           poptPrintHelp (context, stdout, 0);
-          result = EL_SET_DONE;
+          result = EL_SETTINGS_DONE;
         }
       else if (opt == OPT_VERSION)
         {
           printf ("%s %s\n", options->program, EL_VERSION);
-          result = EL_SET_DONE;
+          result = EL_SETTINGS_DONE;
         }
       else
         {
@@ -226,17 +228,17 @@
 
           if (set_value (&options->table[opt - OPT_FIRST], text ? text : "1",
                          out, err))
-            result = EL_SET_REFUSED;
+            result = EL_SETTINGS_INVALID;
           free (text);
         }
     }
-  if (result == EL_SET_RUN && check_required (options, out, err))
-    result = EL_SET_REFUSED;
+  if (result == EL_SETTINGS_OK && check_required (options, out, err))
+    result = EL_SETTINGS_INVALID;
   if (rest)
     {
       *rest = el_alloc (sizeof **rest * ((size_t)argc + 1));
       args = poptGetArgs (context);
-      while (result == EL_SET_RUN && args && args[nrest])
+      while (result == EL_SETTINGS_OK && args && args[nrest])
         {
           (*rest)[nrest] = el_str_dup (el_str (args[nrest])).ptr;
           nrest++;
@@ -244,7 +246,7 @@
     }
   poptFreeContext (context);
   free (table);
-  if (rest && result != EL_SET_RUN)
+  if (rest && result != EL_SETTINGS_OK)
     {
       free ((void *)*rest);
       *rest = NULL;
--- a/base/str.c
+++ b/base/str.c
@@ -56,7 +56,7 @@
 }
 
 int
-el_str_starts (el_str_t s, el_str_t prefix)
+el_str_starts_with (el_str_t s, el_str_t prefix)
 {
   return s.len >= prefix.len
          && el_str_eq ((el_str_t){ s.ptr, prefix.len }, prefix);
--- a/base/timer.c
+++ b/base/timer.c
@@ -14,7 +14,7 @@
 heap_put (el_timers_t *timers, size_t i, el_timer_t *timer)
 {
   timers->heap[i] = timer;
-  timer->slot = i + 1;
+  timer->heap_index = i + 1;
 }
 
 static void
@@ -67,23 +67,23 @@
 void
 el_timers_cancel (el_timers_t *timers, el_timer_t *timer)
 {
-  size_t i = timer->slot;
+  size_t i = timer->heap_index;
   el_timer_t *last;
 
   if (i-- == 0)
     return;
-  timer->slot = 0;
+  timer->heap_index = 0;
   last = timers->heap[--timers->len];
   if (last == timer)
     return;
   heap_put (timers, i, last);
   heap_up (timers, i);
-  heap_down (timers, last->slot - 1);
+  heap_down (timers, last->heap_index - 1);
 }
 
 /** Return when the next timer is due, or EL_TIME_NEVER. */
 el_time_t
-el_timers_next (const el_timers_t *timers)
+el_timers_next_due (const el_timers_t *timers)
 {
   return timers->len ? timers->heap[0]->due : EL_TIME_NEVER;
 }
--- a/bench/bench_core.c
+++ b/bench/bench_core.c
@@ -208,16 +208,16 @@
   size_t sessions_bytes;
 
   for (i = 0; i < ENTRIES / 8; i++)
-    co_ledger_open (book, 1, EL_STR ("c"), &session, NULL);
+    co_ledger_open_session (book, 1, EL_STR ("c"), &session, NULL);
   sessions_bytes = bench_heap () - heap;
   heap = bench_heap ();
   began = bench_ns ();
   for (i = 0; i < ENTRIES; i++)
     {
       key.id = i % (ENTRIES / 8) + 1;
-      co_ledger_begin (book, 1, &key, i / (ENTRIES / 8) + 1, i, &session,
-                       &answer);
-      co_ledger_end (book, 1, &key, i / (ENTRIES / 8) + 1, EL_RAN, 0);
+      co_ledger_begin_request (book, 1, &key, i / (ENTRIES / 8) + 1, i,
+                               &session, &answer);
+      co_ledger_end_request (book, 1, &key, i / (ENTRIES / 8) + 1, EL_RAN, 0);
     }
   printf ("bench=ledger sessions=%d entries=%zu bytes_per_session=%zu "
           "bytes_per_entry=%zu begin_and_end_ns=%.0f\n",
--- a/bench/bench_gate.c
+++ b/bench/bench_gate.c
@@ -50,10 +50,10 @@
 {
   bench_t *bench;
   uint64_t began;
-  const net_send_t *send;
+  const net_request_t *send;
 } shot_t;
 
-static void load_next (bench_t *bench, const net_send_t *send);
+static void load_next (bench_t *bench, const net_request_t *send);
 
 static void
 one_done (void *arg, const net_result_t *result)
@@ -71,14 +71,14 @@
 one (bench_t *bench, const char *address, const char *method, const char *path,
      el_str_t body)
 {
-  net_send_t send = { .address = el_str (address),
-                      .method = el_str (method),
-                      .path = el_str (path),
-                      .headers = bench->headers,
-                      .nheaders = 1,
-                      .body = body,
-                      .done = one_done,
-                      .arg = bench };
+  net_request_t send = { .address = el_str (address),
+                         .method = el_str (method),
+                         .path = el_str (path),
+                         .headers = bench->headers,
+                         .nheaders = 1,
+                         .body = body,
+                         .done = one_done,
+                         .arg = bench };
 
   bench->ended = 0;
   net_client_send (bench->client, &send);
@@ -257,9 +257,9 @@
 }
 
 static void
-load_next (bench_t *bench, const net_send_t *send)
+load_next (bench_t *bench, const net_request_t *send)
 {
-  net_send_t next = *send;
+  net_request_t next = *send;
   shot_t *shot;
 
   if (!bench->left)
@@ -279,12 +279,12 @@
 load (bench_t *bench, const char *name, const char *method, const char *path,
       const char *body, unsigned rounds)
 {
-  net_send_t send = { .address = el_str (bench->host),
-                      .method = el_str (method),
-                      .path = el_str (path),
-                      .headers = bench->headers,
-                      .nheaders = 1,
-                      .body = el_str (body) };
+  net_request_t send = { .address = el_str (bench->host),
+                         .method = el_str (method),
+                         .path = el_str (path),
+                         .headers = bench->headers,
+                         .nheaders = 1,
+                         .body = el_str (body) };
   uint64_t began = bench_ns ();
   long rss;
   double cpu = host_cpu (bench, &rss);
@@ -322,7 +322,7 @@
     return EL_EXIT_USAGE;
   memset (&bench, 0, sizeof bench);
   uv_loop_init (&bench.loop);
-  net_clock_open (&bench.clock, &bench.loop);
+  net_clock_init (&bench.clock, &bench.loop);
   bench.client = net_client_new (&bench.clock);
   bench.times = el_alloc (sizeof *bench.times);
   bench.host = argv[1];
--- a/bench/bench_members.c
+++ b/bench/bench_members.c
@@ -43,8 +43,8 @@
 static size_t
 gossip_size (const co_gossip_t *gossip)
 {
-  peer_member members[CO_NEWS_MEMBERS];
-  peer_member_change changes[CO_NEWS_CHANGES];
+  peer_member members[CO_GOSSIP_MEMBERS_MAX];
+  peer_member_change changes[CO_GOSSIP_CHANGES_MAX];
   peer_gossip message;
   size_t i;
 
@@ -92,7 +92,7 @@
   size_t i;
 
   for (i = 0; i < net->n; i++)
-    if (co_members_chosen (net->hosts[i].members, WATCHERS))
+    if (co_members_is_top_ranked (net->hosts[i].members, WATCHERS))
       net_seen (&net->hosts[i], 7);
   while (behind && net->now < began + LIMIT)
     {
--- a/bench/bench_route.c
+++ b/bench/bench_route.c
@@ -307,7 +307,7 @@
 
   for (;;)
     {
-      due = el_timers_next (&sim->timers);
+      due = el_timers_next_due (&sim->timers);
       if (rt_router_next_tick (sim->router) < due)
         due = rt_router_next_tick (sim->router);
       if (due > until)
--- a/coord/cfg_apply.c
+++ b/coord/cfg_apply.c
@@ -168,8 +168,8 @@
 
 /** Visit all changes after REVISION, to pass them on to another host. */
 void
-co_config_since (const co_config_t *config, uint64_t revision,
-                 co_config_change_cb visit, void *arg)
+co_config_visit_since (const co_config_t *config, uint64_t revision,
+                       co_config_change_cb visit, void *arg)
 {
   cfg_entry_t *entry;
   cfg_entry_t *next;
--- a/coord/cfg_schema.c
+++ b/coord/cfg_schema.c
@@ -133,7 +133,7 @@
 {
   const char *name;
   const field_t *fields;
-} kinds[CO_KINDS] = {
+} kinds[CO_KIND_COUNT] = {
   [CO_DEPLOYMENT] = { "deployments", deployment_fields },
   [CO_PIPELINE] = { "pipelines", pipeline_fields },
   [CO_CUSTOMER] = { "customers", customer_fields },
@@ -158,7 +158,7 @@
 {
   size_t i;
 
-  for (i = 0; i < CO_KINDS; i++)
+  for (i = 0; i < CO_KIND_COUNT; i++)
     if (el_str_eq (name, el_str (kinds[i].name)))
       {
         *out = (co_kind_t)i;
--- a/coord/coord.h
+++ b/coord/coord.h
@@ -119,23 +119,24 @@
 co_ledger_t *co_ledger_new (const co_ledger_options_t *options);
 void co_ledger_free (co_ledger_t *ledger);
 co_session_t co_token_session (const co_token_t *token);
-el_status_t co_ledger_open (co_ledger_t *ledger, el_time_t now,
-                            el_str_t customer, uint64_t *session,
-                            el_err_t *err);
-el_status_t co_ledger_close (co_ledger_t *ledger, const co_session_t *session);
-co_led_result_t co_ledger_begin (co_ledger_t *ledger, el_time_t now,
-                                 const co_session_t *session,
-                                 uint64_t sequence, uint64_t digest,
-                                 void *new_answer, void **answer);
-void co_ledger_end (co_ledger_t *ledger, el_time_t now,
-                    const co_session_t *session, uint64_t sequence,
-                    el_verdict_t verdict, size_t bytes);
-int co_ledger_holds (co_ledger_t *ledger, const co_session_t *session);
+el_status_t co_ledger_open_session (co_ledger_t *ledger, el_time_t now,
+                                    el_str_t customer, uint64_t *session,
+                                    el_err_t *err);
+el_status_t co_ledger_close_session (co_ledger_t *ledger,
+                                     const co_session_t *session);
+co_led_result_t co_ledger_begin_request (co_ledger_t *ledger, el_time_t now,
+                                         const co_session_t *session,
+                                         uint64_t sequence, uint64_t digest,
+                                         void *new_answer, void **answer);
+void co_ledger_end_request (co_ledger_t *ledger, el_time_t now,
+                            const co_session_t *session, uint64_t sequence,
+                            el_verdict_t verdict, size_t bytes);
+int co_ledger_has_session (co_ledger_t *ledger, const co_session_t *session);
 void co_ledger_export (co_ledger_t *ledger, co_led_export_cb visit, void *arg);
 el_status_t co_ledger_import (co_ledger_t *ledger, el_time_t now,
                               const co_led_session_t *session);
-void co_ledger_moved (co_ledger_t *ledger, const co_session_t *session,
-                      int moved);
+void co_ledger_set_moved (co_ledger_t *ledger, const co_session_t *session,
+                          int moved);
 void co_ledger_seal (co_ledger_t *ledger);
 void co_ledger_expire (co_ledger_t *ledger, el_time_t now);
 size_t co_ledger_sessions (const co_ledger_t *ledger);
@@ -183,38 +184,38 @@
 } co_member_t;
 
 /** Notice that an endpoint is about to leave. */
-typedef struct co_leaving
+typedef struct co_leaving_notice
 {
   uint64_t id; /**< random, unique per notice */
   el_str_t endpoint;
-} co_leaving_t;
+} co_leaving_notice_t;
 
 /** State of a member, for hosts that know the member already. */
-typedef struct co_change
+typedef struct co_member_change
 {
   co_incarnation_t incarnation;
   uint64_t counter;
   co_mbr_state_t state;
   co_mbr_offer_t offer;
-} co_change_t;
+} co_member_change_t;
 
 /** Maximum number of updates of each kind in one message, so that it fits a
     datagram. */
-#define CO_NEWS_MEMBERS 4
-#define CO_NEWS_CHANGES 12
-#define CO_NEWS_LEAVING 4
+#define CO_GOSSIP_MEMBERS_MAX 4
+#define CO_GOSSIP_CHANGES_MAX 12
+#define CO_GOSSIP_LEAVING_MAX 4
 
 /** Payload of a probe or of its answer. */
 typedef struct co_gossip
 {
   co_member_t self;
   uint64_t digest; /**< digest of the sender's available members */
-  co_member_t members[CO_NEWS_MEMBERS]; /**< members that the receiver may not
-                                           know yet */
+  co_member_t members[CO_GOSSIP_MEMBERS_MAX]; /**< members that the receiver
+                                           may not know yet */
   size_t nmembers;
-  co_change_t changes[CO_NEWS_CHANGES];
+  co_member_change_t changes[CO_GOSSIP_CHANGES_MAX];
   size_t nchanges;
-  co_leaving_t leaving[CO_NEWS_LEAVING];
+  co_leaving_notice_t leaving[CO_GOSSIP_LEAVING_MAX];
   size_t nleaving;
 } co_gossip_t;
 
@@ -232,13 +233,14 @@
   el_time_t forget;  /**< dead members are kept this long */
   el_time_t leaving_hold; /**< a notice that an endpoint leaves is passed on
                              this long */
-  /** Probe the host at ADDRESS: send it the message that co_members_speak
-      makes, and pass the outcome to co_members_answer. With VIA set, ask the
-      host at VIA to do the probing. */
+  /** Probe the host at ADDRESS: send it the message that
+     co_members_write_gossip makes, and pass the outcome to
+     co_members_probe_done. With VIA set, ask the host at VIA to do the
+     probing. */
   void (*probe) (void *arg, uint64_t id, el_str_t address, el_str_t via);
   /** Request the full member list from the host at ADDRESS; pass live members
-      to co_members_take and all others to co_members_take_change. May be
-      NULL. */
+      to co_members_apply_member and all others to co_members_apply_change. May
+     be NULL. */
   void (*sync) (void *arg, el_str_t address);
   /** A member was added or has changed. */
   void (*changed) (void *arg, const co_member_t *member);
@@ -250,40 +252,40 @@
 co_members_t *co_members_new (const co_members_options_t *options);
 void co_members_free (co_members_t *members);
 void co_members_tick (co_members_t *members, el_time_t now);
-el_time_t co_members_next (const co_members_t *members);
-void co_members_speak (co_members_t *members, const co_incarnation_t *to,
-                       co_gossip_t *out);
-void co_members_hear (co_members_t *members, el_time_t now,
-                      const co_gossip_t *gossip);
-void co_members_answer (co_members_t *members, el_time_t now, uint64_t id,
-                        int ok, const co_gossip_t *gossip);
-void co_members_take (co_members_t *members, el_time_t now,
-                      const co_member_t *member);
-void co_members_take_change (co_members_t *members, el_time_t now,
-                             const co_change_t *change);
-void co_members_withdraw (co_members_t *members, int withdrawn);
+el_time_t co_members_next_due (const co_members_t *members);
+void co_members_write_gossip (co_members_t *members,
+                              const co_incarnation_t *to, co_gossip_t *out);
+void co_members_receive_gossip (co_members_t *members, el_time_t now,
+                                const co_gossip_t *gossip);
+void co_members_probe_done (co_members_t *members, el_time_t now, uint64_t id,
+                            int ok, const co_gossip_t *gossip);
+void co_members_apply_member (co_members_t *members, el_time_t now,
+                              const co_member_t *member);
+void co_members_apply_change (co_members_t *members, el_time_t now,
+                              const co_member_change_t *change);
+void co_members_set_withdrawn (co_members_t *members, int withdrawn);
 void co_members_drain (co_members_t *members, co_mbr_state_t state);
-void co_members_hand_over (co_members_t *members,
-                           const co_incarnation_t *successor);
+void co_members_set_successor (co_members_t *members,
+                               const co_incarnation_t *successor);
 const co_member_t *co_members_find (const co_members_t *members,
                                     const co_incarnation_t *incarnation);
 const co_member_t *co_members_pick (co_members_t *members);
-size_t co_members_some (co_members_t *members, const co_member_t **out,
-                        size_t max);
-void co_members_seen (co_members_t *members, uint64_t revision);
-void co_members_endpoint (co_members_t *members, el_time_t now,
-                          el_str_t endpoint);
-size_t co_members_live (const co_members_t *members);
+size_t co_members_sample (co_members_t *members, const co_member_t **out,
+                          size_t max);
+void co_members_set_revision (co_members_t *members, uint64_t revision);
+void co_members_report_leaving (co_members_t *members, el_time_t now,
+                                el_str_t endpoint);
+size_t co_members_live_count (const co_members_t *members);
 typedef void (*co_member_visit_cb) (void *arg, const co_member_t *member);
 void co_members_visit (const co_members_t *members, co_member_visit_cb visit,
                        void *arg);
 /** Returns nonzero to skip a member. */
 typedef int (*co_member_skip_cb) (void *arg, const co_member_t *member);
-const co_member_t *co_members_first (const co_members_t *members,
-                                     const co_member_t *after,
-                                     co_member_skip_cb skip, void *arg);
-int co_member_before (const co_member_t *a, const co_member_t *b);
-int co_members_chosen (const co_members_t *members, size_t max);
+const co_member_t *co_members_next_ranked (const co_members_t *members,
+                                           const co_member_t *after,
+                                           co_member_skip_cb skip, void *arg);
+int co_member_ranks_before (const co_member_t *a, const co_member_t *b);
+int co_members_is_top_ranked (const co_members_t *members, size_t max);
 const char *co_mbr_state_name (co_mbr_state_t state);
 const char *co_mbr_offer_name (co_mbr_offer_t offer);
 
@@ -293,8 +295,8 @@
     of their bodies in one message, so that it fits a datagram. Sizes are in
     bytes. */
 #define CO_RUMOR_BODY_MAX 1000
-#define CO_RUMORS_BATCH 16
-#define CO_RUMORS_BYTES 1000
+#define CO_RUMORS_BATCH_MAX 16
+#define CO_RUMORS_BATCH_BYTES_MAX 1000
 
 /** A rumor; the format of the body is up to the caller. */
 typedef struct co_rumor
@@ -309,8 +311,8 @@
 
 typedef struct co_rumors_options
 {
-  size_t most;      /**< maximum number of rumors kept */
-  el_time_t gather; /**< delay to collect rumors for one message */
+  size_t max_rumors;     /**< maximum number of rumors kept */
+  el_time_t batch_delay; /**< delay to collect rumors for one message */
   /** Send rumors to a few other hosts. */
   void (*send) (void *arg, const co_rumor_t *list, size_t n);
   /** A rumor that was not known here arrived from another host. */
@@ -320,15 +322,15 @@
 
 co_rumors_t *co_rumors_new (const co_rumors_options_t *options);
 void co_rumors_free (co_rumors_t *rumors);
-void co_rumors_tell (co_rumors_t *rumors, el_time_t now,
-                     const co_rumor_t *rumor);
-int co_rumors_hear (co_rumors_t *rumors, el_time_t now,
-                    const co_rumor_t *rumor);
+void co_rumors_publish (co_rumors_t *rumors, el_time_t now,
+                        const co_rumor_t *rumor);
+int co_rumors_receive (co_rumors_t *rumors, el_time_t now,
+                       const co_rumor_t *rumor);
 void co_rumors_tick (co_rumors_t *rumors, el_time_t now);
-el_time_t co_rumors_next (const co_rumors_t *rumors);
+el_time_t co_rumors_next_due (const co_rumors_t *rumors);
 uint64_t co_rumors_digest (const co_rumors_t *rumors);
-int co_rumors_behind (co_rumors_t *rumors, el_time_t now, uint64_t digest);
-void co_rumors_asked (co_rumors_t *rumors, size_t added);
+int co_rumors_needs_sync (co_rumors_t *rumors, el_time_t now, uint64_t digest);
+void co_rumors_sync_done (co_rumors_t *rumors, size_t added);
 typedef void (*co_rumor_visit_cb) (void *arg, const co_rumor_t *rumor);
 void co_rumors_visit (const co_rumors_t *rumors, co_rumor_visit_cb visit,
                       void *arg);
@@ -342,7 +344,7 @@
   CO_CUSTOMER,
   CO_ENDPOINT,
   CO_SERVICE,
-  CO_KINDS
+  CO_KIND_COUNT
 } co_kind_t;
 
 /** Maximum number of stages of a pipeline, and of endpoints of a service. */
@@ -458,8 +460,8 @@
 typedef void (*co_config_change_cb) (void *arg, co_kind_t kind, el_str_t name,
                                      uint64_t revision,
                                      const co_resource_t *resource);
-void co_config_since (const co_config_t *config, uint64_t revision,
-                      co_config_change_cb visit, void *arg);
+void co_config_visit_since (const co_config_t *config, uint64_t revision,
+                            co_config_change_cb visit, void *arg);
 typedef void (*co_config_visit_cb) (void *arg, const co_resource_t *resource);
 void co_config_visit (const co_config_t *config, co_config_visit_cb visit,
                       void *arg);
--- a/coord/ledger.c
+++ b/coord/ledger.c
@@ -134,8 +134,8 @@
 
 /** Open a session for CUSTOMER; EL_LIMIT when the ledger is sealed or full. */
 el_status_t
-co_ledger_open (co_ledger_t *ledger, el_time_t now, el_str_t customer,
-                uint64_t *id, el_err_t *err)
+co_ledger_open_session (co_ledger_t *ledger, el_time_t now, el_str_t customer,
+                        uint64_t *id, el_err_t *err)
 {
   led_session_t *session;
 
@@ -157,7 +157,7 @@
 /** Close a session. Its requests are forgotten, so none of them runs again.
     EL_CONFLICT while a request is running. */
 el_status_t
-co_ledger_close (co_ledger_t *ledger, const co_session_t *key)
+co_ledger_close_session (co_ledger_t *ledger, const co_session_t *key)
 {
   led_session_t *session = session_find (ledger, key);
 
@@ -217,9 +217,9 @@
    the first arrival. DIGEST distinguishes different requests that a caller
    sent with the same sequence. */
 co_led_result_t
-co_ledger_begin (co_ledger_t *ledger, el_time_t now, const co_session_t *key,
-                 uint64_t sequence, uint64_t digest, void *new_answer,
-                 void **answer)
+co_ledger_begin_request (co_ledger_t *ledger, el_time_t now,
+                         const co_session_t *key, uint64_t sequence,
+                         uint64_t digest, void *new_answer, void **answer)
 {
   led_session_t *session = session_find (ledger, key);
   led_entry_t *entry;
@@ -270,8 +270,9 @@
     so that the caller may send it again. Any other is kept with an answer of
     BYTES for as long as all answers fit within max_bytes. */
 void
-co_ledger_end (co_ledger_t *ledger, el_time_t now, const co_session_t *key,
-               uint64_t sequence, el_verdict_t verdict, size_t bytes)
+co_ledger_end_request (co_ledger_t *ledger, el_time_t now,
+                       const co_session_t *key, uint64_t sequence,
+                       el_verdict_t verdict, size_t bytes)
 {
   led_session_t *session = session_find (ledger, key);
   led_entry_t *entry = session ? entry_find (session, sequence) : NULL;
@@ -294,7 +295,7 @@
 
 /** Return whether a session is known here. */
 int
-co_ledger_holds (co_ledger_t *ledger, const co_session_t *key)
+co_ledger_has_session (co_ledger_t *ledger, const co_session_t *key)
 {
   return session_find (ledger, key) != NULL;
 }
@@ -433,7 +434,7 @@
 /** Record whether a session was handed over. MOVED is also set when the new
     host did not answer and may have it; 0 means that it refused. */
 void
-co_ledger_moved (co_ledger_t *ledger, const co_session_t *key, int moved)
+co_ledger_set_moved (co_ledger_t *ledger, const co_session_t *key, int moved)
 {
   led_session_t *session = session_find (ledger, key);
 
--- a/coord/libcoord.h
+++ b/coord/libcoord.h
@@ -45,7 +45,7 @@
 typedef struct mbr_leaving
 {
   co_members_t *members;
-  co_leaving_t l; /* keyed by its id */
+  co_leaving_notice_t l; /* keyed by its id */
   unsigned sent;
   el_timer_t timer;
   UT_hash_handle hh;
@@ -130,7 +130,7 @@
 void mbr_member_apply (co_members_t *members, el_time_t now,
                        const co_member_t *member, int all);
 void mbr_change_apply (co_members_t *members, el_time_t now,
-                       const co_change_t *change);
+                       const co_member_change_t *change);
 void mbr_entry_set_state (co_members_t *members, el_time_t now,
                           mbr_entry_t *entry, co_mbr_state_t state);
 el_time_t mbr_suspect_timeout (const co_members_t *members);
--- a/coord/mbr_members.c
+++ b/coord/mbr_members.c
@@ -182,7 +182,7 @@
 /* Handle an update about this host itself. A report that it is suspect or dead
    is refuted by a higher counter. */
 static void
-self_apply (co_members_t *members, const co_change_t *change)
+self_apply (co_members_t *members, const co_member_change_t *change)
 {
   if (change->state == CO_MBR_ALIVE || change->counter < members->self.counter
       || members->self.state == CO_MBR_LEFT)
@@ -194,7 +194,7 @@
     itself raises, takes precedence; at equal counters the worse state does. */
 void
 mbr_change_apply (co_members_t *members, el_time_t now,
-                  const co_change_t *change)
+                  const co_member_change_t *change)
 {
   mbr_entry_t *entry;
 
@@ -234,10 +234,10 @@
 mbr_member_apply (co_members_t *members, el_time_t now,
                   const co_member_t *member, int all)
 {
-  const co_change_t change = { .incarnation = member->incarnation,
-                               .counter = member->counter,
-                               .state = member->state,
-                               .offer = member->offer };
+  const co_member_change_t change = { .incarnation = member->incarnation,
+                                      .counter = member->counter,
+                                      .state = member->state,
+                                      .offer = member->offer };
   mbr_entry_t *entry = mbr_entry_find (members, &member->incarnation);
   int is_new = 0;
 
@@ -278,7 +278,7 @@
 /** Set whether this host should temporarily be sent no callers. Has no effect
     on a draining host. */
 void
-co_members_withdraw (co_members_t *members, int withdrawn)
+co_members_set_withdrawn (co_members_t *members, int withdrawn)
 {
   co_mbr_offer_t offer = withdrawn ? CO_MBR_WITHDRAWN : CO_MBR_OFFERED;
 
@@ -290,7 +290,8 @@
 
 /** Record that SUCCESSOR has taken over this host's sessions. */
 void
-co_members_hand_over (co_members_t *members, const co_incarnation_t *successor)
+co_members_set_successor (co_members_t *members,
+                          const co_incarnation_t *successor)
 {
   members->self.successor = *successor;
   members->self.counter++;
@@ -334,7 +335,7 @@
 /** Store up to MAX randomly chosen hosts other than this one that are alive
     or suspect in OUT, and return their number. */
 size_t
-co_members_some (co_members_t *members, const co_member_t **out, size_t max)
+co_members_sample (co_members_t *members, const co_member_t **out, size_t max)
 {
   size_t seen = 0;
   size_t at;
@@ -356,7 +357,7 @@
 /** Set the revision up to which this host has seen all configuration
     changes. */
 void
-co_members_seen (co_members_t *members, uint64_t revision)
+co_members_set_revision (co_members_t *members, uint64_t revision)
 {
   members->self.revision = revision;
 }
@@ -393,7 +394,7 @@
 /** Return the number of hosts that are alive or suspect, including this
     one. */
 size_t
-co_members_live (const co_members_t *members)
+co_members_live_count (const co_members_t *members)
 {
   return members->live + 1;
 }
@@ -416,7 +417,7 @@
     is withdrawn is not considered: otherwise, when all hosts are withdrawn and
     are offered again one by one, no host would know which one to ask. */
 int
-co_member_before (const co_member_t *a, const co_member_t *b)
+co_member_ranks_before (const co_member_t *a, const co_member_t *b)
 {
   if (a->capacity != b->capacity)
     return a->capacity > b->capacity;
@@ -438,7 +439,7 @@
     from its own view. While views differ, a few hosts more or fewer may
     perform them, which is harmless. */
 int
-co_members_chosen (const co_members_t *members, size_t max)
+co_members_is_top_ranked (const co_members_t *members, size_t max)
 {
   size_t before = 0;
   mbr_entry_t *entry;
@@ -446,7 +447,7 @@
 
   HASH_ITER (hh, members->entries, entry, next)
   if (member_is_eligible (members, &entry->m)
-      && co_member_before (&entry->m, &members->self))
+      && co_member_ranks_before (&entry->m, &members->self))
     before++;
   return before < max;
 }
@@ -456,21 +457,21 @@
     skipped; NULL when there is none. Hosts with the same view get the same
     result. */
 const co_member_t *
-co_members_first (const co_members_t *members, const co_member_t *after,
-                  co_member_skip_cb skip, void *arg)
+co_members_next_ranked (const co_members_t *members, const co_member_t *after,
+                        co_member_skip_cb skip, void *arg)
 {
   const co_member_t *first = NULL;
   mbr_entry_t *entry;
   mbr_entry_t *next;
 
   if (member_is_eligible (members, &members->self)
-      && (!after || co_member_before (after, &members->self))
+      && (!after || co_member_ranks_before (after, &members->self))
       && !skip (arg, &members->self))
     first = &members->self;
   HASH_ITER (hh, members->entries, entry, next)
   if (member_is_eligible (members, &entry->m)
-      && (!after || co_member_before (after, &entry->m))
-      && (!first || co_member_before (&entry->m, first))
+      && (!after || co_member_ranks_before (after, &entry->m))
+      && (!first || co_member_ranks_before (&entry->m, first))
       && !skip (arg, &entry->m))
     first = &entry->m;
   return first;
--- a/coord/mbr_probe.c
+++ b/coord/mbr_probe.c
@@ -152,14 +152,14 @@
 /** Handle the outcome of probe ID: an answer, direct or by way of another
     host, or no answer (OK is 0). */
 void
-co_members_answer (co_members_t *members, el_time_t now, uint64_t id, int ok,
-                   const co_gossip_t *gossip)
+co_members_probe_done (co_members_t *members, el_time_t now, uint64_t id,
+                       int ok, const co_gossip_t *gossip)
 {
   mbr_probe_t *probe;
   mbr_entry_t *entry;
 
   if (ok)
-    co_members_hear (members, now, gossip);
+    co_members_receive_gossip (members, now, gossip);
   DL_FOREACH (members->probes, probe)
   if (probe->id == id)
     break;
@@ -208,7 +208,7 @@
 }
 
 /** Check probes and suspicions for timeouts and send the next probe; call it
-    at the time that co_members_next gives. */
+    at the time that co_members_next_due gives. */
 void
 co_members_tick (co_members_t *members, el_time_t now)
 {
@@ -246,9 +246,9 @@
 
 /** Return when to call co_members_tick. */
 el_time_t
-co_members_next (const co_members_t *members)
+co_members_next_due (const co_members_t *members)
 {
-  el_time_t due = el_timers_next (&members->timers);
+  el_time_t due = el_timers_next_due (&members->timers);
   mbr_probe_t *probe;
 
   if (members->next_period < due)
--- a/coord/mbr_news.c
+++ b/coord/mbr_update.c
@@ -140,17 +140,17 @@
 change_write (const mbr_entry_t *entry, co_gossip_t *out)
 {
   out->changes[out->nchanges++]
-      = (co_change_t){ .incarnation = entry->m.incarnation,
-                       .counter = entry->m.counter,
-                       .state = entry->m.state,
-                       .offer = entry->m.offer };
+      = (co_member_change_t){ .incarnation = entry->m.incarnation,
+                              .counter = entry->m.counter,
+                              .state = entry->m.state,
+                              .offer = entry->m.offer };
 }
 
 static void
 write_changes (co_members_t *members, const co_incarnation_t *to,
                co_gossip_t *out, unsigned sends)
 {
-  mbr_update_t *list[CO_NEWS_CHANGES];
+  mbr_update_t *list[CO_GOSSIP_CHANGES_MAX];
   const mbr_entry_t *entry = to ? mbr_entry_find (members, to) : NULL;
   size_t n;
   size_t i;
@@ -159,9 +159,9 @@
   if (entry && entry->m.state != CO_MBR_ALIVE)
     change_write (entry, out);
   n = queue_take (&members->unavailable, sends, list, 0,
-                  CO_NEWS_CHANGES - CHANGES_RESERVED - out->nchanges);
+                  CO_GOSSIP_CHANGES_MAX - CHANGES_RESERVED - out->nchanges);
   n = queue_take (&members->available, sends, list, n,
-                  CO_NEWS_CHANGES - out->nchanges);
+                  CO_GOSSIP_CHANGES_MAX - out->nchanges);
   for (i = 0; i < n; i++)
     {
       change_write (list[i]->entry, out);
@@ -172,8 +172,9 @@
 static void
 write_members (co_members_t *members, co_gossip_t *out, unsigned sends)
 {
-  mbr_update_t *list[CO_NEWS_MEMBERS];
-  size_t n = queue_take (&members->full, sends, list, 0, CO_NEWS_MEMBERS);
+  mbr_update_t *list[CO_GOSSIP_MEMBERS_MAX];
+  size_t n
+      = queue_take (&members->full, sends, list, 0, CO_GOSSIP_MEMBERS_MAX);
   size_t i;
 
   for (i = 0; i < n; i++)
@@ -190,7 +191,7 @@
   mbr_leaving_t *next;
 
   HASH_ITER (hh, members->leaving, notice, next)
-  if (notice->sent < sends && out->nleaving < CO_NEWS_LEAVING)
+  if (notice->sent < sends && out->nleaving < CO_GOSSIP_LEAVING_MAX)
     {
       notice->sent++;
       out->leaving[out->nleaving++] = notice->l;
@@ -200,8 +201,8 @@
 /** Fill OUT with this host's next message, to the member TO if that is not
     NULL. Strings are valid until the members change. */
 void
-co_members_speak (co_members_t *members, const co_incarnation_t *to,
-                  co_gossip_t *out)
+co_members_write_gossip (co_members_t *members, const co_incarnation_t *to,
+                         co_gossip_t *out)
 {
   unsigned sends = update_transmit_limit (members);
 
@@ -259,7 +260,7 @@
 
 static void
 leaving_receive (co_members_t *members, el_time_t now,
-                 const co_leaving_t *leaving)
+                 const co_leaving_notice_t *leaving)
 {
   mbr_leaving_t *notice;
 
@@ -283,7 +284,8 @@
 
 /** Record that this host noticed that ENDPOINT leaves, and tell the others. */
 void
-co_members_endpoint (co_members_t *members, el_time_t now, el_str_t endpoint)
+co_members_report_leaving (co_members_t *members, el_time_t now,
+                           el_str_t endpoint)
 {
   leaving_add (members, now, mbr_random (members), endpoint);
 }
@@ -338,8 +340,8 @@
 
 /** Handle a message from another host. */
 void
-co_members_hear (co_members_t *members, el_time_t now,
-                 const co_gossip_t *gossip)
+co_members_receive_gossip (co_members_t *members, el_time_t now,
+                           const co_gossip_t *gossip)
 {
   size_t i;
 
@@ -355,16 +357,16 @@
 
 /** Apply a record from a full member list that was requested. */
 void
-co_members_take (co_members_t *members, el_time_t now,
-                 const co_member_t *member)
+co_members_apply_member (co_members_t *members, el_time_t now,
+                         const co_member_t *member)
 {
   mbr_member_apply (members, now, member, 1);
 }
 
 /** Apply the state of a member that this host may know. */
 void
-co_members_take_change (co_members_t *members, el_time_t now,
-                        const co_change_t *change)
+co_members_apply_change (co_members_t *members, el_time_t now,
+                         const co_member_change_t *change)
 {
   mbr_change_apply (members, now, change);
 }
--- a/coord/rumor.c
+++ b/coord/rumor.c
@@ -86,7 +86,7 @@
   rumor_t *first = rumors->list;
   rumor_t *rumor;
 
-  if (HASH_COUNT (rumors->by_id) < rumors->options.most)
+  if (HASH_COUNT (rumors->by_id) < rumors->options.max_rumors)
     return;
   DL_FOREACH (rumors->list, rumor)
   if (rumor->r.until < first->r.until)
@@ -113,20 +113,20 @@
   rumors->digest ^= rumor_hash (from->id);
   rumors->changed = now;
   if (rumors->due == EL_TIME_NEVER)
-    rumors->due = now + rumors->options.gather;
+    rumors->due = now + rumors->options.batch_delay;
   return rumor;
 }
 
 /** Spread RUMOR to all hosts; it is copied. */
 void
-co_rumors_tell (co_rumors_t *rumors, el_time_t now, const co_rumor_t *rumor)
+co_rumors_publish (co_rumors_t *rumors, el_time_t now, const co_rumor_t *rumor)
 {
   rumor_add (rumors, now, rumor);
 }
 
 /** Handle RUMOR from another host; returns 0 when it was not added. */
 int
-co_rumors_hear (co_rumors_t *rumors, el_time_t now, const co_rumor_t *rumor)
+co_rumors_receive (co_rumors_t *rumors, el_time_t now, const co_rumor_t *rumor)
 {
   const rumor_t *added = rumor_add (rumors, now, rumor);
 
@@ -139,7 +139,7 @@
 static void
 rumors_send (co_rumors_t *rumors)
 {
-  co_rumor_t batch[CO_RUMORS_BATCH];
+  co_rumor_t batch[CO_RUMORS_BATCH_MAX];
   rumor_t *rumor;
   size_t bytes = 0;
   size_t n = 0;
@@ -149,8 +149,8 @@
     if (!rumor->unsent)
       continue;
     rumor->unsent = 0;
-    if (n == CO_RUMORS_BATCH
-        || (n && bytes + rumor->r.body.len > CO_RUMORS_BYTES))
+    if (n == CO_RUMORS_BATCH_MAX
+        || (n && bytes + rumor->r.body.len > CO_RUMORS_BATCH_BYTES_MAX))
       {
         rumors->options.send (rumors->options.arg, batch, n);
         n = 0;
@@ -164,7 +164,7 @@
 }
 
 /** Send new rumors and drop expired ones; call it at the time that
-    co_rumors_next gives. */
+    co_rumors_next_due gives. */
 void
 co_rumors_tick (co_rumors_t *rumors, el_time_t now)
 {
@@ -183,7 +183,7 @@
 
 /** Return when to call co_rumors_tick to send new rumors. */
 el_time_t
-co_rumors_next (const co_rumors_t *rumors)
+co_rumors_next_due (const co_rumors_t *rumors)
 {
   return rumors->due;
 }
@@ -198,7 +198,7 @@
 /** Compare with the DIGEST of another host's rumors; returns whether to
     request all of them from it. */
 int
-co_rumors_behind (co_rumors_t *rumors, el_time_t now, uint64_t digest)
+co_rumors_needs_sync (co_rumors_t *rumors, el_time_t now, uint64_t digest)
 {
   if (digest == rumors->digest)
     {
@@ -217,7 +217,7 @@
 
 /** Record the answer to a request for all rumors, ADDED of which were new. */
 void
-co_rumors_asked (co_rumors_t *rumors, size_t added)
+co_rumors_sync_done (co_rumors_t *rumors, size_t added)
 {
   if (added)
     rumors->sync_backoff = 0;
--- a/elmarchctl/main.c
+++ b/elmarchctl/main.c
@@ -69,14 +69,14 @@
 
 #define AT(field) offsetof (ctl_settings_t, field)
 
-static const el_set_t table[] = {
-  { "host", EL_SET_STRING, AT (host), "127.0.0.1:8080", 9, 21, 0, "IP:PORT",
-    "address of an entry host" },
-  { "operator-key", EL_SET_STRING, AT (operator_key), NULL, 16, 256, 1, "KEY",
-    "key that authenticates operators; best set as a variable" },
-  { "output", EL_SET_STRING, AT (output), "table", 4, 5, 0, "FORM",
+static const el_setting_t table[] = {
+  { "host", EL_SETTING_STRING, AT (host), "127.0.0.1:8080", 9, 21, 0,
+    "IP:PORT", "address of an entry host" },
+  { "operator-key", EL_SETTING_STRING, AT (operator_key), NULL, 16, 256, 1,
+    "KEY", "key that authenticates operators; best set as a variable" },
+  { "output", EL_SETTING_STRING, AT (output), "table", 4, 5, 0, "FORM",
     "table or json" },
-  { "wait-s", EL_SET_U64, AT (wait_s), "20", 0, 3600, 0, "S",
+  { "wait-s", EL_SETTING_U64, AT (wait_s), "20", 0, 3600, 0, "S",
     "longest time that apply waits for a change to be in force on all hosts" },
 };
 
@@ -105,15 +105,15 @@
 {
   el_buf_t bearer = { NULL, 0, 0 };
   net_header_t header = { EL_STR ("authorization"), { NULL, 0 } };
-  net_send_t send = { .address = el_str (ctl->set.host),
-                      .method = el_str (method),
-                      .path = path,
-                      .headers = &header,
-                      .nheaders = 1,
-                      .body = body,
-                      .timeout = REQUEST_TIMEOUT,
-                      .done = response_received,
-                      .arg = ctl };
+  net_request_t send = { .address = el_str (ctl->set.host),
+                         .method = el_str (method),
+                         .path = path,
+                         .headers = &header,
+                         .nheaders = 1,
+                         .body = body,
+                         .timeout = REQUEST_TIMEOUT,
+                         .done = response_received,
+                         .arg = ctl };
 
   el_buf_printf (&bearer, "Bearer %s", ctl->set.operator_key);
   header.value = el_buf_str (&bearer);
@@ -469,7 +469,7 @@
 int
 main (int argc, const char **argv)
 {
-  const el_set_options_t options
+  const el_settings_options_t options
       = { .program = "elmarchctl",
           .env_prefix = "ELMARCHCTL",
           .usage = "[OPTION...] COMMAND [ARGUMENT...]\nCommands: apply FILE, "
@@ -479,31 +479,31 @@
           .ntable = sizeof table / sizeof *table };
   static ctl_t ctl;
   el_err_t err;
-  el_set_result_t result;
+  el_settings_result_t result;
   int rc = EXIT_SUCCESS;
 
-  result = el_set_parse (&options, argc, argv, &ctl.set, &ctl.args, &err);
-  if (result == EL_SET_RUN && strcmp (ctl.set.output, "json") != 0
+  result = el_settings_parse (&options, argc, argv, &ctl.set, &ctl.args, &err);
+  if (result == EL_SETTINGS_OK && strcmp (ctl.set.output, "json") != 0
       && strcmp (ctl.set.output, "table") != 0)
     {
       el_err_set (&err, EL_INVALID, "--output: takes table or json, not '%s'",
                   ctl.set.output);
-      result = EL_SET_REFUSED;
+      result = EL_SETTINGS_INVALID;
     }
-  if (result == EL_SET_REFUSED)
+  if (result == EL_SETTINGS_INVALID)
     {
       fprintf (stderr, "elmarchctl: %s\n", err.msg);
       rc = EL_EXIT_USAGE;
     }
-  else if (result == EL_SET_RUN)
+  else if (result == EL_SETTINGS_OK)
     {
       uv_loop_init (&ctl.loop);
-      net_clock_open (&ctl.clock, &ctl.loop);
+      net_clock_init (&ctl.clock, &ctl.loop);
       ctl.client = net_client_new (&ctl.clock);
       rc = ctl_run (&ctl, ctl.args);
     }
   json_decref (ctl.json);
   el_buf_free (&ctl.text);
-  el_set_free (&options, &ctl.set);
+  el_settings_free (&options, &ctl.set);
   return rc;
 }
--- a/elmarchd/frontend.c
+++ b/elmarchd/frontend.c
@@ -315,13 +315,13 @@
 static int
 frontend_item_received (void *arg, const pr_store_item_t *item)
 {
-  if (el_str_starts (item->key, PF_RULES_PREFIX))
+  if (el_str_starts_with (item->key, PF_RULES_PREFIX))
     return rules_item_received (arg, item);
-  if (el_str_starts (item->key, PF_ENDPOINTS_PREFIX))
+  if (el_str_starts_with (item->key, PF_ENDPOINTS_PREFIX))
     endpoint_item_received (arg, item);
   else if (el_str_eq (item->key, PF_PLANNER_KEY))
     planner_item_received (arg, item);
-  else if (el_str_starts (item->key, PF_BLOCKED_PREFIX))
+  else if (el_str_starts_with (item->key, PF_BLOCKED_PREFIX))
     blocked_item_received (arg, item);
   return 1;
 }
--- a/elmarchd/main.c
+++ b/elmarchd/main.c
@@ -76,85 +76,87 @@
 
 #define AT(field) offsetof (daemon_settings_t, field)
 
-static const el_set_t table[] = {
-  { "listen", EL_SET_STRING, AT (listen), "127.0.0.1:8080", 9, 21, 0,
+static const el_setting_t table[] = {
+  { "listen", EL_SETTING_STRING, AT (listen), "127.0.0.1:8080", 9, 21, 0,
     "IP:PORT", "address for callers and operators" },
-  { "peer-listen", EL_SET_STRING, AT (peer_listen), "127.0.0.1:8081", 9, 21, 0,
-    "IP:PORT", "address for other hosts" },
-  { "peers", EL_SET_STRING, AT (peers), "", 0, 32768, 0, "IP:PORT,...",
+  { "peer-listen", EL_SETTING_STRING, AT (peer_listen), "127.0.0.1:8081", 9,
+    21, 0, "IP:PORT", "address for other hosts" },
+  { "peers", EL_SETTING_STRING, AT (peers), "", 0, 32768, 0, "IP:PORT,...",
     "peer addresses of other hosts" },
-  { "hall", EL_SET_STRING, AT (hall), NULL, 1, 63, 1, "NAME",
+  { "hall", EL_SETTING_STRING, AT (hall), NULL, 1, 63, 1, "NAME",
     "hall of this host" },
-  { "platform", EL_SET_STRING, AT (platform), "", 0, 21, 0, "IP:PORT",
+  { "platform", EL_SETTING_STRING, AT (platform), "", 0, 21, 0, "IP:PORT",
     "the platform's key-value service; required without --entry" },
-  { "entry", EL_SET_STRING, AT (entry), "", 0, 21, 0, "IP:PORT",
+  { "entry", EL_SETTING_STRING, AT (entry), "", 0, 21, 0, "IP:PORT",
     "address for callers of relayed requests; empty: disabled" },
-  { "ready", EL_SET_STRING, AT (ready), "127.0.0.1:8082", 9, 21, 0, "IP:PORT",
-    "address for readiness checks of relayed requests" },
-  { "directory", EL_SET_STRING, AT (directory), "", 0, 21, 0, "IP:PORT",
+  { "ready", EL_SETTING_STRING, AT (ready), "127.0.0.1:8082", 9, 21, 0,
+    "IP:PORT", "address for readiness checks of relayed requests" },
+  { "directory", EL_SETTING_STRING, AT (directory), "", 0, 21, 0, "IP:PORT",
     "address for look-ups of entry addresses; empty: disabled" },
-  { "store", EL_SET_STRING, AT (store), "", 0, 21, 0, "IP:PORT",
+  { "store", EL_SETTING_STRING, AT (store), "", 0, 21, 0, "IP:PORT",
     "the store of rules and endpoints for relayed requests" },
-  { "store-followers", EL_SET_U64, AT (store_followers), "1", 1, 1000, 0, "N",
-    "hosts per hall that poll the store; the others ask them" },
-  { "capacity", EL_SET_NUMBER, AT (capacity), "0", 0, 1000000000, 0, "NUMBER",
+  { "store-followers", EL_SETTING_U64, AT (store_followers), "1", 1, 1000, 0,
+    "N", "hosts per hall that poll the store; the others ask them" },
+  { "capacity", EL_SETTING_DOUBLE, AT (capacity), "0", 0, 1000000000, 0,
+    "NUMBER",
     "capacity relative to other hosts; the host with the largest does the "
     "work that one host of a hall does for all" },
-  { "name", EL_SET_STRING, AT (name), "elmarchd", 1, 200, 0, "NAME",
+  { "name", EL_SETTING_STRING, AT (name), "elmarchd", 1, 200, 0, "NAME",
     "name of this host in leases" },
-  { "entry-ttl-s", EL_SET_U64, AT (entry_ttl_s), "2", 1, 3600, 0, "S",
+  { "entry-ttl-s", EL_SETTING_U64, AT (entry_ttl_s), "2", 1, 3600, 0, "S",
     "time for which callers cache entry addresses" },
-  { "repeat-ratio", EL_SET_NUMBER, AT (repeat_ratio), "0.2", 0, 1000, 0,
+  { "repeat-ratio", EL_SETTING_DOUBLE, AT (repeat_ratio), "0.2", 0, 1000, 0,
     "RATIO", "repeats allowed per relayed request, over all hosts" },
-  { "repeat-slack", EL_SET_NUMBER, AT (repeat_slack), "20", 0, 1000000, 0, "N",
-    "additional repeats allowed per window, over all hosts" },
-  { "repeat-window-s", EL_SET_NUMBER, AT (repeat_window_s), "10", 1, 3600, 0,
-    "S", "window in which repeats are counted" },
-  { "keys-limit-ms", EL_SET_NUMBER, AT (keys_limit_ms), "5000", 0, 3600000, 0,
-    "MS", "refuse keys when the rules are older than this" },
-  { "change-limit-ms", EL_SET_NUMBER, AT (change_limit_ms), "2000", 100,
+  { "repeat-slack", EL_SETTING_DOUBLE, AT (repeat_slack), "20", 0, 1000000, 0,
+    "N", "additional repeats allowed per window, over all hosts" },
+  { "repeat-window-s", EL_SETTING_DOUBLE, AT (repeat_window_s), "10", 1, 3600,
+    0, "S", "window in which repeats are counted" },
+  { "keys-limit-ms", EL_SETTING_DOUBLE, AT (keys_limit_ms), "5000", 0, 3600000,
+    0, "MS", "refuse keys when the rules are older than this" },
+  { "change-limit-ms", EL_SETTING_DOUBLE, AT (change_limit_ms), "2000", 100,
     3600000, 0, "MS", "time within which a rule change must be in force" },
-  { "lease-ms", EL_SET_U64, AT (lease_ms), "2000", 1000, 600000, 0, "MS",
+  { "lease-ms", EL_SETTING_U64, AT (lease_ms), "2000", 1000, 600000, 0, "MS",
     "time to live of the planner lease" },
-  { "stop-least-ms", EL_SET_U64, AT (stop_least_ms), "2500", 0, 3600000, 0,
+  { "stop-least-ms", EL_SETTING_U64, AT (stop_least_ms), "2500", 0, 3600000, 0,
     "MS", "a stopping host still accepts relayed requests for this long" },
-  { "stop-most-ms", EL_SET_U64, AT (stop_most_ms), "7500", 0, 3600000, 0, "MS",
-    "longest time that a stop waits for relayed requests" },
-  { "cluster-key", EL_SET_STRING, AT (cluster_key), NULL, KEY_MIN, KEY_MAX, 1,
-    "KEY", "key shared by all hosts; best set as a variable" },
-  { "operator-key", EL_SET_STRING, AT (operator_key), NULL, KEY_MIN, KEY_MAX,
-    1, "KEY", "key that authenticates operators; best set as a variable" },
-  { "log-level", EL_SET_STRING, AT (log_level), "info", 4, 5, 0, "LEVEL",
+  { "stop-most-ms", EL_SETTING_U64, AT (stop_most_ms), "7500", 0, 3600000, 0,
+    "MS", "longest time that a stop waits for relayed requests" },
+  { "cluster-key", EL_SETTING_STRING, AT (cluster_key), NULL, KEY_MIN, KEY_MAX,
+    1, "KEY", "key shared by all hosts; best set as a variable" },
+  { "operator-key", EL_SETTING_STRING, AT (operator_key), NULL, KEY_MIN,
+    KEY_MAX, 1, "KEY",
+    "key that authenticates operators; best set as a variable" },
+  { "log-level", EL_SETTING_STRING, AT (log_level), "info", 4, 5, 0, "LEVEL",
     "error, warn, info or debug" },
-  { "max-active", EL_SET_U64, AT (max_active), "512", 1, 100000, 0, "N",
+  { "max-active", EL_SETTING_U64, AT (max_active), "512", 1, 100000, 0, "N",
     "maximum number of running requests" },
-  { "max-queue", EL_SET_U64, AT (max_queue), "1024", 0, 100000, 0, "N",
+  { "max-queue", EL_SETTING_U64, AT (max_queue), "1024", 0, 100000, 0, "N",
     "maximum number of queued requests" },
-  { "max-body", EL_SET_U64, AT (max_body), "1048576", 1024, 8388608, 0,
+  { "max-body", EL_SETTING_U64, AT (max_body), "1048576", 1024, 8388608, 0,
     "BYTES", "maximum size of a request body" },
-  { "max-sessions", EL_SET_U64, AT (max_sessions), "8192", 1, 1000000, 0, "N",
-    "sessions at home here" },
-  { "max-entries", EL_SET_U64, AT (max_entries), "64", 1, 4096, 0, "N",
+  { "max-sessions", EL_SETTING_U64, AT (max_sessions), "8192", 1, 1000000, 0,
+    "N", "sessions at home here" },
+  { "max-entries", EL_SETTING_U64, AT (max_entries), "64", 1, 4096, 0, "N",
     "requests remembered per session" },
-  { "max-answers-mb", EL_SET_U64, AT (max_answers_mb), "24", 1, 65536, 0, "MB",
-    "memory for stored answers of session requests" },
-  { "deadline-ms", EL_SET_U64, AT (deadline_ms), "60000", 1, 3600000, 0, "MS",
-    "deadline of requests that set none" },
-  { "call-limit-ms", EL_SET_U64, AT (call_limit_ms), "5000", 10, 600000, 0,
+  { "max-answers-mb", EL_SETTING_U64, AT (max_answers_mb), "24", 1, 65536, 0,
+    "MB", "memory for stored answers of session requests" },
+  { "deadline-ms", EL_SETTING_U64, AT (deadline_ms), "60000", 1, 3600000, 0,
+    "MS", "deadline of requests that set none" },
+  { "call-limit-ms", EL_SETTING_U64, AT (call_limit_ms), "5000", 10, 600000, 0,
     "MS", "timeout of a call to one stage" },
-  { "session-idle-s", EL_SET_U64, AT (session_idle_s), "3600", 1, 604800, 0,
-    "S", "unused sessions are closed after this" },
-  { "session-hold-s", EL_SET_U64, AT (session_hold_s), "30", 0, 3600, 0, "S",
-    "a session's stream continues without a reader for this long" },
-  { "leave-hold-s", EL_SET_U64, AT (leave_hold_s), "10", 1, 3600, 0, "S",
+  { "session-idle-s", EL_SETTING_U64, AT (session_idle_s), "3600", 1, 604800,
+    0, "S", "unused sessions are closed after this" },
+  { "session-hold-s", EL_SETTING_U64, AT (session_hold_s), "30", 0, 3600, 0,
+    "S", "a session's stream continues without a reader for this long" },
+  { "leave-hold-s", EL_SETTING_U64, AT (leave_hold_s), "10", 1, 3600, 0, "S",
     "an endpoint's notice that it is leaving is valid for this long" },
-  { "drain-limit-s", EL_SET_U64, AT (drain_limit_s), "3600", 1, 604800, 0, "S",
-    "longest time that a stop waits for running requests" },
-  { "trace-fd", EL_SET_U64, AT (trace_fd), "2", 1, 1023, 0, "FD",
+  { "drain-limit-s", EL_SETTING_U64, AT (drain_limit_s), "3600", 1, 604800, 0,
+    "S", "longest time that a stop waits for running requests" },
+  { "trace-fd", EL_SETTING_U64, AT (trace_fd), "2", 1, 1023, 0, "FD",
     "open file descriptor that --trace writes to" },
-  { "trace", EL_SET_FLAG, AT (trace), "0", 0, 1, 0, NULL,
+  { "trace", EL_SETTING_FLAG, AT (trace), "0", 0, 1, 0, NULL,
     "write a trace of events and actions" },
-  { "check", EL_SET_FLAG, AT (check), "0", 0, 1, 0, NULL,
+  { "check", EL_SETTING_FLAG, AT (check), "0", 0, 1, 0, NULL,
     "check the settings and exit" },
 };
 
@@ -347,7 +349,7 @@
 int
 main (int argc, const char **argv)
 {
-  const el_set_options_t options
+  const el_settings_options_t options
       = { .program = "elmarchd",
           .env_prefix = "ELMARCHD",
           .usage = "[OPTION...]\nEvery option can also be set as an "
@@ -359,24 +361,24 @@
   frontend_options_t frontend;
   el_log_level_t level = EL_LOG_INFO;
   el_err_t err;
-  el_set_result_t result;
+  el_settings_result_t result;
   int rc = EXIT_SUCCESS;
 
   memset (&set, 0, sizeof set);
-  result = el_set_parse (&options, argc, argv, &set, NULL, &err);
-  if (result == EL_SET_RUN && settings_check (&set, &level, &err))
-    result = EL_SET_REFUSED;
-  if (result == EL_SET_REFUSED)
+  result = el_settings_parse (&options, argc, argv, &set, NULL, &err);
+  if (result == EL_SETTINGS_OK && settings_check (&set, &level, &err))
+    result = EL_SETTINGS_INVALID;
+  if (result == EL_SETTINGS_INVALID)
     fprintf (stderr, "elmarchd: %s\n", err.msg);
-  else if (result == EL_SET_RUN && set.check)
+  else if (result == EL_SETTINGS_OK && set.check)
     printf ("elmarchd: settings are valid\n");
-  else if (result == EL_SET_RUN && el_log_open ("elmarchd", level) == 0)
+  else if (result == EL_SETTINGS_OK && el_log_open ("elmarchd", level) == 0)
     {
       settings_gate (&set, &gate);
       settings_frontend (&set, &frontend);
       rc = daemon_run (&gate, &frontend);
       el_log_close ();
     }
-  el_set_free (&options, &set);
-  return result == EL_SET_REFUSED ? EL_EXIT_USAGE : rc;
+  el_settings_free (&options, &set);
+  return result == EL_SETTINGS_INVALID ? EL_EXIT_USAGE : rc;
 }
--- a/examples/members.c
+++ b/examples/members.c
@@ -23,10 +23,10 @@
 
   if (disconnected || via.len || address.ptr[0] != "ab"[!from])
     return;
-  co_members_speak (hosts[from], NULL, &gossip);
-  co_members_hear (hosts[!from], now, &gossip);
-  co_members_speak (hosts[!from], &gossip.self.incarnation, &gossip);
-  co_members_answer (hosts[from], now, id, 1, &gossip);
+  co_members_write_gossip (hosts[from], NULL, &gossip);
+  co_members_receive_gossip (hosts[!from], now, &gossip);
+  co_members_write_gossip (hosts[!from], &gossip.self.incarnation, &gossip);
+  co_members_probe_done (hosts[from], now, id, 1, &gossip);
 }
 
 static void
@@ -62,10 +62,10 @@
     }
   for (; now<20 * EL_SEC; now += EL_SEC / 4, disconnected = now> 5 * EL_SEC)
     co_members_tick (hosts[0], now);
-  co_ledger_open (ledger, now, EL_STR ("customer"), &session.id, NULL);
+  co_ledger_open_session (ledger, now, EL_STR ("customer"), &session.id, NULL);
   for (i = 0; i < 2; i++)
     puts (co_led_result_name (
-        co_ledger_begin (ledger, now, &session, 1, 7, NULL, &answer)));
+        co_ledger_begin_request (ledger, now, &session, 1, 7, NULL, &answer)));
   co_members_free (hosts[0]);
   co_members_free (hosts[1]);
   co_ledger_free (ledger);
--- a/gate/api.c
+++ b/gate/api.c
@@ -89,7 +89,7 @@
 {
   el_str_t value = net_req_header (req, "authorization");
 
-  if (!el_str_starts (value, BEARER))
+  if (!el_str_starts_with (value, BEARER))
     return (el_str_t){ NULL, 0 };
   return el_str_after (value, BEARER.len);
 }
@@ -220,7 +220,7 @@
   gate->counts.http_requests++;
   for (i = 0; i < sizeof handlers / sizeof *handlers; i++)
     {
-      if (!el_str_starts (path, handlers[i].prefix)
+      if (!el_str_starts_with (path, handlers[i].prefix)
           || (handlers[i].exact && path.len != handlers[i].prefix.len))
         continue;
       path_found = 1;
--- a/gate/api_session.c
+++ b/gate/api_session.c
@@ -40,8 +40,8 @@
   (void)rest;
   if (!gt_api_authenticate (gate, req, &request))
     return;
-  if (co_ledger_open (gate->ledger, net_clock_now (&gate->clock),
-                      request.customer, &session, &err))
+  if (co_ledger_open_session (gate->ledger, net_clock_now (&gate->clock),
+                              request.customer, &session, &err))
     {
       refusal.message = err.msg;
       gt_caller_refuse (req, &refusal);
@@ -77,13 +77,13 @@
     }
   session = co_token_session (&token);
   if (!co_incarnation_eq (&token.home, &gate->incarnation)
-      && !co_ledger_holds (gate->ledger, &session))
+      && !co_ledger_has_session (gate->ledger, &session))
     {
       gt_api_error (gate, req, 409, "not-the-home",
                     "close the session at its home");
       return;
     }
-  status = co_ledger_close (gate->ledger, &session);
+  status = co_ledger_close_session (gate->ledger, &session);
   if (status == EL_CONFLICT)
     gt_api_error (gate, req, 409, "session-busy",
                   "a request of the session runs");
--- a/gate/gate.c
+++ b/gate/gate.c
@@ -298,7 +298,7 @@
       != CO_INCARNATION_BYTES)
     abort ();
   co_incarnation_hex (&gate->incarnation, gate->incarnation_hex);
-  net_clock_open (&gate->clock, options->loop);
+  net_clock_init (&gate->clock, options->loop);
   gate_create_parts (gate);
   gate->peers = gate_create_peers (gate, err);
   gate->server = gate->peers ? net_server_new (&server, err) : NULL;
--- a/gate/inflight.c
+++ b/gate/inflight.c
@@ -166,7 +166,7 @@
   void *first = NULL;
 
   if (request->in_session)
-    ledger_result = co_ledger_begin (
+    ledger_result = co_ledger_begin_request (
         gate->ledger, net_clock_now (&gate->clock), &session,
         request->sequence, request->digest, answer, &first);
   if (ledger_result == CO_LED_RUN)
@@ -234,14 +234,14 @@
 {
   el_buf_t body = { NULL, 0, 0 };
   net_header_t type = { EL_STR ("content-type"), GT_JSON };
-  net_send_t send = { .address = action->address,
-                      .method = EL_STR ("POST"),
-                      .path = gt_engine_http.call_path,
-                      .headers = &type,
-                      .nheaders = 1,
-                      .may = may_send,
-                      .done = chat_done,
-                      .arg = inflight };
+  net_request_t send = { .address = action->address,
+                         .method = EL_STR ("POST"),
+                         .path = gt_engine_http.call_path,
+                         .headers = &type,
+                         .nheaders = 1,
+                         .allow = may_send,
+                         .done = chat_done,
+                         .arg = inflight };
 
   gt_engine_http.write_call (gate, action, &body);
   send.body = el_buf_str (&body);
@@ -255,16 +255,16 @@
 static void
 call_send (gt_gate_t *gate, gt_inflight_t *inflight, const rt_action_t *action)
 {
-  net_send_t send = { .address = action->address,
-                      .method = inflight->method,
-                      .path = inflight->path,
-                      .headers = inflight->headers,
-                      .nheaders = inflight->nheaders,
-                      .body = inflight->body,
-                      .fresh = !inflight->repeatable,
-                      .may = may_send,
-                      .done = call_done,
-                      .arg = inflight };
+  net_request_t send = { .address = action->address,
+                         .method = inflight->method,
+                         .path = inflight->path,
+                         .headers = inflight->headers,
+                         .nheaders = inflight->nheaders,
+                         .body = inflight->body,
+                         .new_connection = !inflight->repeatable,
+                         .allow = may_send,
+                         .done = call_done,
+                         .arg = inflight };
 
   inflight->exchange = net_client_send (gate->client, &send);
 }
@@ -345,13 +345,13 @@
 {
   el_buf_t body = { NULL, 0, 0 };
   net_header_t type = { EL_STR ("content-type"), GT_JSON };
-  net_send_t send = { .address = action->address,
-                      .method = EL_STR ("POST"),
-                      .path = gt_engine_http.abandon_path,
-                      .headers = &type,
-                      .nheaders = 1,
-                      .timeout = ABANDON_TIMEOUT,
-                      .done = abandon_done };
+  net_request_t send = { .address = action->address,
+                         .method = EL_STR ("POST"),
+                         .path = gt_engine_http.abandon_path,
+                         .headers = &type,
+                         .nheaders = 1,
+                         .timeout = ABANDON_TIMEOUT,
+                         .done = abandon_done };
 
   if (inflight->exchange && inflight->call.attempt == action->call.attempt)
     {
@@ -390,8 +390,9 @@
           EL_FN ("tokens", action->tokens));
   gt_answer_finish (inflight->answer, &outcome);
   if (inflight->in_session)
-    co_ledger_end (gate->ledger, net_clock_now (&gate->clock),
-                   &inflight->session, inflight->sequence, outcome.verdict,
-                   gt_answer_bytes (inflight->answer));
+    co_ledger_end_request (gate->ledger, net_clock_now (&gate->clock),
+                           &inflight->session, inflight->sequence,
+                           outcome.verdict,
+                           gt_answer_bytes (inflight->answer));
   gt_inflight_free (inflight);
 }
--- a/gate/kv_http.c
+++ b/gate/kv_http.c
@@ -114,7 +114,8 @@
   json_t *value = json_object_get (item, "value");
   json_t *revision = json_object_get (item, "revision");
 
-  if (!json_is_integer (revision) || !el_str_starts (rest, EL_STR (PREFIX)))
+  if (!json_is_integer (revision)
+      || !el_str_starts_with (rest, EL_STR (PREFIX)))
     return 0;
   rest = el_str_after (rest, sizeof PREFIX - 1);
   if (!co_kind_parse (el_str_cut (&rest, '/'), &out->kind))
--- a/gate/platform.c
+++ b/gate/platform.c
@@ -63,12 +63,12 @@
                net_result_cb done, void *arg)
 {
   gt_gate_t *gate = platform->gate;
-  net_send_t send = { .address = gate->options.platform,
-                      .method = el_str (method),
-                      .path = el_buf_str (path),
-                      .timeout = timeout,
-                      .done = done,
-                      .arg = arg };
+  net_request_t send = { .address = gate->options.platform,
+                         .method = el_str (method),
+                         .path = el_buf_str (path),
+                         .timeout = timeout,
+                         .done = done,
+                         .arg = arg };
 
   if (body)
     send.body = el_buf_str (body);
@@ -318,10 +318,11 @@
         put_end (op, GT_PUT_ACCEPTED, answer.revision);
       return;
     }
-  op->verdict = el_verdict_join (
-      op->verdict, result->net == NET_CONNECT || result->net == NET_REFUSED
-                       ? EL_NOT_RUN
-                       : EL_MAY_HAVE_RUN);
+  op->verdict = el_verdict_join (op->verdict,
+                                 result->net == NET_CONNECT_FAILED
+                                         || result->net == NET_CONNECT_REFUSED
+                                     ? EL_NOT_RUN
+                                     : EL_MAY_HAVE_RUN);
   op->platform->gate->counts.platform_failures++;
   if (++op->attempts >= PUT_ATTEMPTS_MAX)
     {
--- a/gate/relay.c
+++ b/gate/relay.c
@@ -107,7 +107,7 @@
 {
   el_str_t value = net_req_header (req, "authorization");
 
-  if (!el_str_starts (value, BEARER))
+  if (!el_str_starts_with (value, BEARER))
     return (el_str_t){ NULL, 0 };
   return el_str_after (value, BEARER.len);
 }
@@ -447,7 +447,7 @@
   rt_rules_unref (relays->rules);
   relays->rules = rules;
   if (rules->idle_ms)
-    net_server_idle (relays->server, rules->idle_ms);
+    net_server_set_idle_timeout (relays->server, rules->idle_ms);
   relays_start_waiting (relays);
 }
 
@@ -484,7 +484,7 @@
 void
 gt_relays_drain_connections (gt_relays_t *relays)
 {
-  net_server_retire (relays->server);
+  net_server_drain_connections (relays->server);
 }
 
 /** Closes the listener and refuses requests that arrive on open connections;
--- a/gate/relay_attempt.c
+++ b/gate/relay_attempt.c
@@ -289,13 +289,13 @@
 {
   gt_relays_t *relays = relay->relays;
 
-  if (result->net == NET_REFUSED)
+  if (result->net == NET_CONNECT_REFUSED)
     relay_blame_connect_refused (relays, relay->target);
   else if (result->net == NET_OK)
     relay_blame_life_sign (relays, relay->target);
   if (attempt->answered)
     relay_blame_completed (relay);
-  if (result->net != NET_BROKEN || attempt->verdict == EL_NOT_RUN)
+  if (result->net != NET_CONNECTION_LOST || attempt->verdict == EL_NOT_RUN)
     return;
   relay_blame_run_broken (relay, relay->target);
   if (relay->line.n)
@@ -333,7 +333,7 @@
 
   relay->exchange = NULL;
   relay_watch_stop (relay);
-  if (result->net == NET_HELD)
+  if (result->net == NET_WITHHELD)
     {
       attempt_not_sent (relay);
       return;
@@ -421,7 +421,7 @@
     el_buf_reset (&relay->out);
   relay_events_reset (&relay->events);
   if (next == RT_NEXT_RETRY)
-    attempt_retry (relay, result->net == NET_BROKEN);
+    attempt_retry (relay, result->net == NET_CONNECTION_LOST);
   else if (relay->response_started)
     relay_respond_abort (relay, "no endpoint goes on with it");
   else if (next == RT_NEXT_REFUSE)
@@ -447,7 +447,7 @@
 {
   const rt_attempt_t attempt
       = { .verdict = EL_MAY_HAVE_RUN, .begun = relay->response_started };
-  const net_result_t result = { .net = NET_BROKEN };
+  const net_result_t result = { .net = NET_CONNECTION_LOST };
 
   relay_watch_stop (relay);
   net_client_cancel (relay->exchange);
@@ -462,16 +462,16 @@
   const gt_relay_options_t *o = &relay->relays->options;
   const h2o_req_t *req = relay->req;
   relay_head_t head;
-  net_send_t send
+  net_request_t send
       = { .address = relay->target->attrs.address,
           .host = { req->authority.base, req->authority.len },
           .method = net_req_method (req),
           .path = { req->path.base, req->path.len },
           .body = net_req_body (req),
           .max_idle = relay->rule->kind == RT_UNSAFE ? UNSAFE_MAX_IDLE : 0,
-          .may = attempt_permitted,
+          .allow = attempt_permitted,
           .head = attempt_head,
-          .piece = attempt_body,
+          .body_part = attempt_body,
           .done = attempt_done,
           .arg = relay };
 
--- a/gate/relay_blame.c
+++ b/gate/relay_blame.c
@@ -127,7 +127,7 @@
 {
   const pending_run_t *run;
 
-  if (relays->blame->update_timer.slot)
+  if (relays->blame->update_timer.heap_index)
     return 1;
   DL_FOREACH (relays->blame->pending, run)
   if (run->report.digest == digest)
@@ -149,7 +149,7 @@
   el_time_t now = net_clock_now (relays->options.clock);
   el_time_t due = blame->last_update + UPDATE_INTERVAL_MIN;
 
-  if (!blame->update_timer.slot)
+  if (!blame->update_timer.heap_index)
     net_clock_set (relays->options.clock, &blame->update_timer,
                    due > now ? due - now : 0);
 }
--- a/gate/relay_log.c
+++ b/gate/relay_log.c
@@ -13,10 +13,13 @@
                                           [RT_NEXT_REFUSE] = "refuse",
                                           [RT_NEXT_FAIL] = "fail" };
 static const char *const outcome_names[]
-    = { [NET_OK] = "answered",     [NET_CONNECT] = "not connected",
-        [NET_REFUSED] = "refused", [NET_BROKEN] = "broken",
-        [NET_TIMEOUT] = "timeout", [NET_TOO_BIG] = "too big",
-        [NET_HELD] = "kept back" };
+    = { [NET_OK] = "answered",
+        [NET_CONNECT_FAILED] = "not connected",
+        [NET_CONNECT_REFUSED] = "refused",
+        [NET_CONNECTION_LOST] = "broken",
+        [NET_TIMEOUT] = "timeout",
+        [NET_TOO_BIG] = "too big",
+        [NET_WITHHELD] = "kept back" };
 
 /** Logs the end of a request. */
 void
--- a/gate/relay_response.c
+++ b/gate/relay_response.c
@@ -80,7 +80,7 @@
   if (relay->abort_pending)
     {
       /* h2o ends an aborted response with a malformed chunk. */
-      net_req_cut (relay->req);
+      net_req_abort (relay->req);
       state = H2O_SEND_STATE_ERROR;
     }
   else if (relay->end_pending)
--- a/gate/store.c
+++ b/gate/store.c
@@ -107,7 +107,7 @@
 static void
 call_done (void *arg, const net_result_t *result)
 {
-  static const net_result_t none = { .net = NET_BROKEN };
+  static const net_result_t none = { .net = NET_CONNECTION_LOST };
   store_call_t call = *(store_call_t *)arg;
 
   free (arg);
@@ -126,13 +126,13 @@
   static const net_header_t json
       = { EL_STR ("content-type"), EL_STR ("application/json") };
   store_call_t *call = el_alloc (sizeof *call);
-  net_send_t send = { .address = store->address,
-                      .method = el_str (method),
-                      .path = el_buf_str (path),
-                      .timeout = timeout,
-                      .done = call_done,
-                      .drop = free,
-                      .arg = call };
+  net_request_t send = { .address = store->address,
+                         .method = el_str (method),
+                         .path = el_buf_str (path),
+                         .timeout = timeout,
+                         .done = call_done,
+                         .on_cancel = free,
+                         .arg = call };
 
   *call = (store_call_t){ store, done, arg };
   if (body)
--- a/net/clock.c
+++ b/net/clock.c
@@ -41,7 +41,7 @@
 }
 
 void
-net_clock_open (net_clock_t *clock, uv_loop_t *loop)
+net_clock_init (net_clock_t *clock, uv_loop_t *loop)
 {
   memset (clock, 0, sizeof *clock);
   clock->loop = loop;
@@ -66,7 +66,7 @@
 void
 net_clock_arm (net_clock_t *clock)
 {
-  el_time_t due = el_timers_next (&clock->timers);
+  el_time_t due = el_timers_next_due (&clock->timers);
   el_time_t other = clock->next ? clock->next (clock->arg) : EL_TIME_NEVER;
   el_time_t now = net_clock_now (clock);
   uint64_t wait;
--- a/net/http_client.c
+++ b/net/http_client.c
@@ -117,10 +117,11 @@
 exchange_connect_failed (void *arg, el_time_t now)
 {
   (void)now;
-  net_exchange_fail (arg, NET_CONNECT);
+  net_exchange_fail (arg, NET_CONNECT_FAILED);
 }
 
-/** Fail an exchange with NET_CONNECT, after net_client_send has returned. */
+/** Fail an exchange with NET_CONNECT_FAILED, after net_client_send has
+ * returned. */
 void
 net_exchange_fail_connect (net_exchange_t *ex)
 {
@@ -152,11 +153,11 @@
 /* Take the most recently used idle connection, unless it was idle too long for
    this request. */
 static net_conn_t *
-pool_take (net_pool_t *pool, const net_send_t *send, el_time_t now)
+pool_take (net_pool_t *pool, const net_request_t *send, el_time_t now)
 {
   net_conn_t *conn = pool->idle;
 
-  if (!conn || send->fresh)
+  if (!conn || send->new_connection)
     return NULL;
   if (send->max_idle && now - conn->idle_since > send->max_idle)
     return NULL;
@@ -167,7 +168,7 @@
 }
 
 static void
-request_write (el_buf_t *out, const net_send_t *send)
+request_write (el_buf_t *out, const net_request_t *send)
 {
   size_t i;
 
@@ -191,7 +192,7 @@
 
 /** Send a request. */
 net_exchange_t *
-net_client_send (net_client_t *client, const net_send_t *send)
+net_client_send (net_client_t *client, const net_request_t *send)
 {
   net_exchange_t *ex = el_alloc (sizeof *ex);
   net_pool_t *pool = pool_get (client, send->address);
@@ -200,10 +201,10 @@
   ex->client = client;
   DL_PREPEND (client->open, ex);
   ex->done = send->done;
-  ex->may = send->may;
+  ex->allow = send->allow;
   ex->head = send->head;
-  ex->piece = send->piece;
-  ex->drop = send->drop;
+  ex->body_part = send->body_part;
+  ex->on_cancel = send->on_cancel;
   ex->arg = send->arg;
   ex->max_answer = send->max_answer ? send->max_answer : RESPONSE_MAX_DEFAULT;
   ex->is_head = el_str_eq (send->method, EL_STR ("HEAD"));
@@ -236,8 +237,8 @@
   ex->conn = NULL;
   if (conn)
     net_conn_close (conn);
-  if (ex->drop)
-    ex->drop (ex->arg);
+  if (ex->on_cancel)
+    ex->on_cancel (ex->arg);
   exchange_free (ex);
 }
 
--- a/net/http_conn.c
+++ b/net/http_conn.c
@@ -85,7 +85,7 @@
   el_buf_free (&write->bytes);
   free (write);
   if (status && !conn->closing && conn->exchange)
-    net_exchange_fail (conn->exchange, NET_BROKEN);
+    net_exchange_fail (conn->exchange, NET_CONNECTION_LOST);
 }
 
 static void
@@ -174,7 +174,7 @@
       part = el_str_cut (&value, ',');
       while (part.len && *part.ptr == ' ')
         part = el_str_after (part, 1);
-      if (!el_str_starts (part, EL_STR ("timeout=")))
+      if (!el_str_starts_with (part, EL_STR ("timeout=")))
         continue;
       if (!el_str_to_u64 (el_str_after (part, 8), &seconds))
         break;
@@ -215,9 +215,9 @@
   net_conn_t *conn = parser->data;
   net_exchange_t *ex = conn->exchange;
 
-  if (ex->piece)
+  if (ex->body_part)
     {
-      ex->piece (ex->arg, (el_str_t){ at, len });
+      ex->body_part (ex->arg, (el_str_t){ at, len });
       return conn->exchange == ex ? 0 : -1;
     }
   if (ex->body.len + len > ex->max_answer)
@@ -287,7 +287,7 @@
   if (conn->exchange->complete)
     conn_complete (conn, used < len);
   else if (HTTP_PARSER_ERRNO (&conn->parser) != HPE_OK)
-    net_exchange_fail (conn->exchange, NET_BROKEN);
+    net_exchange_fail (conn->exchange, NET_CONNECTION_LOST);
 }
 
 /* libuv reports an end of file when data and a reset arrive together, as it
@@ -335,10 +335,10 @@
       conn->keep = 0;
       conn_parse (conn, NULL, 0);
       if (!conn->closing && conn->exchange)
-        net_exchange_fail (conn->exchange, NET_BROKEN);
+        net_exchange_fail (conn->exchange, NET_CONNECTION_LOST);
     }
   else
-    net_exchange_fail (conn->exchange, NET_BROKEN);
+    net_exchange_fail (conn->exchange, NET_CONNECTION_LOST);
 }
 
 /* Connecting. */
@@ -353,7 +353,7 @@
   conn->exchange = NULL;
   conn->keep = IDLE_DEFAULT;
   conn_make_idle (conn);
-  net_exchange_end (ex, NET_HELD);
+  net_exchange_end (ex, NET_WITHHELD);
 }
 
 /** Send an exchange's request on an established connection. */
@@ -374,7 +374,7 @@
 
   (void)now;
   if (conn->exchange)
-    net_exchange_fail (conn->exchange, NET_CONNECT);
+    net_exchange_fail (conn->exchange, NET_CONNECT_FAILED);
 }
 
 static void
@@ -391,15 +391,15 @@
     {
       net_exchange_fail (conn->exchange,
                          status == UV_ECONNREFUSED || status == UV_ECONNRESET
-                             ? NET_REFUSED
-                             : NET_CONNECT);
+                             ? NET_CONNECT_REFUSED
+                             : NET_CONNECT_FAILED);
       return;
     }
   uv_tcp_nodelay (&conn->tcp, 1);
   if (uv_fileno ((uv_handle_t *)&conn->tcp, &fd) == 0)
     setsockopt (fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &limit, sizeof limit);
   uv_read_start ((uv_stream_t *)&conn->tcp, on_alloc, on_read);
-  if (conn->exchange->may && !conn->exchange->may (conn->exchange->arg))
+  if (conn->exchange->allow && !conn->exchange->allow (conn->exchange->arg))
     conn_withheld (conn);
   else
     net_conn_begin (conn, conn->exchange);
--- a/net/http_server.c
+++ b/net/http_server.c
@@ -31,7 +31,7 @@
 typedef struct server_watch
 {
   h2o_socket_t *sock;
-  net_gone_cb gone;
+  net_req_watch_cb gone;
   void *arg;
 } server_watch_t;
 
@@ -180,14 +180,14 @@
 /** Continue to serve, but have each response announce that its connection will
     be closed. */
 void
-net_server_retire (net_server_t *server)
+net_server_drain_connections (net_server_t *server)
 {
   h2o_context_request_shutdown (&server->context);
 }
 
 /** Set the idle timeout of connections. */
 void
-net_server_idle (net_server_t *server, uint64_t ms)
+net_server_set_idle_timeout (net_server_t *server, uint64_t ms)
 {
   server->context.http1.req_timeout.timeout = ms;
 }
@@ -252,7 +252,7 @@
     (HTTP/1.1 only), and in any case once when REQ is about to be freed (FREED
     is 1 then). The request's strings are not moved any more after this. */
 void
-net_req_watch (h2o_req_t *req, net_gone_cb gone, void *arg)
+net_req_watch (h2o_req_t *req, net_req_watch_cb gone, void *arg)
 {
   server_watch_t *watch
       = h2o_mem_alloc_shared (&req->pool, sizeof *watch, watch_dispose);
@@ -344,7 +344,7 @@
     nor its end is sent. The response must still be ended, so that the request
     is freed. */
 void
-net_req_cut (h2o_req_t *req)
+net_req_abort (h2o_req_t *req)
 {
   h2o_socket_t *sock;
 
--- a/net/libnet.h
+++ b/net/libnet.h
@@ -64,10 +64,10 @@
   net_client_t *client;
   net_conn_t *conn;
   net_result_cb done;
-  int (*may) (void *arg);
+  int (*allow) (void *arg);
   net_head_cb head;
-  net_piece_cb piece;
-  void (*drop) (void *arg);
+  net_body_part_cb body_part;
+  void (*on_cancel) (void *arg);
   void *arg;
   size_t max_answer;
   int is_head;
--- a/net/net.h
+++ b/net/net.h
@@ -25,7 +25,7 @@
   void *arg;
 } net_clock_t;
 
-void net_clock_open (net_clock_t *clock, uv_loop_t *loop);
+void net_clock_init (net_clock_t *clock, uv_loop_t *loop);
 el_time_t net_clock_now (const net_clock_t *clock);
 void net_clock_arm (net_clock_t *clock);
 void net_clock_set (net_clock_t *clock, el_timer_t *timer, el_time_t wait);
@@ -53,12 +53,12 @@
                               el_err_t *err);
 unsigned net_server_port (const net_server_t *server);
 void net_server_stop (net_server_t *server);
-void net_server_retire (net_server_t *server);
-void net_server_idle (net_server_t *server, uint64_t ms);
+void net_server_drain_connections (net_server_t *server);
+void net_server_set_idle_timeout (net_server_t *server, uint64_t ms);
 
-typedef void (*net_gone_cb) (void *arg, int freed);
-void net_req_watch (h2o_req_t *req, net_gone_cb gone, void *arg);
-void net_req_cut (h2o_req_t *req);
+typedef void (*net_req_watch_cb) (void *arg, int freed);
+void net_req_watch (h2o_req_t *req, net_req_watch_cb gone, void *arg);
+void net_req_abort (h2o_req_t *req);
 const char *net_status_reason (int status);
 
 el_str_t net_req_method (const h2o_req_t *req);
@@ -77,13 +77,14 @@
 /** Outcome of an exchange. */
 typedef enum net_outcome
 {
-  NET_OK,      /**< a complete response arrived */
-  NET_CONNECT, /**< connecting failed: nothing was sent */
-  NET_REFUSED, /**< connection refused: nothing was sent */
-  NET_BROKEN, /**< connection lost: may have been sent, no complete response */
-  NET_TIMEOUT, /**< as NET_BROKEN, on timeout */
-  NET_HELD,    /**< withheld by the caller: nothing was sent */
-  NET_TOO_BIG  /**< the response exceeds the size limit */
+  NET_OK,              /**< a complete response arrived */
+  NET_CONNECT_FAILED,  /**< connecting failed: nothing was sent */
+  NET_CONNECT_REFUSED, /**< connection refused: nothing was sent */
+  NET_CONNECTION_LOST, /**< connection lost: may have been sent, no complete
+                          response */
+  NET_TIMEOUT,         /**< as NET_CONNECTION_LOST, on timeout */
+  NET_WITHHELD,        /**< withheld by the caller: nothing was sent */
+  NET_TOO_BIG          /**< the response exceeds the size limit */
 } net_outcome_t;
 
 typedef struct net_header
@@ -105,9 +106,9 @@
 
 typedef void (*net_result_cb) (void *arg, const net_result_t *result);
 typedef void (*net_head_cb) (void *arg, const net_result_t *head);
-typedef void (*net_piece_cb) (void *arg, el_str_t bytes);
+typedef void (*net_body_part_cb) (void *arg, el_str_t bytes);
 
-typedef struct net_send
+typedef struct net_request
 {
   el_str_t address; /**< ip:port */
   el_str_t host;    /**< the Host header; the address if empty */
@@ -116,22 +117,22 @@
   const net_header_t *headers;
   size_t nheaders;
   el_str_t body;
-  int fresh;          /**< use a new connection, do not reuse one */
+  int new_connection; /**< use a new connection, do not reuse one */
   el_time_t max_idle; /**< longest idle time of a reused one; 0 is any */
   el_time_t timeout;  /**< in microseconds; 0 is none */
   size_t max_answer;  /**< maximum size of the body in bytes; 0 is the client's
                          default */
-  int (*may) (void *arg); /**< called before sending on a new connection; 0
+  int (*allow) (void *arg); /**< called before sending on a new connection; 0
                              withholds the request; may be NULL */
-  net_head_cb head;       /**< called with status and headers; may be NULL */
-  net_piece_cb piece;     /**< called with each part of the body, which is not
-                             collected then; may be NULL */
+  net_head_cb head;         /**< called with status and headers; may be NULL */
+  net_body_part_cb body_part; /**< called with each part of the body, which is
+                         not collected then; may be NULL */
   net_result_cb done; /**< called once unless the exchange is cancelled, and
                          never before net_client_send has returned */
-  void (*drop) (void *arg); /**< called instead of done when the exchange is
-                               cancelled; may be NULL */
+  void (*on_cancel) (void *arg); /**< called instead of done when the exchange
+                               is cancelled; may be NULL */
   void *arg;
-} net_send_t;
+} net_request_t;
 
 /** Counters of a client. */
 typedef struct net_client_counts
@@ -143,7 +144,8 @@
 } net_client_counts_t;
 
 net_client_t *net_client_new (net_clock_t *clock);
-net_exchange_t *net_client_send (net_client_t *client, const net_send_t *send);
+net_exchange_t *net_client_send (net_client_t *client,
+                                 const net_request_t *send);
 const net_client_counts_t *net_client_counts (const net_client_t *client);
 void net_client_cancel (net_exchange_t *exchange);
 int net_header_is (const net_header_t *header, el_str_t name);
--- a/net/rpc.c
+++ b/net/rpc.c
@@ -566,8 +566,9 @@
 
 /** As net_rpc_call, but over UDP: for small messages that may be lost. */
 void
-net_rpc_send (net_rpc_t *rpc, el_str_t address, uint32_t proc, el_str_t body,
-              el_time_t timeout, net_rpc_done_fn done, void *arg)
+net_rpc_call_udp (net_rpc_t *rpc, el_str_t address, uint32_t proc,
+                  el_str_t body, el_time_t timeout, net_rpc_done_fn done,
+                  void *arg)
 {
   rpc_call_t template = { .proc = proc, .done = done, .arg = arg };
   el_buf_t record = { NULL, 0, 0 };
--- a/net/rpc.h
+++ b/net/rpc.h
@@ -40,9 +40,9 @@
 void net_rpc_call (net_rpc_t *rpc, el_str_t address, uint32_t proc,
                    el_str_t body, el_time_t timeout, net_rpc_done_fn done,
                    void *arg);
-void net_rpc_send (net_rpc_t *rpc, el_str_t address, uint32_t proc,
-                   el_str_t body, el_time_t timeout, net_rpc_done_fn done,
-                   void *arg);
+void net_rpc_call_udp (net_rpc_t *rpc, el_str_t address, uint32_t proc,
+                       el_str_t body, el_time_t timeout, net_rpc_done_fn done,
+                       void *arg);
 void net_rpc_reply (net_rpc_req_t *req, el_str_t body);
 void net_rpc_stop (net_rpc_t *rpc);
 
--- a/peer/libpeer.h
+++ b/peer/libpeer.h
@@ -81,8 +81,10 @@
 void peer_members_refresh (pr_peers_t *peers);
 void peer_member_encode (const co_member_t *from, peer_member *to);
 int peer_member_decode (const peer_member *from, co_member_t *to);
-void peer_change_encode (const co_change_t *from, peer_member_change *to);
-int peer_change_decode (const peer_member_change *from, co_change_t *to);
+void peer_change_encode (const co_member_change_t *from,
+                         peer_member_change *to);
+int peer_change_decode (const peer_member_change *from,
+                        co_member_change_t *to);
 
 /* peer_members.c */
 void peer_sync_members (void *arg, el_str_t address);
--- a/peer/peer.c
+++ b/peer/peer.c
@@ -86,7 +86,7 @@
           EL_FC ("incarnation", inc),
           EL_FC ("state", co_mbr_state_name (member->state)),
           EL_FC ("offer", co_mbr_offer_name (member->offer)),
-          EL_FN ("live", co_members_live (peers->members)));
+          EL_FN ("live", co_members_live_count (peers->members)));
 }
 
 /* Another host announced that an endpoint is shutting down. */
@@ -106,8 +106,8 @@
 peer_members_refresh (pr_peers_t *peers)
 {
   el_time_t now = net_clock_now (peers->options.clock);
-  el_time_t due = co_members_next (peers->members);
-  size_t live = co_members_live (peers->members);
+  el_time_t due = co_members_next_due (peers->members);
+  size_t live = co_members_live_count (peers->members);
 
   net_clock_set (peers->options.clock, &peers->members_timer,
                  due > now ? due - now : NO_DELAY);
@@ -200,7 +200,7 @@
 void
 pr_peers_set_withdrawn (pr_peers_t *peers, int withdrawn)
 {
-  co_members_withdraw (peers->members, withdrawn);
+  co_members_set_withdrawn (peers->members, withdrawn);
 }
 
 void
@@ -216,7 +216,7 @@
 void
 peer_set_config_revision (pr_peers_t *peers, uint64_t revision)
 {
-  co_members_seen (peers->members, revision);
+  co_members_set_revision (peers->members, revision);
 }
 
 /** Whether this host is among the first MOST hosts of its hall; only these
@@ -224,7 +224,7 @@
 int
 pr_peers_is_selected (const pr_peers_t *peers, size_t most)
 {
-  return co_members_chosen (peers->members, most);
+  return co_members_is_top_ranked (peers->members, most);
 }
 
 /** Announce to the other hosts that an endpoint is shutting down, at most once
@@ -249,14 +249,14 @@
                        (unsigned)endpoint.len, notice);
     }
   notice->at = now;
-  co_members_endpoint (peers->members, now, endpoint);
+  co_members_report_leaving (peers->members, now, endpoint);
 }
 
 /** Number of live hosts, including this one. */
 size_t
 pr_peers_count_live (const pr_peers_t *peers)
 {
-  return co_members_live (peers->members);
+  return co_members_live_count (peers->members);
 }
 
 typedef struct in_force_arg
@@ -300,7 +300,7 @@
     return;
   if (member->offer < preferred->self->offer
       || (member->offer == preferred->self->offer
-          && co_member_before (member, preferred->self)))
+          && co_member_ranks_before (member, preferred->self)))
     preferred->first = 0;
 }
 
--- a/peer/peer_fetch.c
+++ b/peer/peer_fetch.c
@@ -61,8 +61,8 @@
       res.ready = 1;
       res.whole = args.after < config->complete_since;
       res.revision = co_config_revision (config->config);
-      co_config_since (config->config, res.whole ? 0 : args.after, change_add,
-                       &changes);
+      co_config_visit_since (config->config, res.whole ? 0 : args.after,
+                             change_add, &changes);
     }
   res.changes.changes_val = changes.list;
   res.changes.changes_len = (u_int)changes.len;
--- a/peer/peer_forward.c
+++ b/peer/peer_forward.c
@@ -63,7 +63,7 @@
   int hops;
 
   if (co_incarnation_eq (&token->home, &peers->options.incarnation)
-      || co_ledger_holds (peers->options.ledger, &session))
+      || co_ledger_has_session (peers->options.ledger, &session))
     return 0;
   *out = (pr_session_home_t){ token->home, token->peer, token->http };
   member = co_members_find (peers->members, &token->home);
--- a/peer/peer_gossip.c
+++ b/peer/peer_gossip.c
@@ -63,7 +63,7 @@
 
 /** Encode a change of a member's state. */
 void
-peer_change_encode (const co_change_t *from, peer_member_change *to)
+peer_change_encode (const co_member_change_t *from, peer_member_change *to)
 {
   memcpy (to->incarnation, from->incarnation.byte, CO_INCARNATION_BYTES);
   to->counter = from->counter;
@@ -74,7 +74,7 @@
 /** Decode a change of a member's state. Returns 0 when its state or offer is
     invalid. */
 int
-peer_change_decode (const peer_member_change *from, co_change_t *to)
+peer_change_decode (const peer_member_change *from, co_member_change_t *to)
 {
   memcpy (to->incarnation.byte, from->incarnation, CO_INCARNATION_BYTES);
   to->counter = from->counter;
@@ -90,14 +90,14 @@
 peer_gossip_encode (pr_peers_t *peers, const co_incarnation_t *to,
                     el_buf_t *out)
 {
-  peer_member members[CO_NEWS_MEMBERS];
-  peer_member_change changes[CO_NEWS_CHANGES];
-  peer_leaving leaving[CO_NEWS_LEAVING];
+  peer_member members[CO_GOSSIP_MEMBERS_MAX];
+  peer_member_change changes[CO_GOSSIP_CHANGES_MAX];
+  peer_leaving leaving[CO_GOSSIP_LEAVING_MAX];
   peer_gossip message;
   co_gossip_t gossip;
   size_t i;
 
-  co_members_speak (peers->members, to, &gossip);
+  co_members_write_gossip (peers->members, to, &gossip);
   peer_member_encode (&gossip.self, &message.self);
   for (i = 0; i < gossip.nmembers; i++)
     peer_member_encode (&gossip.members[i], &members[i]);
@@ -128,9 +128,9 @@
   size_t i;
   int ok = peer_member_decode (&from->self, &out->self);
 
-  ok = ok && from->members.members_len <= CO_NEWS_MEMBERS
-       && from->changes.changes_len <= CO_NEWS_CHANGES
-       && from->leaving.leaving_len <= CO_NEWS_LEAVING;
+  ok = ok && from->members.members_len <= CO_GOSSIP_MEMBERS_MAX
+       && from->changes.changes_len <= CO_GOSSIP_CHANGES_MAX
+       && from->leaving.leaving_len <= CO_GOSSIP_LEAVING_MAX;
   if (!ok)
     return 0;
   out->digest = from->digest;
@@ -178,8 +178,8 @@
   memset (&message, 0, sizeof message);
   ok = ok && peer_xdr_decode ((xdrproc_t)xdr_peer_gossip, body, &message)
        && gossip_decode (&message, &gossip);
-  co_members_answer (peers->members, net_clock_now (peers->options.clock),
-                     wait->id, ok, &gossip);
+  co_members_probe_done (peers->members, net_clock_now (peers->options.clock),
+                         wait->id, ok, &gossip);
   if (ok)
     gossip_received (peers, &gossip, message.rumors);
   xdr_free ((xdrproc_t)xdr_peer_gossip, (char *)&message);
@@ -200,8 +200,8 @@
   wait->id = id;
   peer_gossip_encode (peers, NULL, &body);
   if (via.len == 0)
-    net_rpc_send (peers->rpc, address, PEER_GOSSIP, el_buf_str (&body),
-                  PROBE_RPC_TIMEOUT, probe_done, wait);
+    net_rpc_call_udp (peers->rpc, address, PEER_GOSSIP, el_buf_str (&body),
+                      PROBE_RPC_TIMEOUT, probe_done, wait);
   else
     {
       memset (&relay, 0, sizeof relay);
@@ -210,8 +210,8 @@
                            &relay.gossip))
         peer_xdr_encode ((xdrproc_t)xdr_peer_relay, &relay, &relayed);
       xdr_free ((xdrproc_t)xdr_peer_gossip, (char *)&relay.gossip);
-      net_rpc_send (peers->rpc, via, PEER_RELAY, el_buf_str (&relayed),
-                    PROBE_RPC_TIMEOUT, probe_done, wait);
+      net_rpc_call_udp (peers->rpc, via, PEER_RELAY, el_buf_str (&relayed),
+                        PROBE_RPC_TIMEOUT, probe_done, wait);
       el_buf_free (&relayed);
     }
   el_buf_free (&body);
@@ -229,8 +229,8 @@
   if (peer_xdr_decode ((xdrproc_t)xdr_peer_gossip, body, &message)
       && gossip_decode (&message, &gossip))
     {
-      co_members_hear (peers->members, net_clock_now (peers->options.clock),
-                       &gossip);
+      co_members_receive_gossip (
+          peers->members, net_clock_now (peers->options.clock), &gossip);
       gossip_received (peers, &gossip, message.rumors);
       peer_gossip_encode (peers, &gossip.self.incarnation, &out);
     }
@@ -273,9 +273,9 @@
       wait->peers = peers;
       wait->req = req;
       peer_xdr_encode ((xdrproc_t)xdr_peer_gossip, &relay.gossip, &out);
-      net_rpc_send (peers->rpc, PEER_BYTES_GET (relay.target, target),
-                    PEER_GOSSIP, el_buf_str (&out), PROBE_RPC_TIMEOUT,
-                    relay_done, wait);
+      net_rpc_call_udp (peers->rpc, PEER_BYTES_GET (relay.target, target),
+                        PEER_GOSSIP, el_buf_str (&out), PROBE_RPC_TIMEOUT,
+                        relay_done, wait);
     }
   xdr_free ((xdrproc_t)xdr_peer_relay, (char *)&relay);
   el_buf_free (&out);
--- a/peer/peer_handover.c
+++ b/peer/peer_handover.c
@@ -150,7 +150,7 @@
       batch_free (batch);
     }
   if (whole && peers->successor.peer.len)
-    co_members_hand_over (peers->members, &peers->successor.incarnation);
+    co_members_set_successor (peers->members, &peers->successor.incarnation);
   EL_LOG (EL_LOG_INFO, "handed_over",
           EL_FS ("successor", peers->successor.peer), EL_FN ("whole", whole));
   peers->handover = NULL;
@@ -182,9 +182,9 @@
   size_t i;
 
   for (i = 0; i < batch->nkeys; i++)
-    co_ledger_moved (handover->peers->options.ledger, &batch->keys[i],
-                     res && i < res->taken.taken_len
-                         && res->taken.taken_val[i]);
+    co_ledger_set_moved (handover->peers->options.ledger, &batch->keys[i],
+                         res && i < res->taken.taken_len
+                             && res->taken.taken_val[i]);
 }
 
 static void
@@ -236,7 +236,7 @@
       return;
     }
   for (i = 0; i < batch->nkeys; i++)
-    co_ledger_moved (handover->peers->options.ledger, &batch->keys[i], 1);
+    co_ledger_set_moved (handover->peers->options.ledger, &batch->keys[i], 1);
   net_rpc_call (handover->peers->rpc, handover->peers->successor.peer,
                 PEER_HANDOVER, el_buf_str (&batch->body), HANDOVER_TIMEOUT,
                 batch_done, handover);
--- a/peer/peer_members.c
+++ b/peer/peer_members.c
@@ -25,10 +25,10 @@
 static void
 sync_add_other (sync_list_t *members, const co_member_t *member)
 {
-  const co_change_t change = { .incarnation = member->incarnation,
-                               .counter = member->counter,
-                               .state = member->state,
-                               .offer = member->offer };
+  const co_member_change_t change = { .incarnation = member->incarnation,
+                                      .counter = member->counter,
+                                      .state = member->state,
+                                      .offer = member->offer };
 
   if (members->nothers == PEER_MEMBERS_MAX)
     return;
@@ -81,15 +81,15 @@
 {
   el_time_t now = net_clock_now (peers->options.clock);
   co_member_t member;
-  co_change_t change;
+  co_member_change_t change;
   u_int i;
 
   for (i = 0; i < res->members.members_len; i++)
     if (peer_member_decode (&res->members.members_val[i], &member))
-      co_members_take (peers->members, now, &member);
+      co_members_apply_member (peers->members, now, &member);
   for (i = 0; i < res->changes.changes_len; i++)
     if (peer_change_decode (&res->changes.changes_val[i], &change))
-      co_members_take_change (peers->members, now, &change);
+      co_members_apply_change (peers->members, now, &change);
 }
 
 static void
--- a/peer/peer_news.c
+++ b/peer/peer_news.c
@@ -294,7 +294,7 @@
 pr_peers_is_first_in_hall (const pr_peers_t *peers)
 {
   const co_member_t *first
-      = co_members_first (peers->members, NULL, source_skip_none, NULL);
+      = co_members_next_ranked (peers->members, NULL, source_skip_none, NULL);
 
   return first
          && co_incarnation_eq (&first->incarnation,
@@ -314,15 +314,17 @@
   const co_member_t *from;
   unsigned i;
 
-  if (co_members_chosen (peers->members, peers->options.store_followers))
+  if (co_members_is_top_ranked (peers->members,
+                                peers->options.store_followers))
     return NULL;
-  first = co_members_first (peers->members, NULL, source_failed_lately, peers);
+  first = co_members_next_ranked (peers->members, NULL, source_failed_lately,
+                                  peers);
   if (!first || first == self)
     return NULL;
   from = first;
   for (i = 0; from && i < old % SOURCES_MAX; i++)
-    from
-        = co_members_first (peers->members, from, source_failed_lately, peers);
+    from = co_members_next_ranked (peers->members, from, source_failed_lately,
+                                   peers);
   return from && from != self ? from : first;
 }
 
--- a/peer/peer_rumor.c
+++ b/peer/peer_rumor.c
@@ -87,7 +87,7 @@
               .until = now + from->left_us,
               .body = PEER_BYTES_GET (from->body, body) };
 
-      news += (size_t)co_rumors_hear (peers->rumors, now, &rumor);
+      news += (size_t)co_rumors_receive (peers->rumors, now, &rumor);
     }
   peer_rumors_schedule (peers);
   return news;
@@ -107,7 +107,7 @@
 peer_rumors_schedule (pr_peers_t *peers)
 {
   el_time_t now = net_clock_now (peers->options.clock);
-  el_time_t due = co_rumors_next (peers->rumors);
+  el_time_t due = co_rumors_next_due (peers->rumors);
 
   if (due != EL_TIME_NEVER)
     net_clock_set (peers->options.clock, &peers->rumors_timer,
@@ -135,8 +135,9 @@
 rumor_send_attempt (rumor_send_t *send)
 {
   send->attempts++;
-  net_rpc_send (send->peers->rpc, send->address, PEER_RUMORS,
-                el_buf_str (&send->body), RUMOR_SEND_TIMEOUT, send_done, send);
+  net_rpc_call_udp (send->peers->rpc, send->address, PEER_RUMORS,
+                    el_buf_str (&send->body), RUMOR_SEND_TIMEOUT, send_done,
+                    send);
 }
 
 /* Forward rumors to RUMOR_FANOUT hosts. */
@@ -145,7 +146,7 @@
 {
   pr_peers_t *peers = arg;
   const co_member_t *to[RUMOR_FANOUT];
-  size_t hosts = co_members_some (peers->members, to, RUMOR_FANOUT);
+  size_t hosts = co_members_sample (peers->members, to, RUMOR_FANOUT);
   rumor_list_t rumors = { .now = net_clock_now (peers->options.clock) };
   el_buf_t body = { NULL, 0, 0 };
   rumor_send_t *send;
@@ -207,7 +208,7 @@
   memset (&message, 0, sizeof message);
   if (ok && peer_xdr_decode ((xdrproc_t)xdr_peer_rumors, body, &message))
     {
-      co_rumors_asked (peers->rumors, list_merge (peers, &message));
+      co_rumors_sync_done (peers->rumors, list_merge (peers, &message));
       peers->rumors_known = 1;
     }
   xdr_free ((xdrproc_t)xdr_peer_rumors, (char *)&message);
@@ -224,7 +225,7 @@
 
   if (digest == co_rumors_digest (peers->rumors))
     peers->rumors_known = 1;
-  if (!co_rumors_behind (peers->rumors, now, digest))
+  if (!co_rumors_needs_sync (peers->rumors, now, digest))
     return;
   list_encode (&none, 1, &body);
   net_rpc_call (peers->rpc, address, PEER_RUMORS, el_buf_str (&body),
@@ -236,8 +237,8 @@
 void
 peer_rumors_init (pr_peers_t *peers)
 {
-  const co_rumors_options_t options = { .most = RUMORS_MAX,
-                                        .gather = RUMOR_BATCH_DELAY,
+  const co_rumors_options_t options = { .max_rumors = RUMORS_MAX,
+                                        .batch_delay = RUMOR_BATCH_DELAY,
                                         .send = rumors_send,
                                         .heard = rumor_received,
                                         .arg = peers };
@@ -257,7 +258,7 @@
   const co_rumor_t rumor
       = { .id = id, .at = now, .until = now + hold, .body = body };
 
-  co_rumors_tell (peers->rumors, now, &rumor);
+  co_rumors_publish (peers->rumors, now, &rumor);
   peer_rumors_schedule (peers);
 }
 
--- a/route/router.c
+++ b/route/router.c
@@ -562,7 +562,7 @@
 el_time_t
 rt_router_next_tick (const rt_router_t *router)
 {
-  return el_timers_next (&router->timers);
+  return el_timers_next_due (&router->timers);
 }
 
 /** Whether a request that was routed to ENDPOINT may still be sent, i.e. the
--- a/route/table.c
+++ b/route/table.c
@@ -26,7 +26,7 @@
 typedef void (*apply_fn) (rt_router_t *router, const co_resource_t *prev,
                           const co_resource_t *next);
 
-static const apply_fn apply_by_kind[CO_KINDS] = {
+static const apply_fn apply_by_kind[CO_KIND_COUNT] = {
   [CO_DEPLOYMENT] = apply_deployment, [CO_PIPELINE] = apply_pipeline,
   [CO_CUSTOMER] = apply_customer,     [CO_ENDPOINT] = apply_endpoint,
   [CO_SERVICE] = apply_service,
--- a/soak/caller.c
+++ b/soak/caller.c
@@ -71,13 +71,13 @@
   el_str_t name = EL_STR (ID_NAME);
   el_str_t value;
 
-  if (el_str_starts (line, EL_STR (SEAL)))
+  if (el_str_starts_with (line, EL_STR (SEAL)))
     answer->request->seal = 1;
-  if (el_str_starts (line, name))
+  if (el_str_starts_with (line, name))
     {
       value = el_str_after (line, name.len);
       answer->request->own
-          = el_str_starts (value, el_str (answer->request->id));
+          = el_str_starts_with (value, el_str (answer->request->id));
     }
   return size * n;
 }
--- a/soak/main.c
+++ b/soak/main.c
@@ -38,22 +38,22 @@
 
 #define AT(field) offsetof (soak_settings_t, field)
 
-static const el_set_t table[] = {
-  { "bin", EL_SET_STRING, AT (bin), "build/bin", 1, 255, 0, "DIR",
+static const el_setting_t table[] = {
+  { "bin", EL_SETTING_STRING, AT (bin), "build/bin", 1, 255, 0, "DIR",
     "the programs" },
-  { "dir", EL_SET_STRING, AT (dir), "build/soak", 1, 200, 0, "DIR",
+  { "dir", EL_SETTING_STRING, AT (dir), "build/soak", 1, 200, 0, "DIR",
     "for logs and records, a folder for each seed" },
-  { "seed", EL_SET_U64, AT (seed), "1", 0, UINT32_MAX, 0, "N",
+  { "seed", EL_SETTING_U64, AT (seed), "1", 0, UINT32_MAX, 0, "N",
     "the first seed" },
-  { "seeds", EL_SET_U64, AT (seeds), "1", 1, 100000, 0, "N", "how many" },
-  { "seconds", EL_SET_U64, AT (seconds), "12", 1, 86400, 0, "S",
+  { "seeds", EL_SETTING_U64, AT (seeds), "1", 1, 100000, 0, "N", "how many" },
+  { "seconds", EL_SETTING_U64, AT (seconds), "12", 1, 86400, 0, "S",
     "faults of one seed, 64 at the most" },
-  { "callers", EL_SET_U64, AT (callers), "12", 1, 256, 0, "N", "threads" },
-  { "plan", EL_SET_FLAG, AT (plan), "0", 0, 1, 0, NULL,
+  { "callers", EL_SETTING_U64, AT (callers), "12", 1, 256, 0, "N", "threads" },
+  { "plan", EL_SETTING_FLAG, AT (plan), "0", 0, 1, 0, NULL,
     "print the faults as they strike" },
-  { "asks", EL_SET_FLAG, AT (asks), "0", 0, 1, 0, NULL,
+  { "asks", EL_SETTING_FLAG, AT (asks), "0", 0, 1, 0, NULL,
     "have members ask for rest, and say that they leave, besides" },
-  { "copies", EL_SET_FLAG, AT (copies), "0", 0, 1, 0, NULL,
+  { "copies", EL_SETTING_FLAG, AT (copies), "0", 0, 1, 0, NULL,
     "have the store go on from copies of itself, in place of most faults" },
 };
 
@@ -171,31 +171,32 @@
 int
 main (int argc, const char **argv)
 {
-  const el_set_options_t options = { .program = "soak",
-                                     .env_prefix = "SOAK",
-                                     .usage = "[OPTION...]",
-                                     .table = table,
-                                     .ntable = sizeof table / sizeof *table };
+  const el_settings_options_t options
+      = { .program = "soak",
+          .env_prefix = "SOAK",
+          .usage = "[OPTION...]",
+          .table = table,
+          .ntable = sizeof table / sizeof *table };
   soak_settings_t set;
-  el_set_result_t result;
+  el_settings_result_t result;
   el_err_t err;
   size_t n = 0;
   uint64_t i;
 
   memset (&set, 0, sizeof set);
-  result = el_set_parse (&options, argc, argv, &set, NULL, &err);
-  if (result == EL_SET_REFUSED)
+  result = el_settings_parse (&options, argc, argv, &set, NULL, &err);
+  if (result == EL_SETTINGS_INVALID)
     {
       fprintf (stderr, "soak: %s\n", err.msg);
       return EL_EXIT_USAGE;
     }
-  if (result == EL_SET_DONE)
+  if (result == EL_SETTINGS_DONE)
     return EXIT_SUCCESS;
   signal (SIGPIPE, SIG_IGN);
   curl_global_init (CURL_GLOBAL_DEFAULT);
   for (i = 0; i < set.seeds; i++)
     n += seed_run (&set, set.seed + i);
   curl_global_cleanup ();
-  el_set_free (&options, &set);
+  el_settings_free (&options, &set);
   return n ? EXIT_FAILURE : EXIT_SUCCESS;
 }
--- a/standin/demo.c
+++ b/standin/demo.c
@@ -98,7 +98,7 @@
   while (rest.len)
     {
       line = el_str_cut (&rest, '\n');
-      if (!el_str_starts (line, EL_STR ("data: ")))
+      if (!el_str_starts_with (line, EL_STR ("data: ")))
         continue;
       line = el_str_after (line, 6);
       if (el_str_eq (line, EL_STR ("[DONE]")))
--- a/standin/main.c
+++ b/standin/main.c
@@ -28,35 +28,36 @@
 
 #define AT(field) offsetof (sn_settings_t, field)
 
-static const el_set_t table[] = {
-  { "role", EL_SET_STRING, AT (role), NULL, 1, 16, 1, "ROLE",
+static const el_setting_t table[] = {
+  { "role", EL_SETTING_STRING, AT (role), NULL, 1, 16, 1, "ROLE",
     "platform, engine, service, store or member" },
-  { "listen", EL_SET_STRING, AT (listen), NULL, 9, 21, 1, "IP:PORT",
+  { "listen", EL_SETTING_STRING, AT (listen), NULL, 9, 21, 1, "IP:PORT",
     "where to listen" },
-  { "step-us", EL_SET_U64, AT (step_us), "0", 0, 10000000, 0, "US",
+  { "step-us", EL_SETTING_U64, AT (step_us), "0", 0, 10000000, 0, "US",
     "time that a stage call takes" },
-  { "first", EL_SET_U64, AT (layers_first), "0", 0, 4095, 0, "N",
+  { "first", EL_SETTING_U64, AT (layers_first), "0", 0, 4095, 0, "N",
     "first layer held" },
-  { "last", EL_SET_U64, AT (layers_last), "0", 0, 4095, 0, "N",
+  { "last", EL_SETTING_U64, AT (layers_last), "0", 0, 4095, 0, "N",
     "last layer held" },
-  { "generation", EL_SET_U64, AT (generation), "1", 1, 1000000, 0, "N",
+  { "generation", EL_SETTING_U64, AT (generation), "1", 1, 1000000, 0, "N",
     "generation of the weights" },
-  { "store", EL_SET_STRING, AT (store), "", 0, 21, 0, "IP:PORT",
+  { "store", EL_SETTING_STRING, AT (store), "", 0, 21, 0, "IP:PORT",
     "the store that a member enters itself in" },
-  { "name", EL_SET_STRING, AT (name), "m", 1, 32, 0, "NAME",
+  { "name", EL_SETTING_STRING, AT (name), "m", 1, 32, 0, "NAME",
     "begins a member's id" },
-  { "service", EL_SET_STRING, AT (service), "s", 1, 32, 0, "NAME",
+  { "service", EL_SETTING_STRING, AT (service), "s", 1, 32, 0, "NAME",
     "of a member" },
-  { "hall", EL_SET_STRING, AT (hall), "h", 1, 32, 0, "NAME", "of a member" },
-  { "card", EL_SET_STRING, AT (card), "", 0, 32, 0, "NAME",
+  { "hall", EL_SETTING_STRING, AT (hall), "h", 1, 32, 0, "NAME",
+    "of a member" },
+  { "card", EL_SETTING_STRING, AT (card), "", 0, 32, 0, "NAME",
     "accelerator of a member that is an engine" },
-  { "announce", EL_SET_STRING, AT (announce), "", 0, 21, 0, "IP:PORT",
+  { "announce", EL_SETTING_STRING, AT (announce), "", 0, 21, 0, "IP:PORT",
     "the address that a member enters, in place of its own" },
-  { "same-id", EL_SET_FLAG, AT (same_id), "0", 0, 1, 0, NULL,
+  { "same-id", EL_SETTING_FLAG, AT (same_id), "0", 0, 1, 0, NULL,
     "a member has its name for an id, at each start" },
-  { "layers-most", EL_SET_U64, AT (layers_most), "4096", 0, 4096, 0, "N",
+  { "layers-most", EL_SETTING_U64, AT (layers_most), "4096", 0, 4096, 0, "N",
     "a member that is ordered to hold more ends" },
-  { "record", EL_SET_STRING, AT (record), "", 0, 255, 0, "FILE",
+  { "record", EL_SETTING_STRING, AT (record), "", 0, 255, 0, "FILE",
     "where a member notes each request that it runs" },
 };
 
@@ -204,29 +205,30 @@
 int
 main (int argc, const char **argv)
 {
-  const el_set_options_t options = { .program = "standin",
-                                     .env_prefix = "STANDIN",
-                                     .usage = "[OPTION...]",
-                                     .table = table,
-                                     .ntable = sizeof table / sizeof *table };
+  const el_settings_options_t options
+      = { .program = "standin",
+          .env_prefix = "STANDIN",
+          .usage = "[OPTION...]",
+          .table = table,
+          .ntable = sizeof table / sizeof *table };
   net_server_options_t server = { .max_body = MAX_BODY };
   sn_process_t process;
   el_err_t err;
-  el_set_result_t result;
+  el_settings_result_t result;
 
   memset (&process, 0, sizeof process);
-  result = el_set_parse (&options, argc, argv, &process.set, NULL, &err);
-  if (result == EL_SET_DONE)
+  result = el_settings_parse (&options, argc, argv, &process.set, NULL, &err);
+  if (result == EL_SETTINGS_DONE)
     return EXIT_SUCCESS;
-  if (result == EL_SET_REFUSED || !role_find (process.set.role))
+  if (result == EL_SETTINGS_INVALID || !role_find (process.set.role))
     {
       fprintf (stderr, "standin: %s\n",
-               result == EL_SET_REFUSED ? err.msg : "no such role");
+               result == EL_SETTINGS_INVALID ? err.msg : "no such role");
       return EL_EXIT_USAGE;
     }
   signal (SIGPIPE, SIG_IGN);
   uv_loop_init (&process.loop);
-  net_clock_open (&process.clock, &process.loop);
+  net_clock_init (&process.clock, &process.loop);
   role_find (process.set.role)->open (&process);
   server.loop = &process.loop;
   server.address = el_str (process.set.listen);
--- a/standin/member.c
+++ b/standin/member.c
@@ -95,9 +95,9 @@
       (json_int_t)member->orders, "born", (json_int_t)member->born);
   char path[128];
   char *text;
-  net_send_t send = { .address = el_str (set->store),
-                      .method = EL_STR ("PUT"),
-                      .done = entered };
+  net_request_t send = { .address = el_str (set->store),
+                         .method = EL_STR ("PUT"),
+                         .done = entered };
 
   if (set->card[0])
     json_object_set_new (json, "RouteType", json_string (set->card));
@@ -222,7 +222,7 @@
     member_end (arg, now);
   member->mute = 1;
   DL_FOREACH2 (member->streams, stream, next_stream)
-  net_req_cut (stream->req);
+  net_req_abort (stream->req);
   member->dying.cb = member_end;
   net_clock_set (&member->process->clock, &member->dying, LINGERS_FOR);
 }
@@ -264,7 +264,7 @@
   if (!freed)
     {
       stream->member->gone++;
-      net_req_cut (stream->req);
+      net_req_abort (stream->req);
       return;
     }
   stream_free (stream);
@@ -543,7 +543,7 @@
     }
   if (fault == SN_LOSE)
     {
-      net_req_cut (req);
+      net_req_abort (req);
       net_req_reply (req, 500, EL_STR (""), EL_STR (""));
       return;
     }
--- a/standin/platform.c
+++ b/standin/platform.c
@@ -355,7 +355,7 @@
     return;
   if (fault == SN_DOWN)
     sn_lose (req);
-  else if (el_str_starts (path, key_path))
+  else if (el_str_starts_with (path, key_path))
     {
       path = el_str_after (path, key_path.len);
       snprintf (key, sizeof key, "%.*s", (int)path.len, path.ptr);
@@ -367,7 +367,7 @@
     watch_serve (platform, req);
   else if (el_str_eq (path, EL_STR ("/v1/lease")))
     lease_serve (platform, req);
-  else if (el_str_starts (path, hosts_path))
+  else if (el_str_starts_with (path, hosts_path))
     hosts_serve (platform, req, el_str_after (path, hosts_path.len));
   else
     sn_json (req, 404, json_object ());
--- a/standin/store.c
+++ b/standin/store.c
@@ -615,7 +615,7 @@
   snprintf (era, sizeof era, "%llu", (unsigned long long)store->era);
   net_req_add_header (req, ERA_HEADER, el_str (era));
 
-  if (el_str_starts (path, TEST_PREFIX))
+  if (el_str_starts_with (path, TEST_PREFIX))
     {
       serve_test (store, req);
       return;
@@ -626,7 +626,7 @@
       return;
     }
   for (i = 0; i < sizeof calls / sizeof *calls; i++)
-    if (el_str_starts (path, calls[i].path))
+    if (el_str_starts_with (path, calls[i].path))
       {
         calls[i].serve (store, req);
         return;
--- a/tests/cluster.c
+++ b/tests/cluster.c
@@ -673,7 +673,7 @@
 
       line = el_str_cut (&rest, '\n');
       *done |= el_str_eq (line, EL_STR ("data: [DONE]"));
-      if (!el_str_starts (line, EL_STR ("data: {")))
+      if (!el_str_starts_with (line, EL_STR ("data: {")))
         continue;
       json = json_loadb (line.ptr + 6, line.len - 6, 0, NULL);
       token = json_object_get (json_object_get (json, "elmarch"), "token");
--- a/tests/mbr_net.c
+++ b/tests/mbr_net.c
@@ -95,7 +95,7 @@
 
   *msg = *like;
   msg->from->sent++;
-  co_members_speak (msg->from->members, to_inc, &msg->gossip);
+  co_members_write_gossip (msg->from->members, to_inc, &msg->gossip);
   gossip_keep (net, &msg->gossip);
   if (net->size)
     msg->from->bytes += net->size (&msg->gossip);
@@ -148,7 +148,7 @@
 net_seen (net_host_t *host, uint64_t revision)
 {
   host->revision = revision;
-  co_members_seen (host->members, revision);
+  co_members_set_revision (host->members, revision);
 }
 
 static void
@@ -161,7 +161,8 @@
                      .id = msg->id,
                      .answer = !msg->relay };
 
-  co_members_hear (msg->to->members, msg->to->net->now, &msg->gossip);
+  co_members_receive_gossip (msg->to->members, msg->to->net->now,
+                             &msg->gossip);
   host_heard (msg->to, &msg->gossip);
   msg_send (&next, &msg->gossip.self.incarnation);
 }
@@ -178,7 +179,8 @@
 
   if (msg->to == msg->asker)
     {
-      co_members_answer (msg->to->members, net->now, msg->id, 1, &msg->gossip);
+      co_members_probe_done (msg->to->members, net->now, msg->id, 1,
+                             &msg->gossip);
       host_heard (msg->to, &msg->gossip);
     }
   else
@@ -235,15 +237,15 @@
 sync_visit (void *arg, const co_member_t *member)
 {
   net_host_t *host = arg;
-  const co_change_t change = { .incarnation = member->incarnation,
-                               .counter = member->counter,
-                               .state = member->state,
-                               .offer = member->offer };
+  const co_member_change_t change = { .incarnation = member->incarnation,
+                                      .counter = member->counter,
+                                      .state = member->state,
+                                      .offer = member->offer };
 
   if (member->state <= CO_MBR_SUSPECT)
-    co_members_take (host->members, host->net->now, member);
+    co_members_apply_member (host->members, host->net->now, member);
   else
-    co_members_take_change (host->members, host->net->now, &change);
+    co_members_apply_change (host->members, host->net->now, &change);
 }
 
 /* The host that was asked for all members answers, if it can. */
@@ -372,7 +374,7 @@
         if (!net->hosts[i].down && !net->hosts[i].paused)
           {
             host_synced (&net->hosts[i]);
-            if (co_members_next (net->hosts[i].members) <= net->now)
+            if (co_members_next_due (net->hosts[i].members) <= net->now)
               co_members_tick (net->hosts[i].members, net->now);
           }
       net->now += 5 * EL_MSEC;
--- a/tests/rumor_net.c
+++ b/tests/rumor_net.c
@@ -24,7 +24,7 @@
   el_timer_t timer;
   rumor_host_t *from;
   rumor_host_t *to;
-  co_rumor_t list[CO_RUMORS_BATCH];
+  co_rumor_t list[CO_RUMORS_BATCH_MAX];
   size_t n;
   int again; /* it is sent once more when it is lost */
   int compare;
@@ -66,7 +66,7 @@
 {
   rumor_host_t *to = arg;
 
-  co_rumors_hear (to->rumors, to->net->now, rumor);
+  co_rumors_receive (to->rumors, to->net->now, rumor);
 }
 
 static void
@@ -88,8 +88,8 @@
       return;
     }
   for (i = 0; i < msg->n; i++)
-    co_rumors_hear (msg->to->rumors, now, &msg->list[i]);
-  if (msg->compare && co_rumors_behind (msg->to->rumors, now, msg->digest))
+    co_rumors_receive (msg->to->rumors, now, &msg->list[i]);
+  if (msg->compare && co_rumors_needs_sync (msg->to->rumors, now, msg->digest))
     co_rumors_visit (msg->from->rumors, take_visit, msg->to);
   free (msg);
 }
@@ -134,8 +134,8 @@
 static void
 host_open (rumor_net_t *net, rumor_host_t *host)
 {
-  const co_rumors_options_t options = { .most = 1024,
-                                        .gather = 5 * EL_MSEC,
+  const co_rumors_options_t options = { .max_rumors = 1024,
+                                        .batch_delay = 5 * EL_MSEC,
                                         .send = host_send,
                                         .heard = host_heard,
                                         .arg = host };
@@ -187,7 +187,7 @@
   const co_rumor_t rumor
       = { .id = id, .at = net->now, .until = net->now + HOLD, .body = BODY };
 
-  co_rumors_tell (net->hosts[host].rumors, net->now, &rumor);
+  co_rumors_publish (net->hosts[host].rumors, net->now, &rumor);
   host_heard (&net->hosts[host], &rumor);
 }
 
@@ -233,7 +233,7 @@
       el_timers_run (&net->timers, net->now);
       for (i = 0; i < net->n; i++)
         {
-          if (co_rumors_next (net->hosts[i].rumors) <= net->now)
+          if (co_rumors_next_due (net->hosts[i].rumors) <= net->now)
             co_rumors_tick (net->hosts[i].rumors, net->now);
           if (net->hosts[i].compare <= net->now)
             host_compare (&net->hosts[i]);
--- a/tests/script.c
+++ b/tests/script.c
@@ -107,7 +107,7 @@
 {
   signal (SIGPIPE, SIG_IGN);
   uv_loop_init (&loop);
-  net_clock_open (&test_clock, &loop);
+  net_clock_init (&test_clock, &loop);
   client = net_client_new (&test_clock);
 }
 
--- a/tests/t_base.c
+++ b/tests/t_base.c
@@ -76,7 +76,7 @@
       size_t before = out.len;
 
       el_timers_run (&timers, now);
-      ck_assert (el_timers_next (&timers) > now);
+      ck_assert (el_timers_next_due (&timers) > now);
       ck_assert_uint_le (out.len - before, 5);
     }
   ck_assert_uint_eq (timers.len, 0);
@@ -109,23 +109,23 @@
   int flag;
 } set_out_t;
 
-static const el_set_t set_table[] = {
-  { "number", EL_SET_U64, offsetof (set_out_t, number), "5", 1, 10, 0, "N",
+static const el_setting_t set_table[] = {
+  { "number", EL_SETTING_U64, offsetof (set_out_t, number), "5", 1, 10, 0, "N",
     "a number" },
-  { "text", EL_SET_STRING, offsetof (set_out_t, text), NULL, 1, 8, 1, "T",
+  { "text", EL_SETTING_STRING, offsetof (set_out_t, text), NULL, 1, 8, 1, "T",
     "a text" },
-  { "flag", EL_SET_FLAG, offsetof (set_out_t, flag), "0", 0, 1, 0, NULL,
+  { "flag", EL_SETTING_FLAG, offsetof (set_out_t, flag), "0", 0, 1, 0, NULL,
     "a flag" },
 };
 
-static const el_set_options_t set_options
+static const el_settings_options_t set_options
     = { "prog", "TESTSET", "", set_table, 3 };
 
-static el_set_result_t
+static el_settings_result_t
 settings (const char **argv, int argc, set_out_t *out, el_err_t *err)
 {
   memset (out, 0, sizeof *out);
-  return el_set_parse (&set_options, argc, argv, out, NULL, err);
+  return el_settings_parse (&set_options, argc, argv, out, NULL, err);
 }
 
 START_TEST (test_settings_flag_goes_before_variable)
@@ -136,14 +136,14 @@
 
   setenv ("TESTSET_NUMBER", "3", 1);
   setenv ("TESTSET_TEXT", "abc", 1);
-  ck_assert_int_eq (settings (argv, 3, &out, &err), EL_SET_RUN);
+  ck_assert_int_eq (settings (argv, 3, &out, &err), EL_SETTINGS_OK);
   ck_assert_uint_eq (out.number, 7);
   ck_assert_str_eq (out.text, "abc");
   ck_assert_int_eq (out.flag, 1);
-  el_set_free (&set_options, &out);
-  ck_assert_int_eq (settings (argv, 1, &out, &err), EL_SET_RUN);
+  el_settings_free (&set_options, &out);
+  ck_assert_int_eq (settings (argv, 1, &out, &err), EL_SETTINGS_OK);
   ck_assert_uint_eq (out.number, 3);
-  el_set_free (&set_options, &out);
+  el_settings_free (&set_options, &out);
   unsetenv ("TESTSET_NUMBER");
   unsetenv ("TESTSET_TEXT");
 }
@@ -161,11 +161,11 @@
   el_err_t err;
   const char *argv[] = { "prog", "--text=a", bad[_i], NULL };
 
-  ck_assert_int_eq (settings (argv, 3, &out, &err), EL_SET_REFUSED);
+  ck_assert_int_eq (settings (argv, 3, &out, &err), EL_SETTINGS_INVALID);
   ck_assert_ptr_nonnull (strstr (err.msg, _i == 5 ? "--text" : "--number"));
   ck_assert_ptr_nonnull (
       strstr (err.msg, _i == 5 ? "1 to 8 characters" : "from 1 to 10"));
-  el_set_free (&set_options, &out);
+  el_settings_free (&set_options, &out);
 }
 END_TEST
 
@@ -175,7 +175,7 @@
   set_out_t out;
   el_err_t err;
 
-  ck_assert_int_eq (settings (argv, 1, &out, &err), EL_SET_REFUSED);
+  ck_assert_int_eq (settings (argv, 1, &out, &err), EL_SETTINGS_INVALID);
   ck_assert_ptr_nonnull (strstr (err.msg, "--text: is required"));
 }
 END_TEST
--- a/tests/t_check.c
+++ b/tests/t_check.c
@@ -82,7 +82,7 @@
 check_setup (void)
 {
   uv_loop_init (&loop);
-  net_clock_open (&test_clock, &loop);
+  net_clock_init (&test_clock, &loop);
   relays.options.clock = &test_clock;
   relays.options.client = net_client_new (&test_clock);
   relays.options.fleet = rt_fleet_new (7);
--- a/tests/t_coord.c
+++ b/tests/t_coord.c
@@ -106,8 +106,8 @@
 {
   void *answer;
 
-  return co_ledger_begin (ledger, 1, key (session), sequence, 5, &released,
-                          &answer);
+  return co_ledger_begin_request (ledger, 1, key (session), sequence, 5,
+                                  &released, &answer);
 }
 
 START_TEST (test_ledger_runs_once_and_joins)
@@ -117,18 +117,18 @@
   void *answer = NULL;
   int first;
 
-  co_ledger_open (ledger, 1, EL_STR ("c"), &session, NULL);
+  co_ledger_open_session (ledger, 1, EL_STR ("c"), &session, NULL);
+  ck_assert_int_eq (co_ledger_begin_request (ledger, 1, key (session), 1, 5,
+                                             &first, &answer),
+                    CO_LED_RUN);
   ck_assert_int_eq (
-      co_ledger_begin (ledger, 1, key (session), 1, 5, &first, &answer),
-      CO_LED_RUN);
-  ck_assert_int_eq (
-      co_ledger_begin (ledger, 1, key (session), 1, 5, NULL, &answer),
+      co_ledger_begin_request (ledger, 1, key (session), 1, 5, NULL, &answer),
       CO_LED_JOIN);
   ck_assert_ptr_eq (answer, &first);
-  co_ledger_end (ledger, 2, key (session), 1, EL_RAN, 10);
+  co_ledger_end_request (ledger, 2, key (session), 1, EL_RAN, 10);
   ck_assert_int_eq (begin (ledger, session, 1), CO_LED_ANSWER);
   ck_assert_int_eq (
-      co_ledger_begin (ledger, 1, key (session), 1, 6, NULL, &answer),
+      co_ledger_begin_request (ledger, 1, key (session), 1, 6, NULL, &answer),
       CO_LED_MISMATCH);
   co_ledger_free (ledger);
 }
@@ -139,12 +139,12 @@
   co_ledger_t *ledger = ledger_new (4);
   uint64_t session;
 
-  co_ledger_open (ledger, 1, EL_STR ("c"), &session, NULL);
+  co_ledger_open_session (ledger, 1, EL_STR ("c"), &session, NULL);
   begin (ledger, session, 1);
-  co_ledger_end (ledger, 2, key (session), 1, EL_MAY_HAVE_RUN, 10);
+  co_ledger_end_request (ledger, 2, key (session), 1, EL_MAY_HAVE_RUN, 10);
   ck_assert_int_eq (begin (ledger, session, 1), CO_LED_ANSWER);
   begin (ledger, session, 2);
-  co_ledger_end (ledger, 2, key (session), 2, EL_NOT_RUN, 10);
+  co_ledger_end_request (ledger, 2, key (session), 2, EL_NOT_RUN, 10);
   ck_assert_int_eq (begin (ledger, session, 2), CO_LED_RUN);
   co_ledger_free (ledger);
 }
@@ -156,11 +156,11 @@
   uint64_t session;
   uint64_t i;
 
-  co_ledger_open (ledger, 1, EL_STR ("c"), &session, NULL);
+  co_ledger_open_session (ledger, 1, EL_STR ("c"), &session, NULL);
   for (i = 1; i <= 5; i++)
     {
       ck_assert_int_eq (begin (ledger, session, i), CO_LED_RUN);
-      co_ledger_end (ledger, 2, key (session), i, EL_RAN, 10);
+      co_ledger_end_request (ledger, 2, key (session), i, EL_RAN, 10);
     }
   for (i = 1; i <= 3; i++)
     ck_assert_int_eq (begin (ledger, session, i), CO_LED_FORGOTTEN);
@@ -175,16 +175,17 @@
   uint64_t session;
 
   ck_assert_int_eq (begin (ledger, 99, 1), CO_LED_FORGOTTEN);
-  co_ledger_open (ledger, 1, EL_STR ("c"), &session, NULL);
+  co_ledger_open_session (ledger, 1, EL_STR ("c"), &session, NULL);
   co_ledger_expire (ledger, 200);
   ck_assert_int_eq (begin (ledger, session, 1), CO_LED_FORGOTTEN);
-  co_ledger_open (ledger, 1, EL_STR ("c"), &session, NULL);
+  co_ledger_open_session (ledger, 1, EL_STR ("c"), &session, NULL);
   begin (ledger, session, 1);
   co_ledger_expire (ledger, 500); /* a running request keeps its session */
   ck_assert_int_eq (begin (ledger, session, 1), CO_LED_JOIN);
-  ck_assert_int_eq (co_ledger_close (ledger, key (session)), EL_CONFLICT);
-  co_ledger_end (ledger, 2, key (session), 1, EL_RAN, 10);
-  ck_assert_int_eq (co_ledger_close (ledger, key (session)), EL_OK);
+  ck_assert_int_eq (co_ledger_close_session (ledger, key (session)),
+                    EL_CONFLICT);
+  co_ledger_end_request (ledger, 2, key (session), 1, EL_RAN, 10);
+  ck_assert_int_eq (co_ledger_close_session (ledger, key (session)), EL_OK);
   ck_assert_int_eq (begin (ledger, session, 1), CO_LED_FORGOTTEN);
   co_ledger_free (ledger);
 }
@@ -195,11 +196,11 @@
   co_ledger_t *ledger = ledger_new (2);
   uint64_t session;
 
-  co_ledger_open (ledger, 1, EL_STR ("c"), &session, NULL);
+  co_ledger_open_session (ledger, 1, EL_STR ("c"), &session, NULL);
   begin (ledger, session, 1);
   begin (ledger, session, 2);
   ck_assert_int_eq (begin (ledger, session, 3), CO_LED_FULL);
-  co_ledger_end (ledger, 1, key (session), 1, EL_RAN, 10);
+  co_ledger_end_request (ledger, 1, key (session), 1, EL_RAN, 10);
   ck_assert_int_eq (begin (ledger, session, 3), CO_LED_RUN);
   ck_assert_int_eq (begin (ledger, session, 2), CO_LED_JOIN);
   co_ledger_free (ledger);
@@ -215,13 +216,14 @@
   uint64_t other;
   uint64_t i;
 
-  co_ledger_open (ledger, 1, EL_STR ("c"), &session, NULL);
-  co_ledger_open (ledger, 1, EL_STR ("c"), &other, NULL);
+  co_ledger_open_session (ledger, 1, EL_STR ("c"), &session, NULL);
+  co_ledger_open_session (ledger, 1, EL_STR ("c"), &other, NULL);
   begin (ledger, session, 1);
   for (i = 2; i <= 40; i++)
     {
       begin (ledger, i % 2 ? session : other, i);
-      co_ledger_end (ledger, 2, key (i % 2 ? session : other), i, EL_RAN, 100);
+      co_ledger_end_request (ledger, 2, key (i % 2 ? session : other), i,
+                             EL_RAN, 100);
       ck_assert_uint_le (co_ledger_bytes (ledger), 1000);
     }
   ck_assert_int_eq (begin (ledger, other, 2), CO_LED_FORGOTTEN);
@@ -237,13 +239,14 @@
   uint64_t session;
   uint64_t other;
 
-  co_ledger_open (ledger, 1, EL_STR ("c"), &session, NULL);
+  co_ledger_open_session (ledger, 1, EL_STR ("c"), &session, NULL);
   begin (ledger, session, 1);
   co_ledger_seal (ledger);
   ck_assert_int_eq (begin (ledger, session, 1), CO_LED_JOIN);
   ck_assert_int_eq (begin (ledger, session, 2), CO_LED_SEALED);
-  ck_assert_int_eq (co_ledger_open (ledger, 1, EL_STR ("c"), &other, NULL),
-                    EL_LIMIT);
+  ck_assert_int_eq (
+      co_ledger_open_session (ledger, 1, EL_STR ("c"), &other, NULL),
+      EL_LIMIT);
   co_ledger_free (ledger);
 }
 END_TEST
@@ -260,7 +263,7 @@
   unsigned step;
 
   srandom (seed);
-  co_ledger_open (ledger, 1, EL_STR ("c"), &session, NULL);
+  co_ledger_open_session (ledger, 1, EL_STR ("c"), &session, NULL);
   for (step = 0; step < 400; step++)
     {
       uint64_t sequence = (uint64_t)random () % 15 + 1;
@@ -269,7 +272,8 @@
         {
           el_verdict_t verdict = (el_verdict_t)(random () % 3);
 
-          co_ledger_end (ledger, 1, key (session), sequence, verdict, 10);
+          co_ledger_end_request (ledger, 1, key (session), sequence, verdict,
+                                 10);
           running[sequence] = 0;
           may_have_run[sequence] |= verdict != EL_NOT_RUN;
         }
--- a/tests/t_held.c
+++ b/tests/t_held.c
@@ -115,7 +115,7 @@
   el_err_t err;
 
   uv_loop_init (&loop);
-  net_clock_open (&held_clock, &loop);
+  net_clock_init (&held_clock, &loop);
   callers = net_client_new (&held_clock);
   options.client = net_client_new (&held_clock);
   options.fleet = rt_fleet_new (7);
@@ -145,16 +145,16 @@
   static const net_header_t headers[]
       = { { EL_STR ("x-elmarch-request-id"), EL_STR ("r1") } };
   char address[32];
-  const net_send_t send = { .address = { address, 0 },
-                            .host = EL_STR ("rel.example"),
-                            .method = EL_STR ("GET"),
-                            .path = EL_STR ("/look/x"),
-                            .headers = headers,
-                            .nheaders = 1,
-                            .timeout = LIMIT,
-                            .done = answer_done,
-                            .arg = answer };
-  net_send_t whole = send;
+  const net_request_t send = { .address = { address, 0 },
+                               .host = EL_STR ("rel.example"),
+                               .method = EL_STR ("GET"),
+                               .path = EL_STR ("/look/x"),
+                               .headers = headers,
+                               .nheaders = 1,
+                               .timeout = LIMIT,
+                               .done = answer_done,
+                               .arg = answer };
+  net_request_t whole = send;
   int i;
 
   snprintf (address, sizeof address, "127.0.0.1:%u",
--- a/tests/t_members.c
+++ b/tests/t_members.c
@@ -133,8 +133,8 @@
   net_t *net = net_settled (_i);
   size_t i;
 
-  co_members_endpoint (net->hosts[2].members, net->now,
-                       EL_STR ("an-endpoint"));
+  co_members_report_leaving (net->hosts[2].members, net->now,
+                             EL_STR ("an-endpoint"));
   net_run (net, net->now + 2 * EL_SEC);
   for (i = 0; i < HOSTS; i++)
     ck_assert_msg (net->hosts[i].leaving == (i != 2), "seed %d host %zu: %u",
@@ -219,10 +219,10 @@
   size_t i;
 
   for (i = 0; i < hosts; i++)
-    co_members_withdraw (net->hosts[i].members, 1);
+    co_members_set_withdrawn (net->hosts[i].members, 1);
   net_run (net, net->now + OFFERED);
   for (i = 0; i < hosts; i++)
-    co_members_withdraw (net->hosts[i].members, 0);
+    co_members_set_withdrawn (net->hosts[i].members, 0);
   net_run (net, net->now + STARTED);
   return net;
 }
@@ -314,22 +314,24 @@
 
   for (i = 3; i < HOSTS; i += 3)
     {
-      first
-          = co_members_first (net->hosts[i].members, NULL, skip_member, NULL);
-      ck_assert (co_incarnation_eq (
-          &first->incarnation,
-          &co_members_first (net->hosts[0].members, NULL, skip_member, NULL)
-               ->incarnation));
-      next = co_members_first (net->hosts[i].members, NULL, skip_member,
-                               (void *)(uintptr_t)&first->incarnation);
+      first = co_members_next_ranked (net->hosts[i].members, NULL, skip_member,
+                                      NULL);
+      ck_assert (
+          co_incarnation_eq (&first->incarnation,
+                             &co_members_next_ranked (net->hosts[0].members,
+                                                      NULL, skip_member, NULL)
+                                  ->incarnation));
+      next = co_members_next_ranked (net->hosts[i].members, NULL, skip_member,
+                                     (void *)(uintptr_t)&first->incarnation);
       ck_assert (!co_incarnation_eq (&first->incarnation, &next->incarnation));
-      ck_assert (co_member_before (first, next));
+      ck_assert (co_member_ranks_before (first, next));
     }
   ck_assert_uint_eq (first->capacity, 8); /* the last host of the hall */
   /* It stays the first while it is withdrawn, as all may be at once. */
-  co_members_withdraw (net->hosts[6].members, 1);
+  co_members_set_withdrawn (net->hosts[6].members, 1);
   net_run (net, net->now + 2 * EL_SEC);
-  next = co_members_first (net->hosts[3].members, NULL, skip_member, NULL);
+  next = co_members_next_ranked (net->hosts[3].members, NULL, skip_member,
+                                 NULL);
   ck_assert_uint_eq (next->capacity, 8);
   ck_assert_int_eq (next->offer, CO_MBR_WITHDRAWN);
   net_free (net);
@@ -343,7 +345,7 @@
   size_t i;
 
   for (i = 0; i < HOSTS; i++)
-    chosen += (unsigned)co_members_chosen (net->hosts[i].members, 2);
+    chosen += (unsigned)co_members_is_top_ranked (net->hosts[i].members, 2);
   ck_assert_uint_eq (chosen, 3 * 2);
   net_free (net);
 }
--- a/tests/t_net.c
+++ b/tests/t_net.c
@@ -46,12 +46,12 @@
 static void
 ask (seen_t *seen)
 {
-  const net_send_t send = { .address = el_str (script.address),
-                            .method = EL_STR ("GET"),
-                            .path = EL_STR ("/x"),
-                            .timeout = 20 * EL_SEC,
-                            .done = seen_done,
-                            .arg = seen };
+  const net_request_t send = { .address = el_str (script.address),
+                               .method = EL_STR ("GET"),
+                               .path = EL_STR ("/x"),
+                               .timeout = 20 * EL_SEC,
+                               .done = seen_done,
+                               .arg = seen };
 
   memset (seen, 0, sizeof *seen);
   net_client_send (client, &send);
@@ -78,11 +78,11 @@
 static void
 ask_late (seen_t *seen)
 {
-  const net_send_t send = { .address = el_str (script.address),
-                            .method = EL_STR ("GET"),
-                            .path = EL_STR ("/x"),
-                            .done = seen_done,
-                            .arg = seen };
+  const net_request_t send = { .address = el_str (script.address),
+                               .method = EL_STR ("GET"),
+                               .path = EL_STR ("/x"),
+                               .done = seen_done,
+                               .arg = seen };
 
   memset (seen, 0, sizeof *seen);
   net_client_send (client, &send);
@@ -107,7 +107,7 @@
   SCRIPT ({ KEPT_ANSWER, KEEP }, { ANSWER_TO_THE_END, RESET });
   ask (&seen);
   ask_late (&seen);
-  ck_assert_int_eq (seen.net, NET_BROKEN);
+  ck_assert_int_eq (seen.net, NET_CONNECTION_LOST);
   ck_assert_int_eq (seen.verdict, EL_MAY_HAVE_RUN);
 }
 END_TEST
@@ -123,13 +123,13 @@
           { "garbage that is no answer\r\n\r\n", END },
           { "HTTP/1.1 200 OK\r\ncontent-le", END });
   ask (&seen);
-  ck_assert_int_eq (seen.net, NET_BROKEN);
+  ck_assert_int_eq (seen.net, NET_CONNECTION_LOST);
   ask (&seen);
-  ck_assert_int_eq (seen.net, NET_BROKEN);
+  ck_assert_int_eq (seen.net, NET_CONNECTION_LOST);
   ask (&seen);
-  ck_assert_int_eq (seen.net, NET_BROKEN);
+  ck_assert_int_eq (seen.net, NET_CONNECTION_LOST);
   ask (&seen);
-  ck_assert_int_eq (seen.net, NET_BROKEN);
+  ck_assert_int_eq (seen.net, NET_CONNECTION_LOST);
 }
 END_TEST
 
@@ -198,11 +198,11 @@
 START_TEST (test_client_held_up_reads_what_came_first)
 {
   seen_t seen = { .done = 0 };
-  net_send_t send = { .method = EL_STR ("GET"),
-                      .path = EL_STR ("/x"),
-                      .timeout = 20 * EL_MSEC,
-                      .done = seen_done,
-                      .arg = &seen };
+  net_request_t send = { .method = EL_STR ("GET"),
+                         .path = EL_STR ("/x"),
+                         .timeout = 20 * EL_MSEC,
+                         .done = seen_done,
+                         .arg = &seen };
   int i;
 
   SCRIPT ({ "HTTP/1.1 200 OK\r\nkeep-alive: timeout=9\r\ncontent-length: "
@@ -232,7 +232,7 @@
   shutdown (script.listener, SHUT_RDWR);
   snprintf (script.address, sizeof script.address, "127.0.0.1:1");
   ask (&seen);
-  ck_assert_int_eq (seen.net, NET_REFUSED);
+  ck_assert_int_eq (seen.net, NET_CONNECT_REFUSED);
   ck_assert_int_eq (seen.verdict, EL_NOT_RUN);
 }
 END_TEST
--- a/tests/t_rumor.c
+++ b/tests/t_rumor.c
@@ -71,8 +71,9 @@
 START_TEST (test_rumors_are_bounded)
 {
   unsigned heard = 0;
-  const co_rumors_options_t options
-      = { .most = 10, .send = none_sent, .heard = count_heard, .arg = &heard };
+  const co_rumors_options_t options = {
+    .max_rumors = 10, .send = none_sent, .heard = count_heard, .arg = &heard
+  };
   co_rumors_t *rumors = co_rumors_new (&options);
   co_rumor_t rumor = { .body = EL_STR ("x") };
   uint64_t digest;
@@ -80,8 +81,8 @@
   for (rumor.id = 1; rumor.id <= 20; rumor.id++)
     {
       rumor.until = BEGIN + (rumor.id == 1 ? 90 : rumor.id) * EL_SEC;
-      ck_assert_int_eq (co_rumors_hear (rumors, BEGIN, &rumor), 1);
-      ck_assert_int_eq (co_rumors_hear (rumors, BEGIN, &rumor), 0);
+      ck_assert_int_eq (co_rumors_receive (rumors, BEGIN, &rumor), 1);
+      ck_assert_int_eq (co_rumors_receive (rumors, BEGIN, &rumor), 0);
     }
   ck_assert_uint_eq (heard, 20);
   heard = 0;
--- a/tests/t_spoiled.c
+++ b/tests/t_spoiled.c
@@ -81,7 +81,7 @@
   el_err_t err;
 
   uv_loop_init (&loop);
-  net_clock_open (&test_clock, &loop);
+  net_clock_init (&test_clock, &loop);
   client = net_client_new (&test_clock);
   server = net_server_new (&options, &err);
   ck_assert_ptr_nonnull (server);
@@ -137,12 +137,12 @@
 static void
 answer_seed (uint64_t seed)
 {
-  net_send_t send = { .address = el_str (address),
-                      .method = EL_STR ("GET"),
-                      .path = EL_STR ("/"),
-                      .fresh = 1,
-                      .timeout = ANSWER_LIMIT,
-                      .done = answer_done };
+  net_request_t send = { .address = el_str (address),
+                         .method = EL_STR ("GET"),
+                         .path = EL_STR ("/"),
+                         .new_connection = 1,
+                         .timeout = ANSWER_LIMIT,
+                         .done = answer_done };
   el_buf_t bytes
       = seeds_spoil (answers[seed % (sizeof answers / sizeof *answers)]);
   int turns;
