--- a/Makefile
+++ b/Makefile
@@ -35,7 +35,7 @@
        gate/relay_metrics.c \
        gate/store.c gate/store_keys.c gate/store_follow.c gate/store_duty.c gate/store_put.c gate/planner.c
 PLATFORM = platform/pf_store.c platform/pf_rules.c platform/pf_endpoints.c \
-           platform/pf_engine.c platform/pf_entry.c platform/pf_asks.c platform/pf_blocked.c platform/pf_json.c
+           platform/pf_engine.c platform/pf_entry.c platform/pf_hints.c platform/pf_blocked.c platform/pf_json.c
 STANDIN = standin/main.c standin/platform.c standin/engine.c standin/service.c \
           standin/store.c standin/member.c standin/rest.c
 
--- a/bench/bench_core.c
+++ b/bench/bench_core.c
@@ -378,8 +378,8 @@
   for (i = 0; i < endpoints; i += 2)
     {
       snprintf (id, sizeof id, "i-%u", i);
-      rt_fleet_rest (fleet, rt_fleet_find (fleet, el_str (id)), EL_SEC,
-                     60 * EL_SEC);
+      rt_fleet_backoff (fleet, rt_fleet_find (fleet, el_str (id)), EL_SEC,
+                        60 * EL_SEC);
     }
   half_ns = picks_ns (fleet);
   printf ("bench=rests endpoints=%u access_bytes=%zu bytes_per_rest=%zu "
--- a/bench/bench_rest.c
+++ b/bench/bench_rest.c
@@ -206,8 +206,9 @@
   rt_target_busy (target, sim->now);
   if (!way->rests)
     return;
-  sim->f.rests += rt_avail_rest (&target->avail, sim->now, ASKED,
-                                 way->spread ? el_random (&sim->random) : 0);
+  sim->f.rests
+      += rt_avail_backoff (&target->avail, sim->now, ASKED,
+                           way->spread ? el_random (&sim->random) : 0);
   if (!way->trial)
     target->avail.trial = 0;
   if (way->limit)
--- a/elmarchd/frontend.c
+++ b/elmarchd/frontend.c
@@ -156,7 +156,7 @@
       endpoint_removed (frontend, item, "endpoint_gone");
       return;
     }
-  if (pf_facts_read (item->key, item->value, &attrs, &keep, &err))
+  if (pf_attrs_read (item->key, item->value, &attrs, &keep, &err))
     {
       target = rt_fleet_find (frontend->fleet, attrs.id);
       if (target && !rt_target_same_start (target, &attrs))
@@ -512,7 +512,7 @@
 {
   frontend_t *frontend = arg;
 
-  gt_gate_gossip (frontend->gate, id, hold, body);
+  gt_gate_publish_rumor (frontend->gate, id, hold, body);
 }
 
 /* Record a blocked request in the store, in case all hosts are lost at once.
--- a/gate/engine.c
+++ b/gate/engine.c
@@ -73,7 +73,7 @@
     if (el_str_eq (code, el_str (refusals[i].code)))
       {
         event->fail = refusals[i].fail;
-        if (rest.len && !el_str_to_time (rest, RT_REST_MAX, &event->rest))
+        if (rest.len && !el_str_to_time (rest, RT_BACKOFF_MAX, &event->rest))
           EL_LOG (EL_LOG_WARN, "rest_unread", EL_FS ("value", rest));
         return 1;
       }
--- a/gate/gate.c
+++ b/gate/gate.c
@@ -501,9 +501,10 @@
 
 /** Spreads BODY, identified by ID, to all hosts, which keep it for HOLD. */
 void
-gt_gate_gossip (gt_gate_t *gate, uint64_t id, el_time_t hold, el_str_t body)
+gt_gate_publish_rumor (gt_gate_t *gate, uint64_t id, el_time_t hold,
+                       el_str_t body)
 {
-  pr_peers_send_rumor (gate->peers, id, hold, body);
+  pr_peers_publish_rumor (gate->peers, id, hold, body);
 }
 
 /** Whether this host has received the rumors known to another host. */
--- a/gate/gate.h
+++ b/gate/gate.h
@@ -88,8 +88,8 @@
 void gt_gate_news_available (gt_gate_t *gate);
 void gt_gate_avoid_news_source (gt_gate_t *gate);
 void gt_gate_set_relay_hooks (gt_gate_t *gate, const gt_relay_hooks_t *talk);
-void gt_gate_gossip (gt_gate_t *gate, uint64_t id, el_time_t hold,
-                     el_str_t body);
+void gt_gate_publish_rumor (gt_gate_t *gate, uint64_t id, el_time_t hold,
+                            el_str_t body);
 int gt_gate_rumors_received (const gt_gate_t *gate);
 uint64_t gt_gate_incarnation_number (const gt_gate_t *gate);
 int gt_gate_is_hall_leader (const gt_gate_t *gate);
--- a/gate/librelay.h
+++ b/gate/librelay.h
@@ -198,8 +198,8 @@
                              const relay_fact_t *fact);
 
 /* relay_rumor.c */
-void relay_rumor_send (gt_relays_t *relays, const relay_fact_t *fact,
-                       uint64_t id, el_time_t hold);
+void relay_rumor_publish (gt_relays_t *relays, const relay_fact_t *fact,
+                          uint64_t id, el_time_t hold);
 
 /* relay_suspect.c */
 int relay_suspect_admit (gt_relay_t *relay);
@@ -212,12 +212,12 @@
 /* Kinds of facts that hosts exchange by gossip. */
 typedef enum relay_fact_kind
 {
-  RELAY_FACT_ENDED,    /* an endpoint crashed while requests ran there */
-  RELAY_FACT_SURVIVED, /* a request completed */
-  RELAY_FACT_BLOCKED,  /* a request is blocked for crashing endpoints */
-  RELAY_FACT_CLEARED,  /* an operator unblocked a request */
-  RELAY_FACT_DRAINING, /* an endpoint is draining */
-  RELAY_FACT_RULES,    /* a version of the rules is in force */
+  RELAY_FACT_CRASHED,   /* an endpoint crashed while requests ran there */
+  RELAY_FACT_COMPLETED, /* a request completed */
+  RELAY_FACT_BLOCKED,   /* a request is blocked for crashing endpoints */
+  RELAY_FACT_CLEARED,   /* an operator unblocked a request */
+  RELAY_FACT_LEAVING,   /* an endpoint is draining */
+  RELAY_FACT_RULES,     /* a version of the rules is in force */
   RELAY_FACT_KINDS
 } relay_fact_kind_t;
 
@@ -247,13 +247,14 @@
 void relay_poll_stop (gt_relays_t *relays);
 
 /* relay_epoch.c */
-void relay_epoch_rules_received (gt_relays_t *relays, const co_rumor_t *rumor,
-                                 const relay_fact_t *fact);
+void relay_epoch_on_rules (gt_relays_t *relays, const co_rumor_t *rumor,
+                           const relay_fact_t *fact);
 
 /* relay_backoff.c */
-void relay_drain_announce (gt_relays_t *relays, const rt_instance_t *instance);
-void relay_drain_received (gt_relays_t *relays, const co_rumor_t *rumor,
-                           const relay_fact_t *fact);
+void relay_backoff_announce_leaving (gt_relays_t *relays,
+                                     const rt_instance_t *instance);
+void relay_backoff_on_leaving (gt_relays_t *relays, const co_rumor_t *rumor,
+                               const relay_fact_t *fact);
 void relay_backoff_read_head (gt_relay_t *relay, const net_result_t *head);
 int relay_backoff_permits (gt_relay_t *relay, el_time_t now);
 void relay_backoff_sent (gt_relay_t *relay, el_time_t now);
--- a/gate/planner.c
+++ b/gate/planner.c
@@ -165,7 +165,7 @@
 
   /* An engine that asked for no requests for a while is not lost and needs no
      replacement: it gets its order when that time is over. */
-  if (rt_avail_rest_left (&order->target->avail, now)
+  if (rt_avail_backoff_left (&order->target->avail, now)
       || gt_relays_order_blocked (planner->options.relays, order))
     return;
   sent = el_alloc (sizeof *sent);
--- a/gate/relay_backoff.c
+++ b/gate/relay_backoff.c
@@ -11,7 +11,7 @@
 
 /* How long hosts gossip that an endpoint is draining: it keeps serving for
    seconds, and a host that starts meanwhile has to know. */
-#define DRAINING_GOSSIP_HOLD (120 * EL_SEC)
+#define LEAVING_GOSSIP_HOLD (120 * EL_SEC)
 
 /* The backoff of an endpoint, until it expires. */
 typedef struct relay_backoff
@@ -28,8 +28,8 @@
   relay_backoff_t *backoff = arg;
   gt_relays_t *relays = backoff->relays;
   const rt_target_t *target = backoff->target;
-  el_time_t left = rt_avail_rest_left (&target->avail, now);
-  el_time_t lasted = now - target->avail.rest_start;
+  el_time_t left = rt_avail_backoff_left (&target->avail, now);
+  el_time_t lasted = now - target->avail.backoff_since;
 
   if (left)
     {
@@ -66,19 +66,19 @@
       HASH_ADD_PTR (relays->backoffs, target, backoff);
     }
   net_clock_set (relays->options.clock, &backoff->timer,
-                 rt_avail_rest_left (&target->avail, now));
+                 rt_avail_backoff_left (&target->avail, now));
   relays->counts.rests++;
   EL_LOG (EL_LOG_INFO, "rest_begins", EL_FS ("endpoint", target->attrs.id),
           EL_FN ("born", target->attrs.born),
           EL_FS ("service", target->attrs.service), EL_FS ("by", by),
           EL_FN ("asked_us", asked),
-          EL_FN ("left_us", rt_avail_rest_left (&target->avail, now)),
+          EL_FN ("left_us", rt_avail_backoff_left (&target->avail, now)),
           EL_FN ("running", target->running), EL_FN ("lines", target->chains),
           EL_FN ("resting", HASH_COUNT (relays->backoffs)));
 }
 
 static void
-draining_log (gt_relays_t *relays, const rt_target_t *target, el_str_t by)
+leaving_log (gt_relays_t *relays, const rt_target_t *target, el_str_t by)
 {
   relays->counts.leaves++;
   EL_LOG (EL_LOG_INFO, "endpoint_leaves", EL_FS ("endpoint", target->attrs.id),
@@ -90,41 +90,42 @@
 /** Gossips that START is draining. The message id is derived from the fact,
     so that all hosts send the same message. */
 void
-relay_drain_announce (gt_relays_t *relays, const rt_instance_t *instance)
+relay_backoff_announce_leaving (gt_relays_t *relays,
+                                const rt_instance_t *instance)
 {
   const relay_fact_t fact
-      = { .kind = RELAY_FACT_DRAINING, .instance = *instance };
+      = { .kind = RELAY_FACT_LEAVING, .instance = *instance };
 
-  relay_rumor_send (relays, &fact,
-                    rt_instance_key (instance) ^ RELAY_FACT_DRAINING,
-                    DRAINING_GOSSIP_HOLD);
+  relay_rumor_publish (relays, &fact,
+                       rt_instance_key (instance) ^ RELAY_FACT_LEAVING,
+                       LEAVING_GOSSIP_HOLD);
 }
 
 /* Marks TARGET as draining, whatever its entry says, and tells the other
    hosts before they send to it. */
 static void
-draining_learned (gt_relays_t *relays, rt_target_t *target, el_str_t by)
+leaving_learned (gt_relays_t *relays, rt_target_t *target, el_str_t by)
 {
   const rt_instance_t instance = rt_target_instance (target);
 
   if (rt_target_is_leaving (target))
     return;
   rt_target_mark_leaving (target);
-  draining_log (relays, target, by);
-  relay_drain_announce (relays, &instance);
+  leaving_log (relays, target, by);
+  relay_backoff_announce_leaving (relays, &instance);
 }
 
 /** Another host learned that an endpoint is draining. */
 void
-relay_drain_received (gt_relays_t *relays, const co_rumor_t *rumor,
-                      const relay_fact_t *fact)
+relay_backoff_on_leaving (gt_relays_t *relays, const co_rumor_t *rumor,
+                          const relay_fact_t *fact)
 {
   const rt_target_t *target = rt_fleet_mark_leaving (
       relays->options.fleet, el_str (fact->instance.id), fact->instance.born);
 
   (void)rumor;
   if (target)
-    draining_log (relays, target, EL_STR ("another host"));
+    leaving_log (relays, target, EL_STR ("another host"));
 }
 
 /** Applies the backoff and draining that TARGET announced in a response to
@@ -134,10 +135,10 @@
                  const rt_hints_t *asks, el_str_t by)
 {
   if (asks->leaves)
-    draining_learned (relays, target, by);
+    leaving_learned (relays, target, by);
   if (asks->rest
-      && rt_fleet_rest (relays->options.fleet, target,
-                        net_clock_now (relays->options.clock), asks->rest))
+      && rt_fleet_backoff (relays->options.fleet, target,
+                           net_clock_now (relays->options.clock), asks->rest))
     backoff_start (relays, target, asks->rest, by);
 }
 
@@ -174,7 +175,7 @@
 sent_to (gt_relay_t *relay, rt_target_t *target, el_time_t now)
 {
   relay->relays->counts.in_rest
-      += rt_avail_rest_left (&target->avail, now) > 0;
+      += rt_avail_backoff_left (&target->avail, now) > 0;
   rt_avail_sent (&target->avail, now);
 }
 
@@ -259,7 +260,7 @@
                      target->attrs.id.ptr, target->attrs.id.len, "born",
                      (json_int_t)target->attrs.born, "why",
                      rt_unavail_name (why), "restLeftUs",
-                     (json_int_t)rt_avail_rest_left (&target->avail, now),
+                     (json_int_t)rt_avail_backoff_left (&target->avail, now),
                      "running", (int)target->running));
     }
   for (service = relays->services; service; service = service->hh.next)
--- a/gate/relay_blame.c
+++ b/gate/relay_blame.c
@@ -169,7 +169,7 @@
                  const char *evidence)
 {
   relay_blame_t *blame = relays->blame;
-  relay_fact_t fact = { .kind = RELAY_FACT_ENDED };
+  relay_fact_t fact = { .kind = RELAY_FACT_CRASHED };
   el_time_t now = net_clock_now (relays->options.clock);
   pending_run_t *run;
   pending_run_t *next;
@@ -180,19 +180,19 @@
     {
       runs += run->report.digest != 0;
       run->report.detected_at = now;
-      if (rt_blame_should_tell (blame->table, &run->report))
+      if (rt_blame_should_publish (blame->table, &run->report))
         fact.runs[fact.nruns++] = run->report;
       rt_blame_add_report (blame->table, now, &run->report);
       pending_free (blame, run);
       if (fact.nruns < RELAY_FACT_RUNS_MAX)
         continue;
-      relay_rumor_send (relays, &fact, el_random (&relays->random),
-                        RELAY_FACT_GOSSIP_HOLD);
+      relay_rumor_publish (relays, &fact, el_random (&relays->random),
+                           RELAY_FACT_GOSSIP_HOLD);
       fact.nruns = 0;
     }
   if (fact.nruns)
-    relay_rumor_send (relays, &fact, el_random (&relays->random),
-                      RELAY_FACT_GOSSIP_HOLD);
+    relay_rumor_publish (relays, &fact, el_random (&relays->random),
+                         RELAY_FACT_GOSSIP_HOLD);
   schedule_update (relays);
   if (runs == 0)
     return;
@@ -348,7 +348,7 @@
 relay_blame_completed (gt_relay_t *relay)
 {
   gt_relays_t *relays = relay->relays;
-  relay_fact_t fact = { .kind = RELAY_FACT_SURVIVED };
+  relay_fact_t fact = { .kind = RELAY_FACT_COMPLETED };
   uint64_t id;
 
   if (rt_blame_is_empty (relays->blame->table))
@@ -357,7 +357,8 @@
   id = rt_blame_completed (relays->blame->table, fact.digest,
                            net_clock_now (relays->options.clock));
   if (id)
-    relay_rumor_send (relays, &fact, fact.digest ^ id, RELAY_FACT_GOSSIP_HOLD);
+    relay_rumor_publish (relays, &fact, fact.digest ^ id,
+                         RELAY_FACT_GOSSIP_HOLD);
 }
 
 /** Return the status of RELAY's request. */
--- a/gate/relay_block.c
+++ b/gate/relay_block.c
@@ -82,8 +82,8 @@
 
   relays->counts.blocked++;
   log_blocked (relays, digest, status, "ends");
-  relay_rumor_send (relays, &fact, digest + status->holds,
-                    rt_blame_block_time (status->holds));
+  relay_rumor_publish (relays, &fact, digest + status->holds,
+                       rt_blame_block_time (status->holds));
   persist_block (relays, digest, status->holds,
                  rt_blame_block_time (status->holds));
   relay_suspect_cancel (relays, digest);
@@ -155,8 +155,8 @@
                        net_clock_now (relays->options.clock), fact.holds,
                        "orders"))
     return;
-  relay_rumor_send (relays, &fact, digest + fact.holds,
-                    rt_blame_block_time (fact.holds));
+  relay_rumor_publish (relays, &fact, digest + fact.holds,
+                       rt_blame_block_time (fact.holds));
   persist_block (relays, digest, fact.holds, rt_blame_block_time (fact.holds));
 }
 
@@ -190,8 +190,8 @@
   if (!rt_blame_clear (relay_blame_table (relays), digest, now))
     return 0;
   log_cleared (digest, "operator");
-  relay_rumor_send (relays, &fact, el_random (&relays->random),
-                    RELAY_FACT_GOSSIP_HOLD);
+  relay_rumor_publish (relays, &fact, el_random (&relays->random),
+                       RELAY_FACT_GOSSIP_HOLD);
   return 1;
 }
 
--- a/gate/relay_epoch.c
+++ b/gate/relay_epoch.c
@@ -27,7 +27,7 @@
   size_t len = id.len < RT_INSTANCE_ID_SIZE ? id.len : RT_INSTANCE_ID_SIZE - 1;
 
   memcpy (instance.id, id.ptr, len);
-  relay_drain_announce (arg, &instance);
+  relay_backoff_announce_leaving (arg, &instance);
 }
 
 static void
@@ -36,16 +36,17 @@
   const relay_fact_t fact
       = { .kind = RELAY_FACT_RULES, .version = relays->rules->version };
 
-  relay_rumor_send (relays, &fact,
-                    XXH3_64bits_withSeed (&fact.version, sizeof fact.version,
-                                          RELAY_FACT_RULES),
-                    RULES_GOSSIP_HOLD);
+  relay_rumor_publish (relays, &fact,
+                       XXH3_64bits_withSeed (&fact.version,
+                                             sizeof fact.version,
+                                             RELAY_FACT_RULES),
+                       RULES_GOSSIP_HOLD);
 }
 
 /** Another host has rules in force that the store may not have yet. */
 void
-relay_epoch_rules_received (gt_relays_t *relays, const co_rumor_t *rumor,
-                            const relay_fact_t *fact)
+relay_epoch_on_rules (gt_relays_t *relays, const co_rumor_t *rumor,
+                      const relay_fact_t *fact)
 {
   (void)rumor;
   if (fact->version <= relays->peer_rules_version)
--- a/gate/relay_fact.c
+++ b/gate/relay_fact.c
@@ -29,11 +29,11 @@
   void (*write) (const relay_fact_t *fact, json_t *json);
   int (*read) (json_t *json, el_time_t at, relay_fact_t *out);
 } codecs[RELAY_FACT_KINDS] = {
-  [RELAY_FACT_ENDED] = { "ended", runs_write, runs_read },
-  [RELAY_FACT_SURVIVED] = { "survived", request_write, request_read },
+  [RELAY_FACT_CRASHED] = { "ended", runs_write, runs_read },
+  [RELAY_FACT_COMPLETED] = { "survived", request_write, request_read },
   [RELAY_FACT_BLOCKED] = { "blocked", request_write, request_read },
   [RELAY_FACT_CLEARED] = { "cleared", request_write, request_read },
-  [RELAY_FACT_DRAINING] = { "leaves", leaves_write, leaves_read },
+  [RELAY_FACT_LEAVING] = { "leaves", leaves_write, leaves_read },
   [RELAY_FACT_RULES] = { "rules", rules_write, rules_read },
 };
 
--- a/gate/relay_log.c
+++ b/gate/relay_log.c
@@ -57,7 +57,7 @@
           EL_FN ("parts", relay->line.n),
           EL_FC ("against",
                  rt_unavail_name (rt_avail_reason_at (&target->avail, now))),
-          EL_FN ("rest_left_us", rt_avail_rest_left (&target->avail, now)),
+          EL_FN ("rest_left_us", rt_avail_backoff_left (&target->avail, now)),
           EL_FN ("leaving", rt_target_is_leaving (target)),
           EL_FN ("running", target->running),
           EL_FN ("told_age_us",
--- a/gate/relay_poll.c
+++ b/gate/relay_poll.c
@@ -70,7 +70,7 @@
     return;
   for (engine = rt_fleet_first (o->fleet); engine; engine = engine->hh.next)
     if (poll_covers (relays, engine) && i++ % POLL_SLICES == relays->poll_slice
-        && !rt_avail_rest_left (&engine->avail, now))
+        && !rt_avail_backoff_left (&engine->avail, now))
       relay_check_unless_recent (relays, engine, now - poll_interval (engine));
   if (relays->poll_slice == 0)
     o->poll_done (o->arg);
--- a/gate/relay_rumor.c
+++ b/gate/relay_rumor.c
@@ -12,18 +12,18 @@
                                                  const co_rumor_t *rumor,
                                                  const relay_fact_t *fact)
     = {
-        [RELAY_FACT_ENDED] = relay_blame_on_crash,
-        [RELAY_FACT_SURVIVED] = relay_blame_on_completed,
+        [RELAY_FACT_CRASHED] = relay_blame_on_crash,
+        [RELAY_FACT_COMPLETED] = relay_blame_on_completed,
         [RELAY_FACT_BLOCKED] = relay_block_on_blocked,
         [RELAY_FACT_CLEARED] = relay_block_on_cleared,
-        [RELAY_FACT_DRAINING] = relay_drain_received,
-        [RELAY_FACT_RULES] = relay_epoch_rules_received,
+        [RELAY_FACT_LEAVING] = relay_backoff_on_leaving,
+        [RELAY_FACT_RULES] = relay_epoch_on_rules,
       };
 
 /** Send FACT to all hosts under the rumor id ID, to be kept for HOLD. */
 void
-relay_rumor_send (gt_relays_t *relays, const relay_fact_t *fact, uint64_t id,
-                  el_time_t hold)
+relay_rumor_publish (gt_relays_t *relays, const relay_fact_t *fact,
+                     uint64_t id, el_time_t hold)
 {
   el_buf_t body = { NULL, 0, 0 };
 
--- a/peer/peer.h
+++ b/peer/peer.h
@@ -243,8 +243,8 @@
                              unsigned old, pr_store_update_cb done, void *arg);
 
 /* Rumors. */
-void pr_peers_send_rumor (pr_peers_t *peers, uint64_t id, el_time_t hold,
-                          el_str_t body);
+void pr_peers_publish_rumor (pr_peers_t *peers, uint64_t id, el_time_t hold,
+                             el_str_t body);
 int pr_peers_rumors_known (const pr_peers_t *peers);
 
 /* Sessions. */
--- a/peer/peer_rumor.c
+++ b/peer/peer_rumor.c
@@ -251,8 +251,8 @@
 /** Distribute a rumor with the given ID and BODY to all hosts, which keep it
     for HOLD. */
 void
-pr_peers_send_rumor (pr_peers_t *peers, uint64_t id, el_time_t hold,
-                     el_str_t body)
+pr_peers_publish_rumor (pr_peers_t *peers, uint64_t id, el_time_t hold,
+                        el_str_t body)
 {
   el_time_t now = net_clock_now (peers->options.clock);
   const co_rumor_t rumor
--- a/route/avail.c
+++ b/route/avail.c
@@ -27,8 +27,8 @@
   [RT_UNAVAIL_CHANGED] = { "changed", RT_AVAIL_LAST_RESORT },
   [RT_UNAVAIL_FAILED] = { "failed", RT_AVAIL_LAST_RESORT },
   [RT_UNAVAIL_SILENT] = { "silent", RT_AVAIL_LAST_RESORT },
-  [RT_UNAVAIL_RESTS] = { "rests", RT_AVAIL_NONE },
-  [RT_UNAVAIL_LEAVES] = { "leaves", RT_AVAIL_NONE },
+  [RT_UNAVAIL_BACKOFF] = { "rests", RT_AVAIL_NONE },
+  [RT_UNAVAIL_LEAVING] = { "leaves", RT_AVAIL_NONE },
   [RT_UNAVAIL_GONE] = { "gone", RT_AVAIL_NONE },
 };
 
@@ -39,9 +39,9 @@
   if (avail->gone)
     return RT_UNAVAIL_GONE;
   if (now < avail->leaving_until)
-    return RT_UNAVAIL_LEAVES;
-  if (now < avail->rest_until)
-    return RT_UNAVAIL_RESTS;
+    return RT_UNAVAIL_LEAVING;
+  if (now < avail->backoff_until)
+    return RT_UNAVAIL_BACKOFF;
   if (avail->silent)
     return RT_UNAVAIL_SILENT;
   if (now < avail->ejected_until)
@@ -77,27 +77,27 @@
 
 /** Time left of its rest; 0 if it does not rest. */
 el_time_t
-rt_avail_rest_left (const rt_avail_t *avail, el_time_t now)
+rt_avail_backoff_left (const rt_avail_t *avail, el_time_t now)
 {
-  return now < avail->rest_until ? avail->rest_until - now : 0;
+  return now < avail->backoff_until ? avail->backoff_until - now : 0;
 }
 
 /** The endpoint requested at NOW a rest of DURATION. A rest in progress that
     ends later is kept, as the endpoint has not withdrawn it. DRAW is a random
     number. Returns 1 if a rest begins. */
 int
-rt_avail_rest (rt_avail_t *avail, el_time_t now, el_time_t duration,
-               uint64_t draw)
+rt_avail_backoff (rt_avail_t *avail, el_time_t now, el_time_t duration,
+                  uint64_t draw)
 {
   el_time_t jitter
       = duration / JITTER_DIVISOR * (draw % JITTER_STEPS) / JITTER_STEPS;
-  int begins = now >= avail->rest_until;
+  int begins = now >= avail->backoff_until;
 
-  if (duration == 0 || now + duration + jitter <= avail->rest_until)
+  if (duration == 0 || now + duration + jitter <= avail->backoff_until)
     return 0;
   if (begins)
-    avail->rest_start = now;
-  avail->rest_until = now + duration + jitter;
+    avail->backoff_since = now;
+  avail->backoff_until = now + duration + jitter;
   avail->trial = 1;
   avail->trial_until = 0;
   return begins;
--- a/route/avail.h
+++ b/route/avail.h
@@ -8,15 +8,15 @@
  * another; the selection of an endpoint evaluates all of them together.
  * Nothing here reads a clock or draws random numbers.
  */
-#ifndef ELMARCH_ACCESS_H
-#define ELMARCH_ACCESS_H
+#ifndef ELMARCH_AVAIL_H
+#define ELMARCH_AVAIL_H
 
 #include "base.h"
 
 /** Longest rest: the back-off that an endpoint may request. A longer one is
     capped: an endpoint that must stay out of use longer gets replaced, and one
     wrong number must not disable it for good. */
-#define RT_REST_MAX (600 * EL_SEC)
+#define RT_BACKOFF_MAX (600 * EL_SEC)
 
 /** Availability levels, in order of preference. */
 typedef enum rt_avail_level
@@ -40,8 +40,8 @@
   RT_UNAVAIL_CHANGED, /**< its listed attributes are out of date */
   RT_UNAVAIL_FAILED,  /**< consecutive failures */
   RT_UNAVAIL_SILENT,  /**< it did not answer a health check */
-  RT_UNAVAIL_RESTS,   /**< it requested a back-off */
-  RT_UNAVAIL_LEAVES,  /**< it is draining */
+  RT_UNAVAIL_BACKOFF, /**< it requested a back-off */
+  RT_UNAVAIL_LEAVING, /**< it is draining */
   RT_UNAVAIL_GONE,    /**< it is no longer listed */
   RT_UNAVAIL_COUNT
 } rt_unavail_t;
@@ -62,8 +62,8 @@
   int gone;
   int silent;
   el_time_t leaving_until; /**< EL_TIME_NEVER: until it exits */
-  el_time_t rest_start;
-  el_time_t rest_until;
+  el_time_t backoff_since;
+  el_time_t backoff_until;
   int trial; /**< no request was answered since its rest; one goes first */
   el_time_t trial_until; /**< others wait until then for the trial request */
   el_time_t ejected_until;
@@ -77,10 +77,10 @@
 rt_avail_level_t rt_avail_level_at (const rt_avail_t *avail, el_time_t now);
 const char *rt_unavail_name (rt_unavail_t why);
 int rt_avail_is_leaving (const rt_avail_t *avail, el_time_t now);
-el_time_t rt_avail_rest_left (const rt_avail_t *avail, el_time_t now);
+el_time_t rt_avail_backoff_left (const rt_avail_t *avail, el_time_t now);
 
-int rt_avail_rest (rt_avail_t *avail, el_time_t now, el_time_t duration,
-                   uint64_t draw);
+int rt_avail_backoff (rt_avail_t *avail, el_time_t now, el_time_t duration,
+                      uint64_t draw);
 void rt_avail_sent (rt_avail_t *avail, el_time_t now);
 void rt_avail_answered (rt_avail_t *avail);
 void rt_avail_busy (rt_avail_t *avail, el_time_t now, el_time_t wait);
--- a/route/blame.c
+++ b/route/blame.c
@@ -386,7 +386,8 @@
 /** Whether to tell other hosts about a run: it was short, or its request was
     already a suspect or blocked. */
 int
-rt_blame_should_tell (const rt_blame_t *blame, const rt_crash_report_t *report)
+rt_blame_should_publish (const rt_blame_t *blame,
+                         const rt_crash_report_t *report)
 {
   return report->ran < RT_BLAME_SHORT_RUN
          || rt_blame_get_status (blame, report->at, report->digest).state;
--- a/route/blame.h
+++ b/route/blame.h
@@ -99,8 +99,8 @@
 void rt_blame_free (rt_blame_t *blame);
 int rt_blame_add_report (rt_blame_t *blame, el_time_t now,
                          const rt_crash_report_t *report);
-int rt_blame_should_tell (const rt_blame_t *blame,
-                          const rt_crash_report_t *report);
+int rt_blame_should_publish (const rt_blame_t *blame,
+                             const rt_crash_report_t *report);
 int rt_blame_needs_witness (const rt_blame_t *blame,
                             const rt_instance_t *instance, uint64_t host);
 uint64_t rt_blame_completed (rt_blame_t *blame, rt_digest_t digest,
--- a/route/chain.c
+++ b/route/chain.c
@@ -415,8 +415,8 @@
   *out = el_alloc ((rt_fleet_count (fleet) + 1) * sizeof **out);
   for (target = rt_fleet_first (fleet); target; target = target->hh.next)
     if (el_str_eq (target->attrs.service, service)
-        && rt_avail_reason_at (&target->avail, now) == RT_UNAVAIL_RESTS)
-      (*out)[n++] = target->avail.rest_until;
+        && rt_avail_reason_at (&target->avail, now) == RT_UNAVAIL_BACKOFF)
+      (*out)[n++] = target->avail.backoff_until;
   qsort (*out, n, sizeof **out, compare_times);
   return n;
 }
--- a/route/fleet.c
+++ b/route/fleet.c
@@ -161,8 +161,8 @@
   entry->id = el_str_dup (id);
   entry->born = born;
   entry->avail = (rt_avail_t){ .leaving_until = avail->leaving_until,
-                               .rest_start = avail->rest_start,
-                               .rest_until = avail->rest_until,
+                               .backoff_since = avail->backoff_since,
+                               .backoff_until = avail->backoff_until,
                                .trial = avail->trial };
   HASH_ADD_KEYPTR (hh, fleet->unlisted, entry->id.ptr, (unsigned)id.len,
                    entry);
@@ -227,7 +227,7 @@
 
   if (!target)
     return;
-  if (rt_target_is_leaving (target) || target->avail.rest_until)
+  if (rt_target_is_leaving (target) || target->avail.backoff_until)
     unlisted_add (fleet, target->attrs.id, target->attrs.born, &target->avail);
   target->avail.gone = 1;
   HASH_DEL (fleet->by_id, target);
@@ -283,11 +283,11 @@
 
 /** TARGET requested at NOW a rest of ASKED. Returns 1 if a rest begins. */
 int
-rt_fleet_rest (rt_fleet_t *fleet, rt_target_t *target, el_time_t now,
-               el_time_t asked)
+rt_fleet_backoff (rt_fleet_t *fleet, rt_target_t *target, el_time_t now,
+                  el_time_t asked)
 {
-  return rt_avail_rest (&target->avail, now, asked,
-                        el_random (&fleet->random));
+  return rt_avail_backoff (&target->avail, now, asked,
+                           el_random (&fleet->random));
 }
 
 /** The earliest time at which a rest of an endpoint of SERVICE ends; 0 if an
@@ -305,11 +305,11 @@
 
       if (!el_str_eq (target->attrs.service, service))
         continue;
-      if (why < RT_UNAVAIL_RESTS)
+      if (why < RT_UNAVAIL_BACKOFF)
         return 0;
-      if (why == RT_UNAVAIL_RESTS
-          && (!first || target->avail.rest_until < first))
-        first = target->avail.rest_until;
+      if (why == RT_UNAVAIL_BACKOFF
+          && (!first || target->avail.backoff_until < first))
+        first = target->avail.backoff_until;
     }
   return first;
 }
--- a/route/health.c
+++ b/route/health.c
@@ -45,9 +45,9 @@
 {
   rt_unavail_t reason = rt_avail_reason_at (&ep->avail, now);
 
-  if (ep->draining || reason > RT_UNAVAIL_RESTS)
+  if (ep->draining || reason > RT_UNAVAIL_BACKOFF)
     return EL_TIME_NEVER;
-  return reason == RT_UNAVAIL_RESTS ? ep->avail.rest_until : now;
+  return reason == RT_UNAVAIL_BACKOFF ? ep->avail.backoff_until : now;
 }
 
 /** A call to the endpoint failed. */
@@ -75,12 +75,12 @@
 
 /** The endpoint asked this host to send it nothing for the time ASKED. */
 void
-rt_endpoint_rest_requested (rt_router_t *router, el_str_t name, el_time_t now,
-                            el_time_t asked)
+rt_endpoint_backoff_requested (rt_router_t *router, el_str_t name,
+                               el_time_t now, el_time_t asked)
 {
   rt_endpoint_t *ep = rt_endpoint_find (router, name);
 
-  if (ep && rt_avail_rest (&ep->avail, now, asked, rt_random (router)))
+  if (ep && rt_avail_backoff (&ep->avail, now, asked, rt_random (router)))
     router->counts.rests++;
 }
 
--- a/route/librt.h
+++ b/route/librt.h
@@ -222,8 +222,8 @@
 void rt_endpoint_failed (rt_router_t *router, el_str_t name, el_time_t now,
                          rt_failure_t fail);
 void rt_endpoint_answered (rt_router_t *router, el_str_t name);
-void rt_endpoint_rest_requested (rt_router_t *router, el_str_t name,
-                                 el_time_t now, el_time_t asked);
+void rt_endpoint_backoff_requested (rt_router_t *router, el_str_t name,
+                                    el_time_t now, el_time_t asked);
 el_time_t rt_endpoint_available_at (const rt_endpoint_t *endpoint,
                                     el_time_t now);
 void rt_endpoint_adjust_in_flight (rt_router_t *router, el_str_t name,
--- a/route/relay.h
+++ b/route/relay.h
@@ -212,8 +212,8 @@
 typedef void (*rt_leaving_cb) (void *arg, el_str_t id, uint64_t born);
 void rt_fleet_visit_leaving (const rt_fleet_t *fleet, size_t most,
                              rt_leaving_cb left, void *arg);
-int rt_fleet_rest (rt_fleet_t *fleet, rt_target_t *target, el_time_t now,
-                   el_time_t asked);
+int rt_fleet_backoff (rt_fleet_t *fleet, rt_target_t *target, el_time_t now,
+                      el_time_t asked);
 el_time_t rt_fleet_available_at (const rt_fleet_t *fleet, el_time_t now,
                                  el_str_t service);
 void rt_target_failed (rt_target_t *target, el_time_t now);
--- a/route/router.c
+++ b/route/router.c
@@ -20,7 +20,7 @@
 /* The Retry-After of a caller that has to wait for a rest to end is extended
    at random by up to this fraction (one part in so many) of the wait, so that
    callers do not all return at once. */
-#define REST_JITTER_DIVISOR 4
+#define BACKOFF_JITTER_DIVISOR 4
 
 typedef void (*event_fn) (rt_router_t *router, el_time_t now,
                           const rt_event_t *event);
@@ -228,7 +228,7 @@
   if (available_at <= now)
     return rt_admit_retry_after (router);
   wait = (available_at - now) / EL_MSEC + 1;
-  return wait + rt_random (router) % (wait / REST_JITTER_DIVISOR + 1);
+  return wait + rt_random (router) % (wait / BACKOFF_JITTER_DIVISOR + 1);
 }
 
 /** End a request and start queued ones. A request that ends without its
@@ -512,7 +512,7 @@
   if (!stream)
     return;
   if (event->rest)
-    rt_endpoint_rest_requested (
+    rt_endpoint_backoff_requested (
         router, stream->route->hops[stream->hop].endpoint, now, event->rest);
   rt_stream_call_failed (stream, now, event->verdict, event->fail);
 }
@@ -573,7 +573,7 @@
 {
   const rt_endpoint_t *ep = rt_endpoint_find (router, endpoint);
 
-  return !ep || rt_avail_rest_left (&ep->avail, now) == 0;
+  return !ep || rt_avail_backoff_left (&ep->avail, now) == 0;
 }
 
 const rt_counts_t *
@@ -602,8 +602,8 @@
       = { [RT_UNAVAIL_NOTHING] = "live",
           [RT_UNAVAIL_TRIAL] = "trial",
           [RT_UNAVAIL_FAILED] = "ejected",
-          [RT_UNAVAIL_RESTS] = "resting",
-          [RT_UNAVAIL_LEAVES] = "leaving" };
+          [RT_UNAVAIL_BACKOFF] = "resting",
+          [RT_UNAVAIL_LEAVING] = "leaving" };
 
   return ep->draining ? "draining"
                       : states[rt_avail_reason_at (&ep->avail, now)];
@@ -629,7 +629,7 @@
       json_pack ("{s:s,s:I,s:I,s:I}", "state", endpoint_state (ep, now),
                  "inFlight", (json_int_t)ep->in_flight, "failures",
                  (json_int_t)ep->avail.failures, "restLeftUs",
-                 (json_int_t)rt_avail_rest_left (&ep->avail, now)));
+                 (json_int_t)rt_avail_backoff_left (&ep->avail, now)));
   HASH_ITER (hh, router->pipelines, pipe, next_pipe)
   json_object_set_new (pipelines, pipe->key,
                        json_pack ("{s:I,s:I}", "streams",
--- a/tests/blame_sim.c
+++ b/tests/blame_sim.c
@@ -295,7 +295,7 @@
       ended.ran = sim->now - stream->at;
       if (ended.ran > BEGIN_AFTER)
         ended.ran -= BEGIN_AFTER;
-      if (rt_blame_should_tell (sim->blame[stream->host], &ended))
+      if (rt_blame_should_publish (sim->blame[stream->host], &ended))
         news_spread (sim, stream->host, &ended, 0);
       rt_blame_add_report (sim->blame[stream->host], sim->now, &ended);
       sim->fresh[stream->host] = 1;
--- a/tests/t_access.c
+++ b/tests/t_access.c
@@ -90,16 +90,16 @@
 {
   rt_avail_t avail = { 0 };
 
-  ck_assert_int_eq (rt_avail_rest (&avail, NOW, 3 * EL_SEC, 0), 1);
+  ck_assert_int_eq (rt_avail_backoff (&avail, NOW, 3 * EL_SEC, 0), 1);
   rt_avail_succeeded (&avail);
   rt_avail_answered (&avail);
   rt_avail_busy (&avail, NOW, 100 * EL_MSEC);
   rt_avail_changed (&avail, NOW, EL_SEC);
   rt_avail_failed (&avail, NOW, &avoid, 0);
   rt_avail_succeeded (&avail);
-  ck_assert_int_eq (rt_avail_rest (&avail, NOW + EL_SEC, EL_SEC, 0), 0);
-  ck_assert_int_eq (rt_avail_rest (&avail, NOW + EL_SEC, 0, 0), 0);
-  ck_assert_uint_eq (rt_avail_rest_left (&avail, NOW + EL_SEC), 2 * EL_SEC);
+  ck_assert_int_eq (rt_avail_backoff (&avail, NOW + EL_SEC, EL_SEC, 0), 0);
+  ck_assert_int_eq (rt_avail_backoff (&avail, NOW + EL_SEC, 0, 0), 0);
+  ck_assert_uint_eq (rt_avail_backoff_left (&avail, NOW + EL_SEC), 2 * EL_SEC);
   ck_assert_int_eq (rt_avail_level_at (&avail, NOW + 3 * EL_SEC - 1),
                     RT_AVAIL_NONE);
   ck_assert_int_eq (rt_avail_level_at (&avail, NOW + 3 * EL_SEC),
@@ -111,10 +111,10 @@
 {
   rt_avail_t avail = { 0 };
 
-  ck_assert_int_eq (rt_avail_rest (&avail, NOW, EL_SEC, 0), 1);
-  ck_assert_int_eq (rt_avail_rest (&avail, NOW, 3 * EL_SEC, 0), 0);
-  ck_assert_uint_eq (rt_avail_rest_left (&avail, NOW), 3 * EL_SEC);
-  ck_assert_uint_eq (avail.rest_start, NOW);
+  ck_assert_int_eq (rt_avail_backoff (&avail, NOW, EL_SEC, 0), 1);
+  ck_assert_int_eq (rt_avail_backoff (&avail, NOW, 3 * EL_SEC, 0), 0);
+  ck_assert_uint_eq (rt_avail_backoff_left (&avail, NOW), 3 * EL_SEC);
+  ck_assert_uint_eq (avail.backoff_since, NOW);
 }
 END_TEST
 
@@ -125,7 +125,7 @@
   const el_time_t over = NOW + EL_SEC;
   rt_avail_t avail = { 0 };
 
-  rt_avail_rest (&avail, NOW, EL_SEC, 0);
+  rt_avail_backoff (&avail, NOW, EL_SEC, 0);
   rt_avail_answered (&avail); /* one that was sent before */
   ck_assert_int_eq (rt_avail_level_at (&avail, over), RT_AVAIL_FULL);
   rt_avail_sent (&avail, over);
@@ -154,10 +154,10 @@
   for (i = 0; i < 1000; i++)
     {
       avail = (rt_avail_t){ 0 };
-      rt_avail_rest (&avail, NOW, EL_SEC, el_random (&draw));
-      ck_assert_uint_ge (avail.rest_until, NOW + EL_SEC);
-      ck_assert_uint_lt (avail.rest_until, NOW + EL_SEC + 100 * EL_MSEC);
-      tenths[(avail.rest_until - NOW - EL_SEC) / (10 * EL_MSEC)]++;
+      rt_avail_backoff (&avail, NOW, EL_SEC, el_random (&draw));
+      ck_assert_uint_ge (avail.backoff_until, NOW + EL_SEC);
+      ck_assert_uint_lt (avail.backoff_until, NOW + EL_SEC + 100 * EL_MSEC);
+      tenths[(avail.backoff_until - NOW - EL_SEC) / (10 * EL_MSEC)]++;
     }
   for (i = 0; i < 10; i++)
     ck_assert_uint_gt (tenths[i], 50);
@@ -186,7 +186,7 @@
         {
         case 0:
           asked = el_random (&draw) % (3 * EL_SEC);
-          rt_fleet_rest (fleet, target, now, asked);
+          rt_fleet_backoff (fleet, target, now, asked);
           if (now + asked > until)
             until = now + asked;
           break;
@@ -258,10 +258,10 @@
   rt_target_t *a = endpoint ("a", 1, 0, 0);
   rt_target_t *b = endpoint ("b", 1, 0, 0);
 
-  rt_avail_rest (&a->avail, NOW, 3 * EL_SEC, 0);
+  rt_avail_backoff (&a->avail, NOW, 3 * EL_SEC, 0);
   ck_assert_ptr_eq (rt_fleet_pick (fleet, NOW, SERVICE, HALL, &none), b);
   ck_assert_uint_eq (rt_fleet_available_at (fleet, NOW, SERVICE), 0);
-  rt_avail_rest (&b->avail, NOW, EL_SEC, 0);
+  rt_avail_backoff (&b->avail, NOW, EL_SEC, 0);
   ck_assert_ptr_null (rt_fleet_pick (fleet, NOW, SERVICE, HALL, &none));
   ck_assert_uint_eq (rt_fleet_available_at (fleet, NOW, SERVICE),
                      NOW + EL_SEC);
@@ -283,17 +283,17 @@
   rt_chain_t line;
   unsigned i;
 
-  rt_avail_rest (&front->avail, NOW, 3 * EL_SEC, 0);
+  rt_avail_backoff (&front->avail, NOW, 3 * EL_SEC, 0);
   for (i = 0; i < 50; i++)
     {
       ck_assert_int_eq (line_pick (NOW + i, &line), 1);
       ck_assert_ptr_eq (line.part[0].target, other);
     }
   ck_assert_uint_eq (line_opens (NOW), 0);
-  rt_avail_rest (&back->avail, NOW, 2 * EL_SEC, 0);
+  rt_avail_backoff (&back->avail, NOW, 2 * EL_SEC, 0);
   ck_assert_int_eq (line_pick (NOW, &line), 0);
   ck_assert_uint_eq (line_opens (NOW), NOW + 2 * EL_SEC);
-  rt_avail_rest (&other->avail, NOW, 9 * EL_SEC, 0);
+  rt_avail_backoff (&other->avail, NOW, 9 * EL_SEC, 0);
   ck_assert_uint_eq (line_opens (NOW), NOW + 3 * EL_SEC);
   ck_assert_int_eq (line_pick (NOW + 3 * EL_SEC, &line), 1);
   ck_assert_ptr_eq (line.part[0].target, front);
@@ -311,7 +311,7 @@
 
   endpoint ("b0", 1, 4, 8);
   endpoint ("b1", 1, 4, 8);
-  rt_avail_rest (&front->avail, NOW, 3 * EL_SEC, 0);
+  rt_avail_backoff (&front->avail, NOW, 3 * EL_SEC, 0);
   ck_assert_uint_eq (rt_layout_repair (fleet, &service, NULL, 0, orders, 4),
                      0);
   rt_target_mark_leaving (front);
@@ -351,7 +351,7 @@
       = { .status = status, .headers = headers, .nheaders = n };
   rt_hints_t asks;
 
-  pf_asks_read (&head, &asks);
+  pf_hints_read (&head, &asks);
   return asks;
 }
 
--- a/tests/t_seeded.c
+++ b/tests/t_seeded.c
@@ -71,7 +71,7 @@
   rt_rules_unref (pf_rules_read (el_buf_str (&text), &err));
   el_buf_free (&text);
   text = seeds_spoil (entry_text);
-  if (pf_facts_read (EL_STR ("servers/x"), el_buf_str (&text), &attrs, &keep,
+  if (pf_attrs_read (EL_STR ("servers/x"), el_buf_str (&text), &attrs, &keep,
                      &err))
     ck_assert_uint_le (attrs.first, attrs.end);
   json_decref (keep);
--- a/tests/t_starts.c
+++ b/tests/t_starts.c
@@ -47,7 +47,7 @@
 {
   el_err_t err;
 
-  return pf_facts_read (KEY, el_str (text), attrs, keep, &err);
+  return pf_attrs_read (KEY, el_str (text), attrs, keep, &err);
 }
 
 /* A copy of the entry with a field that holds something else, or lacks it. */
@@ -170,7 +170,7 @@
           seeds_draw (8) ? others[seeds_draw (sizeof others / sizeof *others)]
                          : NULL);
       spoiled = seeds_draw (2) ? seeds_spoil (text) : (el_buf_t){ NULL, 0, 0 };
-      if (pf_facts_read (seeds_draw (2) ? KEY : EL_STR ("servers/e2"),
+      if (pf_attrs_read (seeds_draw (2) ? KEY : EL_STR ("servers/e2"),
                          spoiled.ptr ? el_buf_str (&spoiled) : el_str (text),
                          &attrs, &keep, &err))
         {
--- a/tests/t_suspect.c
+++ b/tests/t_suspect.c
@@ -182,7 +182,7 @@
 /* Facts come in any order, some twice; the odds are the same. */
 START_TEST (test_blame_order_of_news_plays_no_part)
 {
-  rt_crash_report_t attrs[60];
+  rt_crash_report_t reports[60];
   double odds[2];
   uint64_t random = (uint64_t)_i * 77 + 1;
   size_t n = 0;
@@ -192,29 +192,29 @@
 
   for (i = 0; i < 4; i++)
     for (k = 0; k < 15; k++)
-      attrs[n++] = (rt_crash_report_t){ .instance = { .id = "e", .born = i },
-                                        .digest = k ? 100 + i * k : DEADLY,
-                                        .host = 1 + k % 3,
-                                        .at = NOW + i * EL_SEC,
-                                        .ran = (k + 1) * 60 * EL_MSEC,
-                                        .first = 1 };
+      reports[n++] = (rt_crash_report_t){ .instance = { .id = "e", .born = i },
+                                          .digest = k ? 100 + i * k : DEADLY,
+                                          .host = 1 + k % 3,
+                                          .at = NOW + i * EL_SEC,
+                                          .ran = (k + 1) * 60 * EL_MSEC,
+                                          .first = 1 };
   for (round = 0; round < 2; round++)
     {
       for (i = 0; round && i < n; i++)
         {
-          rt_crash_report_t held = attrs[i];
+          rt_crash_report_t held = reports[i];
 
           k = el_random (&random) % n;
-          attrs[i] = attrs[k];
-          attrs[k] = held;
+          reports[i] = reports[k];
+          reports[k] = held;
         }
       suspect_teardown ();
       suspect_setup ();
       for (i = 0; i < n; i++)
         {
-          rt_blame_add_report (blame, NOW + 5 * EL_SEC, &attrs[i]);
+          rt_blame_add_report (blame, NOW + 5 * EL_SEC, &reports[i]);
           if (round)
-            rt_blame_add_report (blame, NOW + 5 * EL_SEC, &attrs[i / 2]);
+            rt_blame_add_report (blame, NOW + 5 * EL_SEC, &reports[i / 2]);
         }
       judge (NOW + 5 * EL_SEC);
       odds[round] = rt_blame_get_status (blame, NOW, DEADLY).odds;
