--- a/tests/blame_sim.c
+++ b/tests/blame_sim.c
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Hosts, engines and callers for the judgement on requests.
+ * Simulation of hosts, engines and callers for request blame.
  */
 #include "blame_sim.h"
 
@@ -12,138 +12,146 @@
 #include <string.h>
 
 #define STEP (5 * EL_MSEC)
-#define HOSTS_MOST 64
-#define ENGINES_MOST 64
-#define DEADLY_MOST 8
-/* A stream begins to run so long after it was sent, and runs so long. */
-#define BEGIN_AFTER (60 * EL_MSEC)
-#define RUN_LEAST (300 * EL_MSEC)
-#define RUN_SPREAD (3000 * EL_MSEC)
-/* A deadly one ends its engine so long after it began. */
-#define DEADLY_LEAST (30 * EL_MSEC)
-#define DEADLY_SPREAD (90 * EL_MSEC)
-#define ENGINE_BACK (8 * EL_SEC)
-#define CONTACT (3 * EL_SEC)
-#define ENDS_KNOWN 3
-#define NEWS_DELAY (20 * EL_MSEC)
-#define NEWS_LATE (1 * EL_SEC)
-#define RACK_EVERY (20 * EL_SEC)
-#define ATTEMPTS 2
-#define SENDS 4
-/* A caller that was refused for want of an engine comes back, some times. */
-#define BACK_AFTER (100 * EL_MSEC)
-#define BACK_MOST 100
-/* Who ran under so many ends waits for its turn. */
-#define TURN_ENDS 2
-/* The request that comes often, and the first of the others. */
-#define OFTEN 1000
-/* A suspect is proved when it has run so long. */
-#define PROOF (500 * EL_MSEC)
+#define MAX_HOSTS 64
+#define MAX_ENGINES 64
+#define MAX_CULPRITS 8
+/* Delay from the sending of a stream until it runs, and its duration. */
+#define START_DELAY (60 * EL_MSEC)
+#define RUN_MIN (300 * EL_MSEC)
+#define RUN_JITTER (3000 * EL_MSEC)
+/* Delay from the start of a culprit until its engine crashes. */
+#define CRASH_DELAY_MIN (30 * EL_MSEC)
+#define CRASH_DELAY_JITTER (90 * EL_MSEC)
+#define RESTART_TIME (8 * EL_SEC)
+/* Sends of a culprit count as late from this long after this many crashes. */
+#define LATE_AFTER (3 * EL_SEC)
+#define LATE_CRASHES 3
+#define REPORT_DELAY (20 * EL_MSEC)
+#define REPORT_EXTRA_DELAY (1 * EL_SEC)
+#define RACK_PERIOD (20 * EL_SEC)
+#define MAX_ATTEMPTS 2
+#define MAX_SENDS 4
+/* A caller that was refused because no engine was available retries. */
+#define RETRY_DELAY (100 * EL_MSEC)
+#define MAX_RETRIES 100
+/* A suspect with this many crashes waits for an engine that no other suspect
+   of its host uses. */
+#define WAIT_CRASHES 2
+/* Digest of the frequent innocent request; those of the other innocent
+   requests follow. */
+#define FREQUENT_DIGEST 1000
+/* An engine is avoided for this long after a suspect was sent to it. */
+#define PROBATION (500 * EL_MSEC)
 
 typedef struct sim_engine
 {
   int up;
   unsigned instance;
-  el_time_t back;
-  el_time_t proof[HOSTS_MOST]; /* a suspect of this host is there until then */
+  el_time_t restart_at;
+  el_time_t probation_until[MAX_HOSTS]; /* per host: a suspect that it sent
+                                            runs here until then */
 } sim_engine_t;
 
 typedef struct sim_stream
 {
   rt_digest_t digest;
-  size_t deadly; /* number plus one; 0: innocent */
+  size_t culprit; /* number plus one; 0: innocent */
   size_t host;
   size_t engine;
-  unsigned counted; /* attempts that may have run, where engines live */
+  unsigned attempts; /* those counted against MAX_ATTEMPTS */
   unsigned sends;
-  unsigned backs;
-  int waits;      /* for its caller to come back */
-  int pair;       /* its caller has come again already */
-  el_time_t at;   /* sent, or when it comes back */
-  el_time_t over; /* ends by itself, or the engine, at this time */
+  unsigned retries;
+  int waiting;       /* to be sent at AT */
+  int resubmitted;   /* its caller has already repeated it */
+  el_time_t at;      /* when it was or will be sent */
+  el_time_t ends_at; /* when it completes or crashes its engine */
   struct sim_stream *prev;
   struct sim_stream *next;
 } sim_stream_t;
 
-typedef struct sim_news
+typedef struct sim_report
 {
-  rt_crash_report_t ended;
-  rt_digest_t survived;
+  rt_crash_report_t crash;
+  rt_digest_t completed;
   size_t to;
   el_time_t at;
-  struct sim_news *prev;
-  struct sim_news *next;
-} sim_news_t;
+  struct sim_report *prev;
+  struct sim_report *next;
+} sim_report_t;
 
 typedef struct sim
 {
-  sim_options_t o;
+  sim_options_t options;
   sim_result_t result;
   uint64_t rng;
   el_time_t now;
-  rt_blame_t *blame[HOSTS_MOST];
-  int fresh[HOSTS_MOST]; /* facts not judged yet */
-  sim_engine_t engine[ENGINES_MOST];
+  rt_blame_t *blame[MAX_HOSTS];
+  int stale[MAX_HOSTS]; /* reports have arrived since the last update */
+  sim_engine_t engine[MAX_ENGINES];
   sim_stream_t *streams;
-  sim_news_t *news;
-  rt_digest_t next;
-  el_time_t third[DEADLY_MOST];
-  size_t crashes[DEADLY_MOST];
-  size_t late[DEADLY_MOST];
+  sim_report_t *reports;
+  rt_digest_t last_digest;
+  el_time_t third_crash[MAX_CULPRITS];
+  size_t crash_count[MAX_CULPRITS];
+  size_t late[MAX_CULPRITS];
 } sim_t;
 
 static double
-sim_chance (sim_t *sim)
+sim_random (sim_t *sim)
 {
   return (double)(el_random (&sim->rng) >> 11) / (double)(1ULL << 53);
 }
 
 static el_time_t
-sim_spread (sim_t *sim, el_time_t least, el_time_t spread)
+sim_jitter (sim_t *sim, el_time_t least, el_time_t spread)
 {
-  return least + (el_time_t)(sim_chance (sim) * (double)spread);
+  return least + (el_time_t)(sim_random (sim) * (double)spread);
 }
 
 static rt_blame_status_t
-judgement (const sim_t *sim, size_t host, rt_digest_t digest)
+status_of (const sim_t *sim, size_t host, rt_digest_t digest)
 {
-  return sim->o.rule ? rt_blame_get_status (sim->blame[host], sim->now, digest)
-                     : (rt_blame_status_t){ 0 };
+  return sim->options.rule
+             ? rt_blame_get_status (sim->blame[host], sim->now, digest)
+             : (rt_blame_status_t){ 0 };
 }
 
-/* Whether a request is sent apart. */
+/* Whether a request is kept on an engine without other suspects. */
 static int
-sim_prime (const sim_t *sim, const rt_blame_status_t *judged)
+is_isolated (const sim_t *sim, const rt_blame_status_t *status)
 {
-  if (judged->state != RT_BLAME_SUSPECT)
+  if (status->state != RT_BLAME_SUSPECT)
     return 0;
-  return sim->o.apart < 3 || judged->crashes > 1 || judged->prime_suspect;
+  return sim->options.apart < 3 || status->crashes > 1
+         || status->prime_suspect;
 }
 
-/* Engines where a request may be sent, best first: what a suspect is sent
-   apart from, an innocent one avoids. */
+/* Pick the engine to send a stream to; false if there is none. All streams
+   avoid engines where a suspect runs; isolated suspects choose by rendezvous
+   hashing, so that hosts send a suspect to the same engine. */
 static int
-engine_choose (sim_t *sim, const sim_stream_t *stream,
-               const rt_blame_status_t *judged, size_t *out)
+engine_pick (sim_t *sim, const sim_stream_t *stream,
+             const rt_blame_status_t *status, size_t *out)
 {
   double best = -2;
   double rank;
   size_t i;
 
-  for (i = 0; i < sim->o.engines; i++)
+  for (i = 0; i < sim->options.engines; i++)
     {
       const sim_engine_t *engine = &sim->engine[i];
-      uint64_t mixed[] = { stream->digest, judged->crashes, i };
+      uint64_t mixed[] = { stream->digest, status->crashes, i };
 
       if (!engine->up)
         continue;
-      rank = sim_chance (sim);
-      if (sim->o.apart && sim_prime (sim, judged))
+      rank = sim_random (sim);
+      if (sim->options.apart && is_isolated (sim, status))
         rank = (double)(XXH3_64bits (mixed, sizeof mixed) >> 11)
                / (double)(1ULL << 53);
-      if (sim->o.apart && sim->now < engine->proof[stream->host])
+      if (sim->options.apart
+          && sim->now < engine->probation_until[stream->host])
         {
-          if (sim->o.apart > 1 && judged->crashes >= TURN_ENDS)
+          if (sim->options.apart > 1 && status->crashes >= WAIT_CRASHES)
             continue;
           rank -= 1;
         }
@@ -157,258 +165,260 @@
 }
 
 static void
-stream_drop (sim_t *sim, sim_stream_t *stream)
+stream_free (sim_t *sim, sim_stream_t *stream)
 {
   DL_DELETE (sim->streams, stream);
   free (stream);
 }
 
-/* The caller of a deadly request comes again, at any host. */
+/* The caller of a culprit sends it again, through any host. */
 static void
-deadly_again (sim_t *sim, const sim_stream_t *stream)
+culprit_resubmit (sim_t *sim, const sim_stream_t *stream)
 {
   sim_stream_t *again = el_alloc (sizeof *again);
 
   again->digest = stream->digest;
-  again->deadly = stream->deadly;
-  again->host = el_random (&sim->rng) % sim->o.hosts;
-  again->waits = 1;
-  again->at = sim->now
-              + sim_spread (sim, 0, (el_time_t)(2 * sim->o.again_s * EL_SEC));
+  again->culprit = stream->culprit;
+  again->host = el_random (&sim->rng) % sim->options.hosts;
+  again->waiting = 1;
+  again->at
+      = sim->now
+        + sim_jitter (sim, 0, (el_time_t)(2 * sim->options.again_s * EL_SEC));
   DL_APPEND (sim->streams, again);
 }
 
 static void
-stream_over (sim_t *sim, sim_stream_t *stream)
+stream_finish (sim_t *sim, sim_stream_t *stream)
 {
-  if (stream->deadly)
-    deadly_again (sim, stream);
-  stream_drop (sim, stream);
+  if (stream->culprit)
+    culprit_resubmit (sim, stream);
+  stream_free (sim, stream);
 }
 
 static void
 stream_send (sim_t *sim, sim_stream_t *stream)
 {
-  rt_blame_status_t judged = judgement (sim, stream->host, stream->digest);
-  size_t d = stream->deadly - 1;
+  rt_blame_status_t status = status_of (sim, stream->host, stream->digest);
+  size_t d = stream->culprit - 1;
 
-  if (judged.state == RT_BLAME_BLOCKED)
+  if (status.state == RT_BLAME_BLOCKED)
     {
-      sim->result.refused += !stream->deadly;
-      stream_over (sim, stream);
+      sim->result.refused += !stream->culprit;
+      stream_finish (sim, stream);
       return;
     }
-  stream->at = sim->now + BACK_AFTER;
-  stream->waits = 1;
-  if (!engine_choose (sim, stream, &judged, &stream->engine))
+  stream->at = sim->now + RETRY_DELAY;
+  stream->waiting = 1;
+  if (!engine_pick (sim, stream, &status, &stream->engine))
     {
-      if (++stream->backs < BACK_MOST)
+      if (++stream->retries < MAX_RETRIES)
         return;
-      sim->result.failed += !stream->deadly;
-      stream_over (sim, stream);
+      sim->result.failed += !stream->culprit;
+      stream_finish (sim, stream);
       return;
     }
-  stream->waits = 0;
+  stream->waiting = 0;
   stream->sends++;
   stream->at = sim->now;
-  stream->over
-      = sim->now + BEGIN_AFTER + sim_spread (sim, RUN_LEAST, RUN_SPREAD);
-  if (sim_prime (sim, &judged))
-    sim->engine[stream->engine].proof[stream->host] = sim->now + PROOF;
-  if (!stream->deadly)
+  stream->ends_at
+      = sim->now + START_DELAY + sim_jitter (sim, RUN_MIN, RUN_JITTER);
+  if (is_isolated (sim, &status))
+    sim->engine[stream->engine].probation_until[stream->host]
+        = sim->now + PROBATION;
+  if (!stream->culprit)
     return;
-  stream->over
-      = sim->now + BEGIN_AFTER + sim_spread (sim, DEADLY_LEAST, DEADLY_SPREAD);
+  stream->ends_at = sim->now + START_DELAY
+                    + sim_jitter (sim, CRASH_DELAY_MIN, CRASH_DELAY_JITTER);
   sim->result.sends++;
-  if (sim->third[d] && sim->now > sim->third[d] + CONTACT)
+  if (sim->third_crash[d] && sim->now > sim->third_crash[d] + LATE_AFTER)
     sim->late[d]++;
 }
 
 static void
-news_spread (sim_t *sim, size_t from, const rt_crash_report_t *ended,
-             rt_digest_t survived)
+report_broadcast (sim_t *sim, size_t from, const rt_crash_report_t *crash,
+                  rt_digest_t completed)
 {
-  sim_news_t *news;
+  sim_report_t *report;
   size_t i;
 
-  for (i = 0; i < sim->o.hosts; i++)
+  for (i = 0; i < sim->options.hosts; i++)
     {
       if (i == from)
         continue;
-      news = el_alloc (sizeof *news);
-      if (ended)
-        news->ended = *ended;
-      news->survived = survived;
-      news->to = i;
-      news->at = sim->now + sim_spread (sim, EL_MSEC, NEWS_DELAY);
-      if (sim_chance (sim) < sim->o.loss)
-        news->at += NEWS_LATE;
-      DL_APPEND (sim->news, news);
+      report = el_alloc (sizeof *report);
+      if (crash)
+        report->crash = *crash;
+      report->completed = completed;
+      report->to = i;
+      report->at = sim->now + sim_jitter (sim, EL_MSEC, REPORT_DELAY);
+      if (sim_random (sim) < sim->options.loss)
+        report->at += REPORT_EXTRA_DELAY;
+      DL_APPEND (sim->reports, report);
     }
 }
 
-/* A stream that was broken off is sent again, or fails. */
+/* An interrupted stream is sent again, or fails. */
 static void
-stream_broken (sim_t *sim, sim_stream_t *stream)
+stream_interrupted (sim_t *sim, sim_stream_t *stream)
 {
-  sim->result.broken += !stream->deadly;
-  if (!sim->o.patient)
-    stream->counted++;
-  if (stream->counted < ATTEMPTS && stream->sends < SENDS)
+  sim->result.broken += !stream->culprit;
+  if (!sim->options.patient)
+    stream->attempts++;
+  if (stream->attempts < MAX_ATTEMPTS && stream->sends < MAX_SENDS)
     {
-      stream->waits = 1;
+      stream->waiting = 1;
       stream->at = sim->now;
       return;
     }
-  if (!stream->deadly && !stream->pair)
-    { /* its caller comes once more */
-      stream->pair = 1;
-      stream->counted = 0;
+  if (!stream->culprit && !stream->resubmitted)
+    { /* its caller repeats it once */
+      stream->resubmitted = 1;
+      stream->attempts = 0;
       stream->sends = 0;
-      stream->waits = 1;
-      stream->host = el_random (&sim->rng) % sim->o.hosts;
+      stream->waiting = 1;
+      stream->host = el_random (&sim->rng) % sim->options.hosts;
       stream->at = sim->now + 2 * STEP;
       return;
     }
-  sim->result.failed += !stream->deadly;
-  stream_over (sim, stream);
+  sim->result.failed += !stream->culprit;
+  stream_finish (sim, stream);
 }
 
 static void
-engine_end (sim_t *sim, size_t i)
+engine_crash (sim_t *sim, size_t i)
 {
   sim_engine_t *engine = &sim->engine[i];
-  rt_crash_report_t ended = { .first = 1, .at = sim->now };
+  rt_crash_report_t crash = { .first = 1, .at = sim->now };
   sim_stream_t *stream;
   sim_stream_t *next;
 
   engine->up = 0;
-  engine->back = sim->now + ENGINE_BACK;
-  snprintf (ended.instance.id, sizeof ended.instance.id, "engine-%zu", i);
-  ended.instance.born = engine->instance;
+  engine->restart_at = sim->now + RESTART_TIME;
+  snprintf (crash.instance.id, sizeof crash.instance.id, "engine-%zu", i);
+  crash.instance.born = engine->instance;
   DL_FOREACH (sim->streams, stream)
-  if (!stream->waits && stream->engine == i && sim->o.rule)
+  if (!stream->waiting && stream->engine == i && sim->options.rule)
     {
-      ended.digest = stream->digest;
-      ended.customer = 1;
-      ended.host = stream->host + 1;
-      ended.ran = sim->now - stream->at;
-      if (ended.ran > BEGIN_AFTER)
-        ended.ran -= BEGIN_AFTER;
-      if (rt_blame_should_tell (sim->blame[stream->host], &ended))
-        news_spread (sim, stream->host, &ended, 0);
-      rt_blame_add_report (sim->blame[stream->host], sim->now, &ended);
-      sim->fresh[stream->host] = 1;
+      crash.digest = stream->digest;
+      crash.customer = 1;
+      crash.host = stream->host + 1;
+      crash.ran = sim->now - stream->at;
+      if (crash.ran > START_DELAY)
+        crash.ran -= START_DELAY;
+      if (rt_blame_should_tell (sim->blame[stream->host], &crash))
+        report_broadcast (sim, stream->host, &crash, 0);
+      rt_blame_add_report (sim->blame[stream->host], sim->now, &crash);
+      sim->stale[stream->host] = 1;
     }
   DL_FOREACH_SAFE (sim->streams, stream, next)
-  if (!stream->waits && stream->engine == i)
-    stream_broken (sim, stream);
+  if (!stream->waiting && stream->engine == i)
+    stream_interrupted (sim, stream);
 }
 
 static void
-blocked (void *arg, rt_digest_t digest, const rt_blame_status_t *judgement_)
+on_blocked (void *arg, rt_digest_t digest, const rt_blame_status_t *status)
 {
   (void)arg;
   (void)digest;
-  (void)judgement_;
+  (void)status;
 }
 
 static void
-hosts_judge (sim_t *sim)
+hosts_update (sim_t *sim)
 {
   size_t i;
 
-  for (i = 0; sim->o.rule && i < sim->o.hosts; i++)
-    if (sim->fresh[i])
+  for (i = 0; sim->options.rule && i < sim->options.hosts; i++)
+    if (sim->stale[i])
       {
-        rt_blame_update (sim->blame[i], sim->now, sim->o.engines, blocked,
-                         sim);
-        sim->fresh[i] = 0;
+        rt_blame_update (sim->blame[i], sim->now, sim->options.engines,
+                         on_blocked, sim);
+        sim->stale[i] = 0;
       }
 }
 
 static void
-news_arrive (sim_t *sim)
+reports_get (sim_t *sim)
 {
-  sim_news_t *news;
-  sim_news_t *next;
+  sim_report_t *report;
+  sim_report_t *next;
 
-  DL_FOREACH_SAFE (sim->news, news, next)
-  if (news->at <= sim->now)
+  DL_FOREACH_SAFE (sim->reports, report, next)
+  if (report->at <= sim->now)
     {
-      if (news->survived)
-        sim->fresh[news->to]
-            |= rt_blame_completed (sim->blame[news->to], news->survived,
-                                   news->ended.at)
+      if (report->completed)
+        sim->stale[report->to]
+            |= rt_blame_completed (sim->blame[report->to], report->completed,
+                                   report->crash.at)
                != 0;
       else
-        sim->fresh[news->to] |= rt_blame_add_report (sim->blame[news->to],
-                                                     sim->now, &news->ended);
-      DL_DELETE (sim->news, news);
-      free (news);
+        sim->stale[report->to] |= rt_blame_add_report (
+            sim->blame[report->to], sim->now, &report->crash);
+      DL_DELETE (sim->reports, report);
+      free (report);
     }
 }
 
-/* A stream reached its end: a deadly one ends its engine. */
+/* A stream reached its end: a culprit crashes its engine. */
 static void
-stream_ends (sim_t *sim, sim_stream_t *stream)
+stream_complete (sim_t *sim, sim_stream_t *stream)
 {
-  size_t d = stream->deadly - 1;
+  size_t d = stream->culprit - 1;
   const rt_crash_report_t at = { .at = sim->now };
-  unsigned crashes = judgement (sim, stream->host, stream->digest).crashes;
+  unsigned crashes = status_of (sim, stream->host, stream->digest).crashes;
 
-  if (stream->deadly)
+  if (stream->culprit)
     {
       sim->result.ended++;
-      if (++sim->crashes[d] == ENDS_KNOWN)
-        sim->third[d] = sim->now;
-      engine_end (sim, stream->engine);
+      if (++sim->crash_count[d] == LATE_CRASHES)
+        sim->third_crash[d] = sim->now;
+      engine_crash (sim, stream->engine);
       return;
     }
-  if (sim->o.rule
+  if (sim->options.rule
       && rt_blame_completed (sim->blame[stream->host], stream->digest,
                              sim->now)
-      && (!sim->o.tell_late || crashes > 1))
-    news_spread (sim, stream->host, &at, stream->digest);
-  stream_drop (sim, stream);
+      && (!sim->options.tell_late || crashes > 1))
+    report_broadcast (sim, stream->host, &at, stream->digest);
+  stream_free (sim, stream);
 }
 
 static void
-streams_move (sim_t *sim)
+streams_step (sim_t *sim)
 {
   sim_stream_t *stream;
   sim_stream_t *next;
   int again = 1;
 
   while (again)
-    { /* the end of an engine changes the list */
+    { /* a crash of an engine changes the list */
       again = 0;
       DL_FOREACH_SAFE (sim->streams, stream, next)
-      if (!stream->waits && stream->over <= sim->now)
+      if (!stream->waiting && stream->ends_at <= sim->now)
         {
           again = 1;
-          stream_ends (sim, stream);
+          stream_complete (sim, stream);
           break;
         }
     }
-  hosts_judge (sim);
+  hosts_update (sim);
   DL_FOREACH_SAFE (sim->streams, stream, next)
-  if (stream->waits && stream->at <= sim->now)
+  if (stream->waiting && stream->at <= sim->now)
     stream_send (sim, stream);
 }
 
 static void
-engines_move (sim_t *sim)
+engines_step (sim_t *sim)
 {
-  size_t up[ENGINES_MOST];
+  size_t up[MAX_ENGINES];
   size_t n = 0;
   size_t i;
 
-  for (i = 0; i < sim->o.engines; i++)
+  for (i = 0; i < sim->options.engines; i++)
     {
       sim_engine_t *engine = &sim->engine[i];
 
-      if (!engine->up && engine->back <= sim->now)
+      if (!engine->up && engine->restart_at <= sim->now)
         {
           engine->up = 1;
           engine->instance++;
@@ -417,38 +427,40 @@
         up[n++] = i;
     }
   for (i = 0; i < n; i++)
-    if (sim_chance (sim) < sim->o.end_rate * (double)STEP / (double)EL_SEC)
+    if (sim_random (sim)
+        < sim->options.end_rate * (double)STEP / (double)EL_SEC)
       {
         sim->result.others++;
-        engine_end (sim, up[i]);
+        engine_crash (sim, up[i]);
       }
-  /* A rack: one engine after the other, within a second. */
-  if (sim->o.rack && sim->now % RACK_EVERY < EL_SEC
-      && sim->now % (EL_SEC / sim->o.rack) < STEP && n)
+  /* A rack outage: engines crash one after another within a second. */
+  if (sim->options.rack && sim->now % RACK_PERIOD < EL_SEC
+      && sim->now % (EL_SEC / sim->options.rack) < STEP && n)
     {
       i = up[el_random (&sim->rng) % n];
       if (!sim->engine[i].up)
         return;
       sim->result.others++;
-      engine_end (sim, i);
+      engine_crash (sim, i);
     }
 }
 
 static void
-callers_come (sim_t *sim)
+callers_step (sim_t *sim)
 {
-  double rate = sim->o.rate + sim->o.often;
+  double rate = sim->options.rate + sim->options.often;
   double due = rate * (double)STEP / (double)EL_SEC;
   size_t n = (size_t)due;
   sim_stream_t *stream;
 
-  for (n += sim_chance (sim) < due - (double)n; n; n--)
+  for (n += sim_random (sim) < due - (double)n; n; n--)
     {
       stream = el_alloc (sizeof *stream);
-      stream->digest
-          = sim_chance (sim) * rate < sim->o.often ? OFTEN : ++sim->next;
-      stream->host = el_random (&sim->rng) % sim->o.hosts;
-      stream->waits = 1;
+      stream->digest = sim_random (sim) * rate < sim->options.often
+                           ? FREQUENT_DIGEST
+                           : ++sim->last_digest;
+      stream->host = el_random (&sim->rng) % sim->options.hosts;
+      stream->waiting = 1;
       stream->at = sim->now;
       sim->result.streams++;
       DL_APPEND (sim->streams, stream);
@@ -460,23 +472,23 @@
 {
   const rt_blame_options_t options = { .max_requests = 4096,
                                        .max_customer_requests = 4096,
-                                       .rule = sim->o.rule };
+                                       .rule = sim->options.rule };
   const sim_stream_t none = { 0 };
   sim_stream_t first = none;
   size_t i;
 
-  sim->rng = sim->o.seed * 2654435761U + 1;
+  sim->rng = sim->options.seed * 2654435761U + 1;
   sim->now = 100 * EL_SEC;
-  sim->next = OFTEN;
-  for (i = 0; i < sim->o.engines; i++)
+  sim->last_digest = FREQUENT_DIGEST;
+  for (i = 0; i < sim->options.engines; i++)
     sim->engine[i].up = 1;
-  for (i = 0; sim->o.rule && i < sim->o.hosts; i++)
+  for (i = 0; sim->options.rule && i < sim->options.hosts; i++)
     sim->blame[i] = rt_blame_new (&options);
-  for (i = 0; i < sim->o.deadly; i++)
+  for (i = 0; i < sim->options.deadly; i++)
     {
-      first.deadly = i + 1;
+      first.culprit = i + 1;
       first.digest = i + 1;
-      deadly_again (sim, &first);
+      culprit_resubmit (sim, &first);
     }
 }
 
@@ -485,29 +497,29 @@
 {
   sim_stream_t *stream;
   sim_stream_t *next;
-  sim_news_t *news;
-  sim_news_t *after;
+  sim_report_t *report;
+  sim_report_t *after;
   size_t i;
 
-  for (i = 0; i < sim->o.deadly; i++)
+  for (i = 0; i < sim->options.deadly; i++)
     {
       if (sim->late[i] > sim->result.late)
         sim->result.late = sim->late[i];
       sim->result.blocked
-          += judgement (sim, 0, i + 1).state == RT_BLAME_BLOCKED;
+          += status_of (sim, 0, i + 1).state == RT_BLAME_BLOCKED;
     }
   DL_FOREACH_SAFE (sim->streams, stream, next)
-  stream_drop (sim, stream);
-  DL_FOREACH_SAFE (sim->news, news, after)
+  stream_free (sim, stream);
+  DL_FOREACH_SAFE (sim->reports, report, after)
   {
-    DL_DELETE (sim->news, news);
-    free (news);
+    DL_DELETE (sim->reports, report);
+    free (report);
   }
-  for (i = 0; sim->o.rule && i < sim->o.hosts; i++)
+  for (i = 0; sim->options.rule && i < sim->options.hosts; i++)
     rt_blame_free (sim->blame[i]);
 }
 
-/** Play one course of events. */
+/** Run one simulation. */
 sim_result_t
 sim_run (const sim_options_t *options)
 {
@@ -515,15 +527,15 @@
   sim_result_t result;
   el_time_t end;
 
-  sim->o = *options;
+  sim->options = *options;
   sim_open (sim);
-  end = sim->now + (el_time_t)(sim->o.seconds * EL_SEC);
+  end = sim->now + (el_time_t)(sim->options.seconds * EL_SEC);
   for (; sim->now < end; sim->now += STEP)
     {
-      news_arrive (sim);
-      engines_move (sim);
-      callers_come (sim);
-      streams_move (sim);
+      reports_get (sim);
+      engines_step (sim);
+      callers_step (sim);
+      streams_step (sim);
     }
   sim_close (sim);
   result = sim->result;
--- a/tests/blame_sim.h
+++ b/tests/blame_sim.h
@@ -3,10 +3,11 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Hosts, first engines and callers, some of which send a request that ends
- * each engine that begins to run it: arithmetic, deterministic for a seed. The
- * judgement is the daemon's own; each host has one, and hears from the others
- * after a delay, with losses, in any order.
+ * Deterministic simulation of hosts, first engines and callers, for the blame
+ * tests and benchmarks. Some callers repeat a culprit: a request that crashes
+ * each engine that starts to run it. Each host has a blame table of its own,
+ * the daemon's code, and receives the reports of the other hosts after a
+ * delay, some much later than others and in any order.
  */
 #ifndef ELMARCH_BLAME_SIM_H
 #define ELMARCH_BLAME_SIM_H
@@ -16,34 +17,39 @@
 typedef struct sim_options
 {
   uint64_t seed;
-  const rt_blame_rule_t *rule; /* NULL: nothing is judged */
-  int apart;   /* suspects are sent apart from each other; 2: and wait for
-                  their turn */
-  int patient; /* attempts at engines that ended don't count as such */
+  const rt_blame_rule_t *rule; /* NULL: no request is blamed */
+  int apart;   /* isolation of suspects; 0: none, 1: sent to different engines,
+                  2: and those with several crashes wait for an engine that no
+                  other suspect uses, 3: as 2, but after one crash only prime
+                  suspects are isolated */
+  int patient; /* attempts that end in a crash don't count as attempts */
   size_t hosts;
-  size_t engines;  /* that streams may be sent to first */
-  double rate;     /* streams a second */
-  size_t deadly;   /* different requests that end engines */
-  double again_s;  /* such a one comes again so long after its answer */
-  double end_rate; /* ends of an engine in a second without a reason */
-  size_t rack;     /* engines that end within a second, each 20 s */
-  double loss;     /* share of news that come a second late */
-  double often;    /* streams a second that are one innocent request */
-  int tell_late;   /* that it ran well is told from its second end on */
-  double seconds;
+  size_t engines;  /* first engines, to which streams are sent */
+  double rate;     /* streams per second */
+  size_t deadly;   /* distinct culprits: requests that crash engines */
+  double again_s;  /* mean delay in seconds after which a culprit's caller
+                      sends it again */
+  double end_rate; /* unrelated crashes per engine and second */
+  size_t rack;     /* engines that crash within one second, every 20 s */
+  double loss;     /* share of reports that arrive a second late */
+  double often;    /* streams per second that repeat one innocent request */
+  int tell_late;   /* a completed run is reported to other hosts only after the
+                      request's second crash */
+  double seconds;  /* simulated time */
 } sim_options_t;
 
 typedef struct sim_result
 {
-  size_t sends; /* of deadly requests */
-  size_t ended; /* engines by them */
-  size_t late;  /* sends later than 3 s after the third end, the most of one */
-  size_t others;  /* engines that ended otherwise */
-  size_t streams; /* innocent */
-  size_t refused; /* of these, as being to blame */
-  size_t failed;  /* without a whole answer */
-  size_t broken;  /* times that one was broken off */
-  size_t blocked; /* deadly requests that are blocked at the end */
+  size_t sends;   /* of culprits */
+  size_t ended;   /* engine crashes caused by culprits */
+  size_t late;    /* most sends of one culprit later than 3 s after its third
+                     crash */
+  size_t others;  /* unrelated engine crashes */
+  size_t streams; /* innocent ones */
+  size_t refused; /* innocent streams refused as culprits */
+  size_t failed;  /* innocent streams without a complete answer */
+  size_t broken;  /* interruptions of innocent streams */
+  size_t blocked; /* culprits that are blocked at the end */
 } sim_result_t;
 
 sim_result_t sim_run (const sim_options_t *options);
