--- a/tests/script.c
+++ b/tests/script.c
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * An endpoint that answers with raw bytes.
+ * A scripted HTTP endpoint that replies with prepared bytes.
  */
 #include <arpa/inet.h>
 #include <netinet/in.h>
@@ -23,6 +23,7 @@
 net_clock_t test_clock;
 net_client_t *client;
 
+/* Read the head of a request and record it; false if the peer closed. */
 static int
 script_read (int fd)
 {
@@ -78,7 +79,8 @@
   return NULL;
 }
 
-/** Answer the next requests. */
+/** Start the endpoint on a thread of its own; its address is in
+    script.address. */
 void
 script_open (const answer_t *answers, size_t n)
 {
@@ -101,7 +103,7 @@
                     0);
 }
 
-/** A loop of the test's own. */
+/** Open the loop, clock and client of a test. */
 void
 script_setup (void)
 {
@@ -112,18 +114,18 @@
 }
 
 static void
-span_over (void *arg, el_time_t now)
+on_timer (void *arg, el_time_t now)
 {
   (void)now;
   *(int *)arg = 1;
 }
 
-/** Let the loop run for so long. */
+/** Run the loop for a given time. */
 void
 run_for (el_time_t span)
 {
   int over = 0;
-  el_timer_t timer = { .cb = span_over, .arg = &over };
+  el_timer_t timer = { .cb = on_timer, .arg = &over };
 
   net_clock_set (&test_clock, &timer, span);
   while (!over)
--- a/tests/script.h
+++ b/tests/script.h
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * An endpoint that answers with raw bytes, one script after the other, and the
- * loop, clock and client of the test that asks it.
+ * A scripted HTTP endpoint that replies with prepared bytes, and the loop,
+ * clock and client of the test that talks to it.
  */
 #ifndef ELMARCH_SCRIPT_H
 #define ELMARCH_SCRIPT_H
@@ -13,7 +13,7 @@
 
 #include "net.h"
 
-/* What the endpoint does after an answer. */
+/* What the endpoint does with the connection after an answer. */
 typedef enum then
 {
   KEEP,
@@ -27,15 +27,16 @@
   then_t then;
 } answer_t;
 
-/* One answer a request, over one connection after the other. */
+/* The endpoint: it sends one answer per request and serves one connection at a
+   time. */
 typedef struct script
 {
   int listener;
   char address[32];
   const answer_t *answers;
   size_t n;
-  size_t connections;
-  el_buf_t requests;
+  size_t connections; /* accepted */
+  el_buf_t requests;  /* heads of all requests received */
   pthread_t thread;
 } script_t;
 
--- a/tests/seeds.c
+++ b/tests/seeds.c
@@ -3,19 +3,19 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Seeds and spoiled text for the seeded tests. ELMARCH_SEEDS sets how many are
- * played, ELMARCH_SEED plays one again.
+ * Seeds and mutated input for randomized tests. ELMARCH_SEEDS sets the number
+ * of seeds to run; ELMARCH_SEED runs a single one, to reproduce a failure.
  */
 #include "seeds.h"
 
 #include <stdlib.h>
 #include <string.h>
 
-#define SEEDS_CI 2000
+#define SEEDS_DEFAULT 2000
 
 static uint64_t random_state;
 
-/** A number below N. */
+/** A pseudo-random number below N (xorshift). */
 unsigned
 seeds_draw (unsigned n)
 {
@@ -25,7 +25,7 @@
   return (unsigned)(random_state % n);
 }
 
-/** The variable's number, or DEF. */
+/** The number in an environment variable, or DEF if it is unset. */
 uint64_t
 seeds_env (const char *name, uint64_t def)
 {
@@ -34,12 +34,12 @@
   return text ? strtoull (text, NULL, 10) : def;
 }
 
-/** Run PLAY with each seed, or with the one that is asked for. */
+/** Run PLAY with each seed, or only with the one in ELMARCH_SEED. */
 void
 seeds_run (void (*play) (uint64_t seed))
 {
   uint64_t one = seeds_env ("ELMARCH_SEED", 0);
-  uint64_t n = seeds_env ("ELMARCH_SEEDS", SEEDS_CI);
+  uint64_t n = seeds_env ("ELMARCH_SEEDS", SEEDS_DEFAULT);
   uint64_t seed;
 
   for (seed = one ? one : 1; seed <= (one ? one : n); seed++)
@@ -49,8 +49,8 @@
     }
 }
 
-/** A copy of TEXT with some bytes changed, dropped or repeated; the caller
-    frees it. */
+/** A copy of TEXT with up to 5 bytes changed or dropped, some with a prefix of
+    TEXT inserted before them, and sometimes truncated; the caller frees it. */
 el_buf_t
 seeds_spoil (const char *text)
 {
--- a/tests/seeds.h
+++ b/tests/seeds.h
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Seeds and spoiled text for the seeded tests.
+ * Seeds and mutated input for randomized tests.
  */
 #ifndef ELMARCH_TEST_SEEDS_H
 #define ELMARCH_TEST_SEEDS_H
--- a/tests/unit_main.c
+++ b/tests/unit_main.c
@@ -3,13 +3,13 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Runs the tests that need no processes.
+ * Runs the unit tests: those that start no other processes.
  */
 #include <stdlib.h>
 
 #include "test.h"
 
-/** A resource from its JSON; the test fails when it is refused. */
+/** Parse a resource from JSON; the test fails if it is invalid. */
 co_resource_t *
 test_resource (co_kind_t kind, const char *name, const char *json,
                uint64_t revision)
