--- a/tests/t_load.c
+++ b/tests/t_load.c
@@ -3,9 +3,9 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Load patterns replayed against the choice of lines: many hosts of a hall
- * that each see their own streams and the engines' reports, engines that count
- * what they are given. Nothing here reads a clock or draws at random.
+ * Simulated load on the selection of pipelines. The hosts of a hall each know
+ * only their own streams and the engines' reports; the engines account for all
+ * streams. Deterministic: no clock, no random numbers.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -17,13 +17,13 @@
 #define HOSTS 20
 #define ENGINES_MAX 40
 #define STREAMS_MAX 4000
-#define STEP (5 * EL_MSEC)
-#define REPORT_EVERY (250 * EL_MSEC)
-#define TOKENS 900
+#define TIME_STEP (5 * EL_MSEC)
+#define REPORT_INTERVAL (250 * EL_MSEC)
+#define STREAM_TOKENS 900
 #define ANSWER_TOKENS 225
 #define SLOTS 192
-/* A token's step takes so many times as long beside the other streams. */
-#define STEP_OTHERS 1.3
+/* Factor on the time of a token step due to the other streams. */
+#define CONTENTION_FACTOR 1.3
 #define HOP_MS 0.4
 
 static rt_card_t cards[] = {
@@ -32,30 +32,30 @@
   { { "slow", 4 }, 21600, 16, 8.2 },
 };
 
-typedef struct load_stream
+typedef struct sim_stream
 {
   rt_line_t line;
   el_time_t end;
   int in_use;
-} load_stream_t;
+} sim_stream_t;
 
-/* An engine, and what it has counted. */
-typedef struct load_engine
+/* An engine and its accounting. */
+typedef struct sim_engine
 {
   rt_facts_t facts;
   char id[16];
-  double token_layers; /* of its memory that streams use */
-  double room;
-  unsigned running; /* streams that it is the first engine of */
-  rt_load_t load;   /* when it was asked last */
-  int lost;
-} load_engine_t;
+  double token_layers; /* memory in use by streams, as tokens times layers */
+  double capacity;
+  unsigned running; /* streams whose first engine it is */
+  rt_load_t load;   /* at the last poll; hosts get it at the next */
+  int removed;
+} sim_engine_t;
 
 static rt_service_t service;
 static rt_fleet_t *hosts[HOSTS];
-static load_engine_t engines[ENGINES_MAX];
+static sim_engine_t engines[ENGINES_MAX];
 static size_t nengines;
-static load_stream_t streams[STREAMS_MAX];
+static sim_stream_t streams[STREAMS_MAX];
 static el_time_t now;
 
 static void
@@ -99,9 +99,9 @@
     rt_fleet_free (hosts[i]);
 }
 
-/* Tokens times layers that fit beside the engine's layers. */
+/* Memory beside the engine's own layers, as tokens times layers. */
 static double
-engine_room (const load_engine_t *engine)
+engine_capacity (const sim_engine_t *engine)
 {
   const rt_card_t *card = rt_model_card (&service.model, engine->facts.card);
   double layers = engine->facts.end - engine->facts.first;
@@ -110,11 +110,11 @@
          / service.model.token_kv_mb * LAYERS;
 }
 
-/* An engine that all hosts know. */
-static load_engine_t *
-load_engine (const char *card, unsigned first, unsigned end)
+/* Add an engine to the fleets of all hosts. */
+static sim_engine_t *
+add_engine (const char *card, unsigned first, unsigned end)
 {
-  load_engine_t *engine = &engines[nengines];
+  sim_engine_t *engine = &engines[nengines];
   size_t i;
 
   snprintf (engine->id, sizeof engine->id, "e%zu", nengines++);
@@ -127,16 +127,16 @@
                                 .first = first,
                                 .end = end };
   engine->running = 0;
-  engine->lost = 0;
+  engine->removed = 0;
   engine->load = (rt_load_t){ .pace = 1 };
   engine->token_layers = 0;
-  engine->room = engine_room (engine);
+  engine->capacity = engine_capacity (engine);
   for (i = 0; i < HOSTS; i++)
     rt_fleet_set (hosts[i], &engine->facts);
   return engine;
 }
 
-static load_engine_t *
+static sim_engine_t *
 engine_of (const rt_target_t *target)
 {
   size_t i;
@@ -148,22 +148,24 @@
   return NULL;
 }
 
-/* The engines take the stream's line, or lose it again. */
+/* Account for a stream on the engines of its pipeline: add it if SIGN is 1,
+   remove it if -1. */
 static void
-engines_count (const rt_line_t *line, int sign)
+engines_account (const rt_line_t *line, int sign)
 {
   size_t i;
 
   for (i = 0; i < line->n; i++)
     engine_of (line->part[i].target)->token_layers
-        += sign * TOKENS * (double)(line->part[i].to - line->part[i].from);
+        += sign * STREAM_TOKENS
+           * (double)(line->part[i].to - line->part[i].from);
   engine_of (line->part[0].target)->running += (unsigned)sign;
 }
 
-/* How long a stream takes: its tokens through the engines, some of whose time
-   others use, and the way from one to the next. */
+/* The duration of a stream: for each token, the steps on the engines, slowed
+   down by other streams, and the hops between engines. */
 static el_time_t
-line_hold (const rt_line_t *line)
+stream_duration (const rt_line_t *line)
 {
   double ms = 0;
   size_t i;
@@ -174,127 +176,129 @@
       const rt_card_t *card
           = rt_model_card (&service.model, part->target->facts.card);
 
-      ms += STEP_OTHERS * service.model.step_ms * card->step_pace
+      ms += CONTENTION_FACTOR * service.model.step_ms * card->step_pace
                 * (part->to - part->from) / LAYERS
             + HOP_MS;
     }
   return (el_time_t)(ms * ANSWER_TOKENS * (double)EL_MSEC);
 }
 
-/* A stream of the host with number HOST; gives its first engine. */
-static load_engine_t *
-stream_begin (size_t host)
+/* Start a stream from host number HOST; returns its first engine. */
+static sim_engine_t *
+stream_start (size_t host)
 {
   static const rt_tried_t none;
-  const rt_line_want_t want = {
-    .service = &service, .hall = EL_STR ("h"), .tokens = TOKENS, .tried = &none
-  };
-  load_stream_t *stream = streams;
+  const rt_line_want_t want = { .service = &service,
+                                .hall = EL_STR ("h"),
+                                .tokens = STREAM_TOKENS,
+                                .tried = &none };
+  sim_stream_t *stream = streams;
 
   while (stream->in_use)
     ck_assert (++stream < streams + STREAMS_MAX);
   ck_assert_int_eq (rt_line_pick (hosts[host], now, &want, &stream->line), 1);
   rt_line_hold (&stream->line, NULL, 0);
   stream->line.part[0].target->running++;
-  stream->end = now + line_hold (&stream->line);
+  stream->end = now + stream_duration (&stream->line);
   stream->in_use = 1;
-  engines_count (&stream->line, 1);
+  engines_account (&stream->line, 1);
   return engine_of (stream->line.part[0].target);
 }
 
 static void
-streams_end (void)
+streams_finish (void)
 {
-  load_stream_t *stream;
+  sim_stream_t *stream;
 
   for (stream = streams; stream < streams + STREAMS_MAX; stream++)
     if (stream->in_use && stream->end <= now)
       {
-        engines_count (&stream->line, -1);
+        engines_account (&stream->line, -1);
         stream->line.part[0].target->running--;
         rt_line_release (&stream->line);
         stream->in_use = 0;
       }
 }
 
-/* All hosts hear what the engines counted when they were asked before: reports
-   are some hundred milliseconds old. */
+/* Send all hosts the load that the engines recorded at the previous poll:
+   reports are some hundred milliseconds old. */
 static void
-engines_report (void)
+engines_send_reports (void)
 {
   size_t i;
   size_t k;
 
   for (i = 0; i < nengines; i++)
     {
-      load_engine_t *engine = &engines[i];
+      sim_engine_t *engine = &engines[i];
 
-      for (k = 0; k < HOSTS && !engine->lost; k++)
+      for (k = 0; k < HOSTS && !engine->removed; k++)
         rt_target_told (rt_fleet_find (hosts[k], engine->facts.id),
                         &engine->load, now);
-      engine->load = (rt_load_t){ .fill = engine->token_layers / engine->room,
-                                  .pace = 1,
-                                  .taken = (double)engine->running / SLOTS };
+      engine->load
+          = (rt_load_t){ .fill = engine->token_layers / engine->capacity,
+                         .pace = 1,
+                         .taken = (double)engine->running / SLOTS };
     }
 }
 
-/* RATE streams a second for SECONDS; gives how many found no place at their
-   first engine. */
+/* Run RATE streams per second for SECONDS; returns how many found no free slot
+   on their first engine. */
 static unsigned
 load_run (unsigned rate, unsigned seconds)
 {
-  unsigned without_place = 0;
-  unsigned begun = 0;
+  unsigned without_slot = 0;
+  unsigned started = 0;
   el_time_t start = now;
   el_time_t reported = 0;
 
-  for (; now < start + seconds * EL_SEC; now += STEP)
+  for (; now < start + seconds * EL_SEC; now += TIME_STEP)
     {
-      streams_end ();
-      if (now >= reported + REPORT_EVERY)
+      streams_finish ();
+      if (now >= reported + REPORT_INTERVAL)
         {
-          engines_report ();
+          engines_send_reports ();
           reported = now;
         }
-      while (begun < (now - start) * rate / EL_SEC)
-        without_place += stream_begin (begun++ % HOSTS)->running > SLOTS;
+      while (started < (now - start) * rate / EL_SEC)
+        without_slot += stream_start (started++ % HOSTS)->running > SLOTS;
     }
-  return without_place;
+  return without_slot;
 }
 
-/* A hall without most of its large engines: streams take 3.6 s in place of
-   2.3, and one of two first engines is the quicker way. 80 streams a second
-   are 288 at a time, for 384 slots. */
+/* A hall without most of its large engines: streams take 3.6 s instead of 2.3,
+   and one of the two first engines leads to the faster pipeline. 80 streams
+   per second are 288 at a time, for 384 slots. */
 START_TEST (test_load_places_of_all_first_engines_are_used)
 {
   unsigned at;
 
-  load_engine ("large", 0, 24);
-  load_engine ("slow", 0, 7);
-  load_engine ("slow", 7, 14);
-  load_engine ("slow", 14, 24);
+  add_engine ("large", 0, 24);
+  add_engine ("slow", 0, 7);
+  add_engine ("slow", 7, 14);
+  add_engine ("slow", 14, 24);
   for (at = 24; at < LAYERS; at += 8)
     {
-      load_engine ("quick", at, at + 4);
-      load_engine ("quick", at, at + 4);
-      load_engine ("quick", at + 4, at + 8);
-      load_engine ("quick", at + 4, at + 8);
+      add_engine ("quick", at, at + 4);
+      add_engine ("quick", at, at + 4);
+      add_engine ("quick", at + 4, at + 8);
+      add_engine ("quick", at + 4, at + 8);
     }
   ck_assert_uint_le (load_run (80, 12), 960 / 100);
 }
 END_TEST
 
-/* So many empty engines of a card. */
+/* Add N engines of a card that hold no layers. */
 static void
-load_engines (const char *card, unsigned n)
+add_empty_engines (const char *card, unsigned n)
 {
   while (n--)
-    load_engine (card, 0, 0);
+    add_engine (card, 0, 0);
 }
 
-/* Have the engines laid out, as all hosts then know. */
+/* Place layers on the engines and update the fleets of all hosts. */
 static void
-load_layout (void)
+place_layers (void)
 {
   rt_order_t orders[ENGINES_MAX];
   size_t n = rt_layout_next (hosts[0], &service, NULL, 0, orders, ENGINES_MAX);
@@ -303,37 +307,38 @@
 
   for (i = 0; i < n; i++)
     {
-      load_engine_t *engine = engine_of (orders[i].target);
+      sim_engine_t *engine = engine_of (orders[i].target);
 
       engine->facts.first = orders[i].first;
       engine->facts.end = orders[i].end;
-      engine->room = engine_room (engine);
+      engine->capacity = engine_capacity (engine);
       for (k = 0; k < HOSTS; k++)
         rt_fleet_set (hosts[k], &engine->facts);
     }
 }
 
 static void
-load_lose (load_engine_t *engine)
+remove_engine (sim_engine_t *engine)
 {
   size_t k;
 
-  engine->lost = 1;
+  engine->removed = 1;
   for (k = 0; k < HOSTS; k++)
     rt_fleet_remove (hosts[k], engine->facts.id);
 }
 
-/* A hall whose two large engines are lost, with the usual load: the others
-   hold the model often enough to carry it. With room for all of an engine's
-   slots 767 of 960 streams find no place, 31 now. */
+/* A hall that has lost both of its large engines, under normal load: the other
+   engines hold enough replicas of the layers to carry it. When the layout
+   reserves memory for all of an engine's slots, 767 of 960 streams find no
+   free slot; with the limit that layout.c sets, 31. */
 START_TEST (test_load_hall_without_its_large_engines)
 {
-  load_engines ("large", 2);
-  load_engines ("quick", 24);
-  load_engines ("slow", 9);
-  load_layout ();
-  load_lose (&engines[0]);
-  load_lose (&engines[1]);
+  add_empty_engines ("large", 2);
+  add_empty_engines ("quick", 24);
+  add_empty_engines ("slow", 9);
+  place_layers ();
+  remove_engine (&engines[0]);
+  remove_engine (&engines[1]);
   ck_assert_uint_le (load_run (80, 12), 960 / 20);
 }
 END_TEST
--- a/tests/t_relay.c
+++ b/tests/t_relay.c
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Tests of where relayed requests go: endpoints, lines of engines, placing of
- * layers.
+ * Tests of the routing of relayed requests: endpoint selection, pipelines
+ * (lines) of engines, and placement of model layers.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -51,10 +51,11 @@
   rt_fleet_free (fleet);
 }
 
-/* An engine; one that holds layers when END is over FIRST. */
+/* Add an engine that holds layers FIRST to before END; none if they are
+   equal. */
 static rt_target_t *
-engine (const char *id, const char *hall, const char *card, unsigned first,
-        unsigned end)
+add_engine (const char *id, const char *hall, const char *card, unsigned first,
+            unsigned end)
 {
   rt_facts_t facts = { .id = el_str (id),
                        .service = SERVICE,
@@ -69,7 +70,7 @@
 }
 
 static rt_target_t *
-worker (const char *id)
+add_worker (const char *id)
 {
   rt_facts_t facts = { .id = el_str (id),
                        .service = SERVICE,
@@ -81,7 +82,7 @@
 }
 
 static int
-line_pick (const char *hall, const rt_tried_t *tried, rt_line_t *out)
+pipeline_pick (const char *hall, const rt_tried_t *tried, rt_line_t *out)
 {
   static const rt_tried_t none;
   const rt_line_want_t want = { .service = &service,
@@ -104,11 +105,12 @@
     }
 }
 
+/* The number of layers that no engine of the hall holds. */
 static unsigned
-hall_holes (const char *hall)
+uncovered_layers (const char *hall)
 {
   unsigned cover[LAYERS] = { 0 };
-  unsigned holes = 0;
+  unsigned uncovered = 0;
   rt_target_t *target;
   unsigned i;
 
@@ -117,12 +119,13 @@
          i < target->facts.end && !rt_target_leaves (target); i++)
       cover[i] += el_str_eq (target->facts.hall, el_str (hall));
   for (i = 0; i < LAYERS; i++)
-    holes += !cover[i];
-  return holes;
+    uncovered += !cover[i];
+  return uncovered;
 }
 
+/* Add a hall's engines, none of which holds layers. */
 static void
-hall_of (const char *hall, int large, int middle, int small)
+add_hall (const char *hall, int large, int middle, int small)
 {
   const int counts[] = { large, middle, small };
   char id[32];
@@ -133,16 +136,16 @@
     for (i = 0; i < counts[k]; i++)
       {
         snprintf (id, sizeof id, "%s-%s-%d", hall, cards[k].name.ptr, i);
-        engine (id, hall, cards[k].name.ptr, 0, 0);
+        add_engine (id, hall, cards[k].name.ptr, 0, 0);
       }
 }
 
-/* Endpoints. */
+/* Endpoint selection. */
 
 START_TEST (test_pick_leaves_out_the_leaving_and_the_tried)
 {
-  rt_target_t *a = worker ("a");
-  rt_target_t *b = worker ("b");
+  rt_target_t *a = add_worker ("a");
+  rt_target_t *b = add_worker ("b");
   rt_tried_t tried = { .n = 0 };
 
   rt_target_leave (b);
@@ -156,8 +159,8 @@
 
 START_TEST (test_pick_avoids_the_failing_but_never_all)
 {
-  rt_target_t *a = worker ("a");
-  rt_target_t *b = worker ("b");
+  rt_target_t *a = add_worker ("a");
+  rt_target_t *b = add_worker ("b");
   const rt_tried_t none = { .n = 0 };
 
   rt_target_failed (a, NOW);
@@ -176,27 +179,27 @@
 
 START_TEST (test_endpoint_that_leaves_does_not_come_back)
 {
-  rt_target_t *a = worker ("a");
+  rt_target_t *a = add_worker ("a");
 
   rt_target_leave (a);
-  worker ("a");
+  add_worker ("a");
   ck_assert_int_eq (rt_target_usable (a, NOW), 0);
 }
 END_TEST
 
-/* Lines. */
+/* Pipelines. */
 
 START_TEST (test_line_covers_each_layer_once)
 {
   rt_line_t line;
 
-  engine ("a", "h", "large", 0, 16);
-  engine ("b", "h", "middle", 10, 40);
-  engine ("c", "h", "middle", 30, 80);
-  ck_assert_int_eq (line_pick ("h", NULL, &line), 1);
+  add_engine ("a", "h", "large", 0, 16);
+  add_engine ("b", "h", "middle", 10, 40);
+  add_engine ("c", "h", "middle", 30, 80);
+  ck_assert_int_eq (pipeline_pick ("h", NULL, &line), 1);
   ck_assert_int_eq (rt_line_valid (&line, LAYERS), 1);
-  engine ("b", "h", "middle", 17, 40);
-  ck_assert_int_eq (line_pick ("h", NULL, &line), 0);
+  add_engine ("b", "h", "middle", 17, 40);
+  ck_assert_int_eq (pipeline_pick ("h", NULL, &line), 0);
   ck_assert_uint_eq (line.n, 0);
 }
 END_TEST
@@ -208,22 +211,22 @@
   size_t n;
   size_t i;
 
-  hall_of ("far", 1, 5, 8);
-  hall_of ("near", 1, 5, 8);
+  add_hall ("far", 1, 5, 8);
+  add_hall ("near", 1, 5, 8);
   n = rt_layout_next (fleet, &service, NULL, 0, orders, 64);
   orders_apply (orders, n);
-  ck_assert_int_eq (line_pick ("near", NULL, &line), 1);
+  ck_assert_int_eq (pipeline_pick ("near", NULL, &line), 1);
   for (i = 0; i < line.n; i++)
     ck_assert (el_str_eq (line.part[i].target->facts.hall, EL_STR ("near")));
   rt_fleet_remove (fleet, EL_STR ("near-large-0"));
-  ck_assert_int_eq (line_pick ("near", NULL, &line), 1);
+  ck_assert_int_eq (pipeline_pick ("near", NULL, &line), 1);
   for (i = 0; i < line.n; i++)
     ck_assert (el_str_eq (line.part[i].target->facts.hall, EL_STR ("far")));
 }
 END_TEST
 
-/* A hall whose memory is nearly full is left as long as the pipe between halls
-   has room for what may come. */
+/* Streams leave a hall whose memory is nearly full for another hall, but only
+   while the link between halls has bandwidth to spare. */
 START_TEST (test_line_leaves_a_full_hall_while_the_pipe_carries)
 {
   const rt_load_t full = { .fill = 0.85, .pace = 1 };
@@ -232,8 +235,8 @@
   rt_line_t line;
   size_t n;
 
-  hall_of ("far", 1, 5, 8);
-  hall_of ("near", 1, 5, 8);
+  add_hall ("far", 1, 5, 8);
+  add_hall ("near", 1, 5, 8);
   n = rt_layout_next (fleet, &service, NULL, 0, orders, 64);
   orders_apply (orders, n);
   for (target = rt_fleet_first (fleet); target; target = target->hh.next)
@@ -241,34 +244,35 @@
       rt_target_told (target, &full, NOW);
   rt_fleet_share (fleet, 1, 10);
   rt_fleet_sent (fleet, NOW, 900);
-  ck_assert_int_eq (line_pick ("near", NULL, &line), 1);
+  ck_assert_int_eq (pipeline_pick ("near", NULL, &line), 1);
   ck_assert (el_str_eq (line.part[0].target->facts.hall, EL_STR ("far")));
   rt_fleet_sent (fleet, NOW, 900 * 1000);
-  ck_assert_int_eq (line_pick ("near", NULL, &line), 1);
+  ck_assert_int_eq (pipeline_pick ("near", NULL, &line), 1);
   ck_assert (el_str_eq (line.part[0].target->facts.hall, EL_STR ("near")));
 }
 END_TEST
 
 START_TEST (test_line_takes_engines_set_aside_rather_than_none)
 {
-  rt_target_t *a = engine ("a", "h", "large", 0, 80);
+  rt_target_t *a = add_engine ("a", "h", "large", 0, 80);
   rt_line_t line;
 
   rt_target_busy (a, NOW);
-  ck_assert_int_eq (line_pick ("h", NULL, &line), 1);
+  ck_assert_int_eq (pipeline_pick ("h", NULL, &line), 1);
   rt_target_leave (a);
-  ck_assert_int_eq (line_pick ("h", NULL, &line), 0);
+  ck_assert_int_eq (pipeline_pick ("h", NULL, &line), 0);
 }
 END_TEST
 
-/* Engines that hold overlapping ranges, at random: what is picked is a cover,
-   names no engine twice, and is missed only when a layer is held by none. */
+/* Engines with random, overlapping layer ranges: a pipeline that is picked
+   covers all layers and uses no engine twice; none is found only if some layer
+   is held by no engine. */
 START_TEST (test_line_any_layout_is_covered_or_refused)
 {
   unsigned cover[LAYERS] = { 0 };
   char id[16];
   rt_line_t line;
-  unsigned holes = 0;
+  unsigned uncovered = 0;
   unsigned i;
   unsigned k;
 
@@ -282,17 +286,17 @@
       if (end > LAYERS)
         end = LAYERS;
       snprintf (id, sizeof id, "e%u", i);
-      target
-          = engine (id, i % 3 ? "h" : "g", cards[i % 3].name.ptr, first, end);
+      target = add_engine (id, i % 3 ? "h" : "g", cards[i % 3].name.ptr, first,
+                           end);
       target->held = (double)(rand () % 3000000);
       for (k = first; k < end; k++)
         cover[k]++;
     }
   for (k = 0; k < LAYERS; k++)
-    holes += !cover[k];
-  if (line_pick ("h", NULL, &line))
+    uncovered += !cover[k];
+  if (pipeline_pick ("h", NULL, &line))
     {
-      ck_assert_uint_eq (holes, 0);
+      ck_assert_uint_eq (uncovered, 0);
       ck_assert_int_eq (rt_line_valid (&line, LAYERS), 1);
       for (i = 0; i < line.n; i++)
         for (k = 0; k < i; k++)
@@ -300,7 +304,7 @@
     }
   else
     {
-      ck_assert_uint_gt (holes, 0);
+      ck_assert_uint_gt (uncovered, 0);
       ck_assert_uint_eq (line.n, 0);
     }
 }
@@ -308,19 +312,19 @@
 
 START_TEST (test_line_around_keeps_what_it_can)
 {
-  rt_target_t *a = engine ("a", "h", "large", 0, 40);
-  rt_target_t *b = engine ("b", "h", "small", 40, 60);
-  rt_target_t *c = engine ("c", "h", "small", 60, 80);
+  rt_target_t *a = add_engine ("a", "h", "large", 0, 40);
+  rt_target_t *b = add_engine ("b", "h", "small", 40, 60);
+  rt_target_t *c = add_engine ("c", "h", "small", 60, 80);
   rt_tried_t tried = { .n = 0 };
   rt_line_t line;
   rt_line_t around;
 
-  ck_assert_int_eq (line_pick ("h", NULL, &line), 1);
+  ck_assert_int_eq (pipeline_pick ("h", NULL, &line), 1);
   ck_assert_uint_eq (line.n, 3);
   rt_tried_add (&tried, b);
   ck_assert_int_eq (
       rt_line_around (fleet, NOW, &service, &line, &tried, &around), 0);
-  engine ("spare", "h", "small", 40, 60);
+  add_engine ("spare", "h", "small", 40, 60);
   ck_assert_int_eq (
       rt_line_around (fleet, NOW, &service, &line, &tried, &around), 1);
   ck_assert_ptr_eq (around.part[0].target, a);
@@ -333,116 +337,116 @@
 
 START_TEST (test_line_full_engine_is_left_to_its_copy)
 {
-  rt_target_t *a = engine ("a", "h", "small", 0, 6);
-  rt_target_t *b = engine ("b", "h", "small", 0, 6);
+  rt_target_t *a = add_engine ("a", "h", "small", 0, 6);
+  rt_target_t *b = add_engine ("b", "h", "small", 0, 6);
   rt_line_t line;
 
-  engine ("c", "h", "large", 6, 80);
+  add_engine ("c", "h", "large", 6, 80);
   a->held = 1e9;
-  ck_assert_int_eq (line_pick ("h", NULL, &line), 1);
+  ck_assert_int_eq (pipeline_pick ("h", NULL, &line), 1);
   ck_assert_ptr_eq (line.part[0].target, b);
   a->held = 0;
   b->held = 1e9;
-  ck_assert_int_eq (line_pick ("h", NULL, &line), 1);
+  ck_assert_int_eq (pipeline_pick ("h", NULL, &line), 1);
   ck_assert_ptr_eq (line.part[0].target, a);
 }
 END_TEST
 
 START_TEST (test_line_slow_engine_is_left_to_its_copy)
 {
-  rt_target_t *a = engine ("a", "h", "small", 0, 6);
-  rt_target_t *b = engine ("b", "h", "small", 0, 6);
+  rt_target_t *a = add_engine ("a", "h", "small", 0, 6);
+  rt_target_t *b = add_engine ("b", "h", "small", 0, 6);
   rt_line_t line;
 
-  engine ("c", "h", "large", 6, 80);
+  add_engine ("c", "h", "large", 6, 80);
   a->pace = 4;
-  ck_assert_int_eq (line_pick ("h", NULL, &line), 1);
+  ck_assert_int_eq (pipeline_pick ("h", NULL, &line), 1);
   ck_assert_ptr_eq (line.part[0].target, b);
   a->pace = 0;
   b->pace = 4;
-  ck_assert_int_eq (line_pick ("h", NULL, &line), 1);
+  ck_assert_int_eq (pipeline_pick ("h", NULL, &line), 1);
   ck_assert_ptr_eq (line.part[0].target, a);
 }
 END_TEST
 
-/* An engine whose sign of life is awaited is passed by while there is another;
-   so is it by a stream that is moved. */
+/* An engine with an overdue health check is avoided while there is another,
+   also when a stream is rerouted. */
 START_TEST (test_line_doubtful_engine_is_passed_by)
 {
-  rt_target_t *a = engine ("a", "h", "small", 6, 12);
-  rt_target_t *b = engine ("b", "h", "small", 6, 12);
-  rt_target_t *c = engine ("c", "h", "small", 12, 18);
+  rt_target_t *a = add_engine ("a", "h", "small", 6, 12);
+  rt_target_t *b = add_engine ("b", "h", "small", 6, 12);
+  rt_target_t *c = add_engine ("c", "h", "small", 12, 18);
   rt_tried_t tried = { .n = 0 };
   rt_line_t old;
   rt_line_t line;
 
-  engine ("f", "h", "small", 0, 6);
-  engine ("d", "h", "small", 12, 18);
-  engine ("e", "h", "large", 18, 80);
+  add_engine ("f", "h", "small", 0, 6);
+  add_engine ("d", "h", "small", 12, 18);
+  add_engine ("e", "h", "large", 18, 80);
   a->asked = NOW - 20 * EL_MSEC;
-  ck_assert_int_eq (line_pick ("h", NULL, &line), 1);
+  ck_assert_int_eq (pipeline_pick ("h", NULL, &line), 1);
   ck_assert_ptr_eq (line.part[1].target, b);
-  a->asked = NOW; /* it has hardly had time to answer */
+  a->asked = NOW; /* not overdue yet */
   b->asked = NOW - 20 * EL_MSEC;
-  ck_assert_int_eq (line_pick ("h", NULL, &old), 1);
+  ck_assert_int_eq (pipeline_pick ("h", NULL, &old), 1);
   ck_assert_ptr_eq (old.part[1].target, a);
   c->asked = NOW - 20 * EL_MSEC;
-  ck_assert_int_eq (line_pick ("h", NULL, &line), 1);
+  ck_assert_int_eq (pipeline_pick ("h", NULL, &line), 1);
   ck_assert_ptr_ne (line.part[2].target, c);
-  rt_tried_add (&tried, a); /* only b is left, doubtful or not */
+  rt_tried_add (&tried, a); /* leaves only b, overdue or not */
   ck_assert_int_eq (rt_line_around (fleet, NOW, &service, &old, &tried, &line),
                     1);
   ck_assert_ptr_eq (line.part[1].target, b);
 }
 END_TEST
 
-/* What an engine reports of its memory goes before what this host alone knows;
-   what was sent since then counts for all hosts. */
+/* The memory use that an engine reports overrides this host's own estimate.
+   Streams sent since the report are scaled up to all hosts. */
 START_TEST (test_line_reported_fill_decides)
 {
   rt_load_t full = { .fill = 0.95, .pace = 1 };
   rt_load_t old = { .fill = 0.1, .pace = 1 };
-  rt_target_t *a = engine ("a", "h", "small", 0, 6);
-  rt_target_t *b = engine ("b", "h", "small", 0, 6);
+  rt_target_t *a = add_engine ("a", "h", "small", 0, 6);
+  rt_target_t *b = add_engine ("b", "h", "small", 0, 6);
   rt_line_t line;
   rt_line_t other;
-  rt_line_t full_one;
+  rt_line_t filled;
 
-  engine ("c", "h", "large", 6, 80);
+  add_engine ("c", "h", "large", 6, 80);
   ck_assert_int_eq (rt_target_told (a, &full, NOW), 1);
   ck_assert_int_eq (rt_target_told (a, &old, NOW - EL_SEC), 0);
-  ck_assert_int_eq (line_pick ("h", NULL, &line), 1);
+  ck_assert_int_eq (pipeline_pick ("h", NULL, &line), 1);
   ck_assert_ptr_eq (line.part[0].target, b);
   ck_assert (line.fill <= 1);
   ck_assert_int_eq (rt_target_told (b, &full, NOW), 1);
-  ck_assert_int_eq (line_pick ("h", NULL, &line), 1);
+  ck_assert_int_eq (pipeline_pick ("h", NULL, &line), 1);
   rt_fleet_share (fleet, 20, 20);
   rt_line_hold (&line, NULL, 0); /* 20 hosts may do the same */
-  ck_assert_int_eq (line_pick ("h", NULL, &other), 1);
+  ck_assert_int_eq (pipeline_pick ("h", NULL, &other), 1);
   ck_assert_ptr_ne (other.part[0].target, line.part[0].target);
   rt_line_hold (&other, NULL, 0);
-  ck_assert_int_eq (line_pick ("h", NULL, &full_one), 1);
-  ck_assert (full_one.fill > 1);
+  ck_assert_int_eq (pipeline_pick ("h", NULL, &filled), 1);
+  ck_assert (filled.fill > 1);
   rt_line_release (&line);
   rt_line_release (&other);
 }
 END_TEST
 
-/* Prompts that wait to be read send the next streams to a copy; the first
-   event ends that, and so does the end of the stream. */
+/* Prompts waiting for prefill divert new streams to a replica, until the
+   stream's first event or its end. */
 START_TEST (test_line_waiting_prompts_send_streams_to_a_copy)
 {
-  rt_target_t *a = engine ("a", "h", "small", 0, 6);
-  rt_target_t *b = engine ("b", "h", "small", 0, 6);
+  rt_target_t *a = add_engine ("a", "h", "small", 0, 6);
+  rt_target_t *b = add_engine ("b", "h", "small", 0, 6);
   rt_line_t first;
   rt_line_t line;
 
-  engine ("c", "h", "large", 6, 80);
+  add_engine ("c", "h", "large", 6, 80);
   rt_fleet_share (fleet, 20, 20);
-  ck_assert_int_eq (line_pick ("h", NULL, &first), 1);
+  ck_assert_int_eq (pipeline_pick ("h", NULL, &first), 1);
   first.tokens = 0; /* memory does not decide here */
   rt_line_hold (&first, NULL, 2000);
-  ck_assert_int_eq (line_pick ("h", NULL, &line), 1);
+  ck_assert_int_eq (pipeline_pick ("h", NULL, &line), 1);
   ck_assert_ptr_eq (line.part[0].target, first.part[0].target == a ? b : a);
   rt_line_event (&first, NOW);
   ck_assert_uint_eq (first.part[0].target->alive, NOW);
@@ -454,7 +458,8 @@
 }
 END_TEST
 
-/* A stream that is moved goes on with what the parts that stay have read. */
+/* A rerouted stream repeats the prefill only on the engines that are new in
+   its pipeline. */
 START_TEST (test_line_moved_reads_only_in_new_parts)
 {
   rt_target_t *b;
@@ -462,13 +467,13 @@
   rt_line_t old;
   rt_line_t line;
 
-  engine ("f", "h", "large", 0, 10);
-  b = engine ("b", "h", "small", 10, 16);
-  engine ("c", "h", "large", 16, 80);
-  ck_assert_int_eq (line_pick ("h", NULL, &old), 1);
+  add_engine ("f", "h", "large", 0, 10);
+  b = add_engine ("b", "h", "small", 10, 16);
+  add_engine ("c", "h", "large", 16, 80);
+  ck_assert_int_eq (pipeline_pick ("h", NULL, &old), 1);
   rt_line_hold (&old, NULL, 500);
   rt_line_event (&old, NOW);
-  engine ("d", "h", "small", 10, 16);
+  add_engine ("d", "h", "small", 10, 16);
   rt_tried_add (&tried, b);
   ck_assert_int_eq (rt_line_around (fleet, NOW, &service, &old, &tried, &line),
                     1);
@@ -484,10 +489,10 @@
 
 START_TEST (test_line_in_use_counts_as_held)
 {
-  rt_target_t *a = engine ("a", "h", "large", 0, 80);
+  rt_target_t *a = add_engine ("a", "h", "large", 0, 80);
   rt_line_t line;
 
-  ck_assert_int_eq (line_pick ("h", NULL, &line), 1);
+  ck_assert_int_eq (pipeline_pick ("h", NULL, &line), 1);
   rt_line_hold (&line, NULL, 0);
   ck_assert_uint_eq (a->lines, 1);
   ck_assert (a->held > 0);
@@ -496,18 +501,18 @@
 }
 END_TEST
 
-/* Placing. */
+/* Layer placement. */
 
-/* The halls of both users' sites. */
+/* The halls of both users' sites, which differ in size and accelerators. */
 START_TEST (test_layout_covers_every_hall_within_memory)
 {
   rt_order_t orders[64];
   size_t n;
   size_t i;
 
-  hall_of ("a", 3, 3, 5);
-  hall_of ("b", 1, 5, 8);
-  hall_of ("c", 1, 7, 5);
+  add_hall ("a", 3, 3, 5);
+  add_hall ("b", 1, 5, 8);
+  add_hall ("c", 1, 7, 5);
   n = rt_layout_next (fleet, &service, NULL, 0, orders, 64);
   ck_assert_uint_eq (n, 38);
   for (i = 0; i < n; i++)
@@ -521,18 +526,18 @@
                  <= card->memory_mb);
     }
   orders_apply (orders, n);
-  ck_assert_uint_eq (hall_holes ("a"), 0);
-  ck_assert_uint_eq (hall_holes ("b"), 0);
-  ck_assert_uint_eq (hall_holes ("c"), 0);
+  ck_assert_uint_eq (uncovered_layers ("a"), 0);
+  ck_assert_uint_eq (uncovered_layers ("b"), 0);
+  ck_assert_uint_eq (uncovered_layers ("c"), 0);
   ck_assert_uint_eq (rt_layout_next (fleet, &service, NULL, 0, orders, 64), 0);
   ck_assert_uint_eq (rt_layout_repair (fleet, &service, NULL, 0, orders, 64),
                      0);
 }
 END_TEST
 
-/* Tokens that fit beside the layers of an order. */
+/* The number of tokens that fit in memory beside the layers of an order. */
 static double
-order_room (const rt_order_t *order)
+order_capacity (const rt_order_t *order)
 {
   const rt_card_t *card
       = rt_model_card (&service.model, order->target->facts.card);
@@ -542,8 +547,8 @@
          / (n * service.model.token_kv_mb);
 }
 
-/* Memory that a hall does not need for its layers and a quarter of copies is
-   room for streams, up to what an engine's slots can use. */
+/* Memory that a hall does not need for its layers and a quarter more as
+   replicas is left for streams, up to what an engine's slots can use. */
 START_TEST (test_layout_memory_is_room_once_there_are_copies)
 {
   rt_order_t orders[64];
@@ -552,14 +557,14 @@
   size_t n;
   size_t i;
 
-  hall_of ("a", 2 + 6 * _i, 0, 0);
-  hall_of ("a", 0, 6 * (1 + _i), 6 * (1 + _i));
+  add_hall ("a", 2 + 6 * _i, 0, 0);
+  add_hall ("a", 0, 6 * (1 + _i), 6 * (1 + _i));
   n = rt_layout_next (fleet, &service, NULL, 0, orders, 64);
   for (i = 0; i < n; i++)
     {
       layers += orders[i].end - orders[i].first;
-      if (order_room (&orders[i]) < least)
-        least = order_room (&orders[i]);
+      if (order_capacity (&orders[i]) < least)
+        least = order_capacity (&orders[i]);
     }
   ck_assert_uint_ge (layers, LAYERS * 5 / 4);
   if (_i == 0)
@@ -569,8 +574,8 @@
 }
 END_TEST
 
-/* The engines where a layer costs a token least make the line; slow ones are
-   its copies, however large. */
+/* Pipelines use the engines with the lowest time per token and layer; slow
+   engines hold replicas, however large their memory. */
 START_TEST (test_layout_quick_engines_make_the_line)
 {
   rt_order_t orders[64];
@@ -579,10 +584,10 @@
   size_t i;
 
   cards[2].step_pace = 4;
-  hall_of ("a", 2, 4, 14);
+  add_hall ("a", 2, 4, 14);
   n = rt_layout_next (fleet, &service, NULL, 0, orders, 64);
   orders_apply (orders, n);
-  ck_assert_int_eq (line_pick ("a", NULL, &line), 1);
+  ck_assert_int_eq (pipeline_pick ("a", NULL, &line), 1);
   for (i = 0; i < line.n; i++)
     ck_assert (
         !el_str_eq (line.part[i].target->facts.card, EL_STR ("middle")));
@@ -592,11 +597,11 @@
 
 START_TEST (test_layout_counts_orders_under_way)
 {
-  rt_target_t *a = engine ("a", "h", "large", 0, 0);
+  rt_target_t *a = add_engine ("a", "h", "large", 0, 0);
   const rt_order_t pending = { a, 0, 16 };
   rt_order_t order;
 
-  engine ("b", "h", "large", 0, 0);
+  add_engine ("b", "h", "large", 0, 0);
   ck_assert_uint_eq (rt_layout_next (fleet, &service, &pending, 1, &order, 1),
                      1);
   ck_assert_ptr_ne (order.target, a);
@@ -604,7 +609,8 @@
 }
 END_TEST
 
-/* A hall that loses an engine for good moves spare copies into the hole. */
+/* When a hall loses an engine for good, spare replicas are moved to cover the
+   missing layers. */
 START_TEST (test_layout_moves_spare_copies_into_a_hole)
 {
   static const char *const lost[] = { "b-large-0", "b-middle-2", "b-small-0" };
@@ -612,17 +618,17 @@
   size_t n;
   int round;
 
-  hall_of ("b", 1, 5, 8);
+  add_hall ("b", 1, 5, 8);
   n = rt_layout_next (fleet, &service, NULL, 0, orders, 64);
   orders_apply (orders, n);
   rt_fleet_remove (fleet, el_str (lost[_i]));
-  for (round = 0; round < 4 && hall_holes ("b"); round++)
+  for (round = 0; round < 4 && uncovered_layers ("b"); round++)
     {
       n = rt_layout_repair (fleet, &service, NULL, 0, orders, 64);
       ck_assert_uint_gt (n, 0);
       orders_apply (orders, n);
     }
-  ck_assert_uint_eq (hall_holes ("b"), 0);
+  ck_assert_uint_eq (uncovered_layers ("b"), 0);
 }
 END_TEST
 
@@ -632,11 +638,11 @@
   rt_order_t pending;
   size_t n;
 
-  hall_of ("b", 1, 5, 8);
+  add_hall ("b", 1, 5, 8);
   n = rt_layout_next (fleet, &service, NULL, 0, orders, 64);
   orders_apply (orders, n);
   rt_fleet_remove (fleet, EL_STR ("b-middle-2"));
-  pending = (rt_order_t){ engine ("new", "b", "middle", 0, 0), 0, 9 };
+  pending = (rt_order_t){ add_engine ("new", "b", "middle", 0, 0), 0, 9 };
   ck_assert_uint_eq (
       rt_layout_repair (fleet, &service, &pending, 1, orders, 64), 0);
 }
