--- a/tests/t_access.c
+++ b/tests/t_access.c
@@ -3,8 +3,9 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Tests of what is known against an endpoint: a rest that it asked for, that
- * it leaves, failures; and of what an answer asks for.
+ * Tests of the conditions that keep requests off an endpoint: a backoff that
+ * it requested (a rest), that it is leaving, failures; and of parsing what an
+ * answer requests.
  */
 #include <stdio.h>
 #include <string.h>
@@ -18,7 +19,7 @@
 #define SERVICE EL_STR ("pool")
 #define HALL EL_STR ("h")
 #define SEEDS 200
-#define STEPS 400
+#define EVENTS 400
 
 static const rt_avoid_t avoid = {
   .after = 1, .first = 200 * EL_MSEC, .doublings = 4, .most = 3200 * EL_MSEC
@@ -50,9 +51,9 @@
   rt_fleet_free (fleet);
 }
 
-/* A start of an endpoint; an engine if it holds layers. */
+/* Add an instance of an endpoint; an engine if it holds layers. */
 static rt_target_t *
-endpoint (const char *id, uint64_t born, unsigned first, unsigned end)
+add_endpoint (const char *id, uint64_t born, unsigned first, unsigned end)
 {
   const rt_facts_t facts = { .id = el_str (id),
                              .born = born,
@@ -68,7 +69,7 @@
 }
 
 static int
-line_pick (el_time_t now, rt_line_t *out)
+pipeline_pick (el_time_t now, rt_line_t *out)
 {
   const rt_line_want_t want
       = { .service = &service, .hall = HALL, .tokens = 20, .tried = &none };
@@ -77,7 +78,7 @@
 }
 
 static el_time_t
-line_opens (el_time_t now)
+pipeline_opens (el_time_t now)
 {
   const rt_line_want_t want
       = { .service = &service, .hall = HALL, .tokens = 20, .tried = &none };
@@ -85,7 +86,7 @@
   return rt_line_opens (fleet, now, &want);
 }
 
-/* What else is learned of an endpoint that rests leaves its rest as it is. */
+/* No other event of an endpoint shortens its backoff. */
 START_TEST (test_access_nothing_cuts_a_rest_short)
 {
   rt_access_t access = { 0 };
@@ -116,31 +117,31 @@
 }
 END_TEST
 
-/* When it is over one request goes first: the others follow once it was
-   answered, or it takes too long. */
+/* After a backoff one trial request goes first; others follow when it has been
+   answered or has taken too long. */
 START_TEST (test_access_one_tries_first_after_a_rest)
 {
-  const el_time_t over = NOW + EL_SEC;
+  const el_time_t backoff_end = NOW + EL_SEC;
   rt_access_t access = { 0 };
 
   rt_access_rest (&access, NOW, EL_SEC, 0);
-  rt_access_answered (&access); /* one that was sent before */
-  ck_assert_int_eq (rt_access_open (&access, over), RT_OPEN);
-  rt_access_sent (&access, over);
-  ck_assert_int_eq (rt_access_open (&access, over), RT_ASIDE);
-  ck_assert_int_eq (rt_access_why (&access, over), RT_WHY_TRIAL);
-  ck_assert_int_eq (rt_access_open (&access, over + EL_SEC), RT_OPEN);
-  rt_access_sent (&access, over + EL_SEC);
-  ck_assert_int_eq (rt_access_open (&access, over + EL_SEC), RT_ASIDE);
+  rt_access_answered (&access); /* to a request sent before the backoff */
+  ck_assert_int_eq (rt_access_open (&access, backoff_end), RT_OPEN);
+  rt_access_sent (&access, backoff_end);
+  ck_assert_int_eq (rt_access_open (&access, backoff_end), RT_ASIDE);
+  ck_assert_int_eq (rt_access_why (&access, backoff_end), RT_WHY_TRIAL);
+  ck_assert_int_eq (rt_access_open (&access, backoff_end + EL_SEC), RT_OPEN);
+  rt_access_sent (&access, backoff_end + EL_SEC);
+  ck_assert_int_eq (rt_access_open (&access, backoff_end + EL_SEC), RT_ASIDE);
   rt_access_answered (&access);
-  ck_assert_int_eq (rt_access_open (&access, over + EL_SEC), RT_OPEN);
-  rt_access_sent (&access, over + EL_SEC);
-  ck_assert_int_eq (rt_access_open (&access, over + EL_SEC), RT_OPEN);
+  ck_assert_int_eq (rt_access_open (&access, backoff_end + EL_SEC), RT_OPEN);
+  rt_access_sent (&access, backoff_end + EL_SEC);
+  ck_assert_int_eq (rt_access_open (&access, backoff_end + EL_SEC), RT_OPEN);
 }
 END_TEST
 
-/* Hosts that were asked at one moment come back one after another, none of
-   them early. */
+/* Hosts that are asked to back off at the same moment return spread over time,
+   none of them early. */
 START_TEST (test_access_hosts_come_back_spread)
 {
   unsigned tenths[10] = { 0 };
@@ -161,22 +162,22 @@
 }
 END_TEST
 
-/* Anything in any order: nothing goes to an endpoint before the end of each
-   rest that it asked for, also when its entry goes and comes back; another
-   start has asked for nothing. */
+/* Random events in any order: no request goes to an endpoint before the end of
+   each backoff that it asked for, also when its entry is removed and added
+   again. A new instance starts without one. */
 static void
-access_play (uint64_t seed)
+run_random_schedule (uint64_t seed)
 {
-  rt_target_t *target = endpoint ("e", 1, 0, 0);
+  rt_target_t *target = add_endpoint ("e", 1, 0, 0);
   uint64_t born = 1;
   uint64_t draw = seed + 1;
   el_time_t now = NOW;
-  el_time_t until = 0;
+  el_time_t closed_until = 0;
   el_time_t asked;
   int leaves = 0;
   unsigned i;
 
-  for (i = 0; i < STEPS; i++)
+  for (i = 0; i < EVENTS; i++)
     {
       now += el_random (&draw) % (300 * EL_MSEC);
       switch (el_random (&draw) % 12)
@@ -184,8 +185,8 @@
         case 0:
           asked = el_random (&draw) % (3 * EL_SEC);
           rt_fleet_rests (fleet, target, now, asked);
-          if (now + asked > until)
-            until = now + asked;
+          if (now + asked > closed_until)
+            closed_until = now + asked;
           break;
         case 1:
           rt_target_served (target, EL_MSEC);
@@ -210,10 +211,10 @@
           break;
         case 8:
           rt_fleet_remove (fleet, EL_STR ("e"));
-          target = endpoint ("e", born, 0, 0);
+          target = add_endpoint ("e", born, 0, 0);
           break;
         case 9:
-          target = endpoint ("e", born, 0, 0);
+          target = add_endpoint ("e", born, 0, 0);
           break;
         case 10:
           if (el_random (&draw) % 8 == 0)
@@ -225,15 +226,15 @@
         default:
           if (el_random (&draw) % 4 == 0)
             {
-              target = endpoint ("e", ++born, 0, 0);
-              until = 0;
+              target = add_endpoint ("e", ++born, 0, 0);
+              closed_until = 0;
               leaves = 0;
               ck_assert_int_eq (rt_access_open (&target->access, now),
                                 RT_OPEN);
             }
           break;
         }
-      ck_assert (now >= until
+      ck_assert (now >= closed_until
                  || rt_access_open (&target->access, now) == RT_CLOSED);
       ck_assert (!leaves
                  || rt_access_open (&target->access, now) == RT_CLOSED);
@@ -244,15 +245,16 @@
 
 START_TEST (test_access_any_order_keeps_to_what_was_asked)
 {
-  access_play ((uint64_t)_i);
+  run_random_schedule ((uint64_t)_i);
 }
 END_TEST
 
-/* The others serve; when all rest, it is known until when. */
+/* Other endpoints serve the requests; when all have asked
+   hosts to back off, the end of the earliest backoff is known. */
 START_TEST (test_pick_leaves_out_those_that_rest)
 {
-  rt_target_t *a = endpoint ("a", 1, 0, 0);
-  rt_target_t *b = endpoint ("b", 1, 0, 0);
+  rt_target_t *a = add_endpoint ("a", 1, 0, 0);
+  rt_target_t *b = add_endpoint ("b", 1, 0, 0);
 
   rt_access_rest (&a->access, NOW, 3 * EL_SEC, 0);
   ck_assert_ptr_eq (rt_fleet_pick (fleet, NOW, SERVICE, HALL, &none), b);
@@ -267,66 +269,68 @@
 }
 END_TEST
 
-/* An engine that rests runs no part of a new line, neither the first nor a
-   later one; a line comes back with the first rests that leave no hole. */
+/* An engine in backoff runs no part of a new pipeline, neither the first nor a
+   later one. A pipeline is available again as soon as enough backoffs have
+   ended to cover all layers. */
 START_TEST (test_line_passes_no_engine_that_rests)
 {
-  rt_target_t *front = endpoint ("f0", 1, 0, 4);
-  rt_target_t *other = endpoint ("f1", 1, 0, 4);
-  rt_target_t *back = endpoint ("b0", 1, 4, 8);
+  rt_target_t *first_engine = add_endpoint ("f0", 1, 0, 4);
+  rt_target_t *first_replica = add_endpoint ("f1", 1, 0, 4);
+  rt_target_t *last_engine = add_endpoint ("b0", 1, 4, 8);
   rt_line_t line;
   unsigned i;
 
-  rt_access_rest (&front->access, NOW, 3 * EL_SEC, 0);
+  rt_access_rest (&first_engine->access, NOW, 3 * EL_SEC, 0);
   for (i = 0; i < 50; i++)
     {
-      ck_assert_int_eq (line_pick (NOW + i, &line), 1);
-      ck_assert_ptr_eq (line.part[0].target, other);
+      ck_assert_int_eq (pipeline_pick (NOW + i, &line), 1);
+      ck_assert_ptr_eq (line.part[0].target, first_replica);
     }
-  ck_assert_uint_eq (line_opens (NOW), 0);
-  rt_access_rest (&back->access, NOW, 2 * EL_SEC, 0);
-  ck_assert_int_eq (line_pick (NOW, &line), 0);
-  ck_assert_uint_eq (line_opens (NOW), NOW + 2 * EL_SEC);
-  rt_access_rest (&other->access, NOW, 9 * EL_SEC, 0);
-  ck_assert_uint_eq (line_opens (NOW), NOW + 3 * EL_SEC);
-  ck_assert_int_eq (line_pick (NOW + 3 * EL_SEC, &line), 1);
-  ck_assert_ptr_eq (line.part[0].target, front);
+  ck_assert_uint_eq (pipeline_opens (NOW), 0);
+  rt_access_rest (&last_engine->access, NOW, 2 * EL_SEC, 0);
+  ck_assert_int_eq (pipeline_pick (NOW, &line), 0);
+  ck_assert_uint_eq (pipeline_opens (NOW), NOW + 2 * EL_SEC);
+  rt_access_rest (&first_replica->access, NOW, 9 * EL_SEC, 0);
+  ck_assert_uint_eq (pipeline_opens (NOW), NOW + 3 * EL_SEC);
+  ck_assert_int_eq (pipeline_pick (NOW + 3 * EL_SEC, &line), 1);
+  ck_assert_ptr_eq (line.part[0].target, first_engine);
   rt_fleet_remove (fleet, EL_STR ("b0"));
-  ck_assert_uint_eq (line_opens (NOW), 0);
+  ck_assert_uint_eq (pipeline_opens (NOW), 0);
 }
 END_TEST
 
-/* The layout is the same beside an engine that rests: it is neither lost nor
-   empty. One that leaves is another matter. */
+/* The layout does not change for an engine in backoff, which is neither lost
+   nor empty, but for one that leaves. */
 START_TEST (test_layout_an_engine_that_rests_is_not_lost)
 {
-  rt_target_t *front = endpoint ("f0", 1, 0, 4);
+  rt_target_t *first_engine = add_endpoint ("f0", 1, 0, 4);
   rt_order_t orders[4];
 
-  endpoint ("b0", 1, 4, 8);
-  endpoint ("b1", 1, 4, 8);
-  rt_access_rest (&front->access, NOW, 3 * EL_SEC, 0);
+  add_endpoint ("b0", 1, 4, 8);
+  add_endpoint ("b1", 1, 4, 8);
+  rt_access_rest (&first_engine->access, NOW, 3 * EL_SEC, 0);
   ck_assert_uint_eq (rt_layout_repair (fleet, &service, NULL, 0, orders, 4),
                      0);
-  rt_target_leave (front);
+  rt_target_leave (first_engine);
   ck_assert_uint_eq (rt_layout_repair (fleet, &service, NULL, 0, orders, 4),
                      1);
 }
 END_TEST
 
-/* That a start leaves is known before it is listed, while it is, and when its
-   entry lapses and returns; the next start under its id does not leave. */
+/* An instance's leaving state is kept before it is listed, while it is, and
+   when its entry lapses and returns; the next instance with its id is not
+   leaving. */
 START_TEST (test_fleet_leaving_holds_for_one_start)
 {
   rt_target_t *target;
 
   ck_assert_ptr_null (rt_fleet_leaves (fleet, EL_STR ("a"), 1));
-  target = endpoint ("a", 1, 0, 0);
+  target = add_endpoint ("a", 1, 0, 0);
   ck_assert_int_eq (rt_target_leaves (target), 1);
   rt_fleet_remove (fleet, EL_STR ("a"));
-  target = endpoint ("a", 1, 0, 0);
+  target = add_endpoint ("a", 1, 0, 0);
   ck_assert_int_eq (rt_target_leaves (target), 1);
-  target = endpoint ("a", 2, 0, 0);
+  target = add_endpoint ("a", 2, 0, 0);
   ck_assert_int_eq (rt_target_leaves (target), 0);
   ck_assert_ptr_null (rt_fleet_leaves (fleet, EL_STR ("a"), 1));
   ck_assert_int_eq (rt_target_leaves (target), 0);
@@ -336,7 +340,7 @@
 }
 END_TEST
 
-/* What an answer asks for. */
+/* What an answer requests. */
 
 static rt_asks_t
 asks_read (int status, const net_header_t *headers, size_t n)
--- a/tests/t_check.c
+++ b/tests/t_check.c
@@ -3,8 +3,7 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Tests of how engines are asked for a sign of life, against servers that
- * answer or don't.
+ * Tests of health checks of engines, against servers that answer or don't.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -16,51 +15,52 @@
 #include "test.h"
 
 #define ENGINES 2
-#define TURN_US 500
+#define LOOP_INTERVAL_US 500
 #define REPORT                                                                \
   "{\"SeqNo\":0,\"pace\":2.5,\"KvUsed\":50,\"KvTotal\":200,\"stalled\":[],"   \
   "\"ActiveRequests\":40,\"QueueDepth\":20}"
 
-typedef struct asked
+/* A server for health checks, and the engine that it stands for. */
+typedef struct check_engine
 {
   net_server_t *server;
   rt_target_t *engine;
   unsigned requests;
-  int mute;
-} asked_t;
+  int mute; /* never answers */
+} check_engine_t;
 
 static uv_loop_t loop;
 static net_clock_t test_clock;
 static gt_relays_t relays;
-static asked_t engines[ENGINES];
+static check_engine_t engines[ENGINES];
 
 static void
 engine_handle (void *arg, h2o_req_t *req)
 {
-  asked_t *asked = arg;
+  check_engine_t *e = arg;
 
-  asked->requests++;
-  if (asked->mute)
+  e->requests++;
+  if (e->mute)
     gt_deferred_new (req);
   else
     net_req_reply (req, 200, EL_STR ("application/json"), EL_STR (REPORT));
 }
 
 static int
-polls_never (void *arg)
+never_poller (void *arg)
 {
   (void)arg;
   return 0;
 }
 
 static void
-engine_open (asked_t *asked, const char *id)
+engine_open (check_engine_t *e, const char *id)
 {
   net_server_options_t server = { .loop = &loop,
                                   .address = EL_STR ("127.0.0.1:0"),
                                   .max_body = 1024,
                                   .handle = engine_handle,
-                                  .arg = asked };
+                                  .arg = e };
   rt_facts_t facts = { .id = el_str (id),
                        .service = EL_STR ("pool"),
                        .hall = EL_STR ("h"),
@@ -70,12 +70,12 @@
   char address[32];
   el_err_t err;
 
-  asked->server = net_server_new (&server, &err);
-  ck_assert_ptr_nonnull (asked->server);
+  e->server = net_server_new (&server, &err);
+  ck_assert_ptr_nonnull (e->server);
   snprintf (address, sizeof address, "127.0.0.1:%u",
-            net_server_port (asked->server));
+            net_server_port (e->server));
   facts.address = el_str (address);
-  asked->engine = rt_fleet_set (relays.options.fleet, &facts);
+  e->engine = rt_fleet_set (relays.options.fleet, &facts);
 }
 
 static void
@@ -88,106 +88,105 @@
   relays.options.fleet = rt_fleet_new (7);
   relays.options.dialect = &pf_relay;
   relays.options.hall = EL_STR ("h");
-  relays.options.is_poller = polls_never;
+  relays.options.is_poller = never_poller;
   relay_blame_open (&relays);
   engine_open (&engines[0], "a");
   engine_open (&engines[1], "b");
 }
 
 static void
-turns (el_time_t wait)
+run_loop (el_time_t wait)
 {
   el_time_t until = net_clock_now (&test_clock) + wait;
 
   while (net_clock_now (&test_clock) < until)
     {
       uv_run (&loop, UV_RUN_NOWAIT);
-      usleep (TURN_US);
+      usleep (LOOP_INTERVAL_US);
     }
 }
 
-/* Until no answer of that engine is awaited. */
+/* Wait until that engine has no check outstanding. */
 static void
-judged (const asked_t *asked)
+wait_checked (const check_engine_t *e)
 {
-  while (asked->engine->asked)
-    turns (EL_MSEC);
+  while (e->engine->asked)
+    run_loop (EL_MSEC);
 }
 
-/* Let both be asked once, so that connections are up. */
+/* Check both engines once, so that connections are established. */
 static void
-engines_met (void)
+check_all_once (void)
 {
   size_t i;
 
   for (i = 0; i < ENGINES; i++)
     relay_check (&relays, engines[i].engine);
   while (engines[0].engine->asked || engines[1].engine->asked)
-    turns (EL_MSEC);
-  turns (120 * EL_MSEC); /* they may be asked again */
+    run_loop (EL_MSEC);
+  run_loop (120 * EL_MSEC); /* until a new check is allowed */
 }
 
 START_TEST (test_check_report_is_taken_in)
 {
-  engines_met ();
+  check_all_once ();
   ck_assert_int_eq (engines[0].engine->access.silent, 0);
   ck_assert (engines[0].engine->pace == 2.5);
   ck_assert (engines[0].engine->fill == 0.25);
-  ck_assert (engines[0].engine->taken == 1.25); /* with what waits there */
+  ck_assert (engines[0].engine->taken == 1.25); /* including the queue */
 }
 END_TEST
 
-/* Silent beside one that answers: the engine is at fault. */
+/* Another engine answers, so the silent engine is at fault. */
 START_TEST (test_check_silent_beside_one_that_answers)
 {
-  engines_met ();
+  check_all_once ();
   engines[0].mute = 1;
   relay_check (&relays, engines[0].engine);
   relay_check (&relays, engines[1].engine);
-  judged (&engines[0]);
+  wait_checked (&engines[0]);
   ck_assert_int_eq (engines[0].engine->access.silent, 1);
   ck_assert_int_eq (engines[1].engine->access.silent, 0);
   ck_assert_uint_eq (relays.counts.silent, 1);
   engines[0].mute = 0;
   while (engines[0].engine->access.silent)
-    turns (EL_MSEC);
+    run_loop (EL_MSEC);
 }
 END_TEST
 
-/* Nobody answers: it may be this host, which waits longer before it judges. */
+/* No engine answers: the fault may be this host's own, so it waits longer
+   before it takes the engine as silent. */
 START_TEST (test_check_alone_is_judged_later)
 {
-  el_time_t asked;
+  el_time_t sent_at;
 
-  engines_met ();
+  check_all_once ();
   engines[0].mute = 1;
   relay_check (&relays, engines[0].engine);
-  asked = engines[0].engine->asked;
-  judged (&engines[0]);
+  sent_at = engines[0].engine->asked;
+  wait_checked (&engines[0]);
   ck_assert_int_eq (engines[0].engine->access.silent, 1);
-  ck_assert_uint_ge (net_clock_now (&test_clock), asked + 100 * EL_MSEC);
+  ck_assert_uint_ge (net_clock_now (&test_clock), sent_at + 100 * EL_MSEC);
 }
 END_TEST
 
-/* A stream's event speaks for the engines that it passes. */
+/* An event of a stream shows that the engines of its pipeline are alive. */
 START_TEST (test_check_engine_whose_streams_go_on_is_alive)
 {
-  engines_met ();
+  check_all_once ();
   engines[0].mute = 1;
   relay_check (&relays, engines[0].engine);
   relay_check (&relays, engines[1].engine);
-  turns (5 * EL_MSEC);
+  run_loop (5 * EL_MSEC);
   engines[0].engine->alive = net_clock_now (&test_clock);
-  judged (&engines[0]);
+  wait_checked (&engines[0]);
   ck_assert_int_eq (engines[0].engine->access.silent, 0);
   ck_assert_uint_eq (relays.counts.silent, 0);
 }
 END_TEST
 
-/* A question that is due while another is out is not asked, and an engine that
-   is listed no more is forgotten without harm. */
-/* An engine that gives layers up loads others only once its streams are gone:
-   they go to the copy. */
+/* An engine that gives up layers loads others only once its streams have left:
+   they are rerouted to the replica. */
 START_TEST (test_stream_leaves_an_engine_that_gives_layers_up)
 {
   static rt_card_t card
@@ -205,12 +204,12 @@
                        .service = &service,
                        .id = EL_STR ("r"),
                        .exchange = (net_exchange_t *)&exchange };
-  asked_t copy = { .requests = 0 };
+  check_engine_t replica = { .requests = 0 };
 
-  engine_open (&copy, "c");
+  engine_open (&replica, "c");
   engines[0].engine->facts.end = 4;
   engines[1].engine->facts.first = 4;
-  copy.engine->facts.first = 4;
+  replica.engine->facts.first = 4;
   relay.target = engines[0].engine;
   relay.line.part[0] = (struct rt_part){ engines[0].engine, 0, 4, 0 };
   relay.line.part[1] = (struct rt_part){ engines[1].engine, 4, 8, 0 };
@@ -223,9 +222,9 @@
   engines[1].engine->facts.end = 0;
   gt_relays_engine_changed (&relays, engines[1].engine);
   while (relay.query)
-    turns (EL_MSEC);
+    run_loop (EL_MSEC);
   ck_assert_uint_eq (relay.line.n, 2);
-  ck_assert_ptr_eq (relay.line.part[1].target, copy.engine);
+  ck_assert_ptr_eq (relay.line.part[1].target, replica.engine);
   ck_assert_uint_eq (engines[1].engine->lines, 0);
   net_clock_cancel (&test_clock, &relay.watch_timer);
   rt_line_release (&relay.line);
@@ -233,20 +232,23 @@
 }
 END_TEST
 
+/* No check is sent while another is outstanding, and an engine that is no
+   longer listed is not checked again. */
 START_TEST (test_check_is_asked_once_at_a_time)
 {
   relay_check (&relays, engines[0].engine);
-  judged (&engines[0]);
-  relay_check (&relays, engines[0].engine); /* in 100 ms: asked just now */
-  turns (60 * EL_MSEC);
+  wait_checked (&engines[0]);
+  relay_check (&relays, engines[0].engine); /* delayed by 100 ms: too soon
+                                               after the last */
+  run_loop (60 * EL_MSEC);
   engines[0].mute = 1;
   engines[0].requests = 0;
   relay_check_unless_recent (&relays, engines[0].engine,
                              net_clock_now (&test_clock));
-  turns (70 * EL_MSEC);
+  run_loop (70 * EL_MSEC);
   ck_assert_uint_eq (engines[0].requests, 1);
   rt_fleet_remove (relays.options.fleet, EL_STR ("a"));
-  turns (600 * EL_MSEC);
+  run_loop (600 * EL_MSEC);
   ck_assert_uint_eq (engines[0].requests, 1);
 }
 END_TEST
--- a/tests/t_held.c
+++ b/tests/t_held.c
@@ -3,9 +3,9 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Tests of requests that were to go to an endpoint and are kept back, with a
- * host's part for callers, its endpoints and a caller on one loop: what
- * happens between a choice and the sending is up to the test.
+ * Tests of requests whose endpoint stops taking new work after it was chosen
+ * and before the request is sent. The relay, its endpoints and a caller run on
+ * one loop, so that the test controls what happens in between.
  */
 #include <stdio.h>
 #include <string.h>
@@ -17,9 +17,9 @@
 #include "test.h"
 
 #define ENDPOINTS 2
-#define TURN_US 200
-#define TURNS_MAX 20000
-#define LIMIT (20 * EL_SEC)
+#define LOOP_INTERVAL_US 200
+#define MAX_ITERATIONS 20000
+#define REQUEST_TIMEOUT (20 * EL_SEC)
 
 static const char rules_text[]
     = "{\"Version\":1,\"Routes\":[{\"Name\":\"look\",\"Host\":\"rel.example\","
@@ -27,30 +27,30 @@
       "\"MaxAttempts\":2,\"Service\":\"app\"}],"
       "\"Services\":[{\"Name\":\"app\"}],\"Limits\":{}}";
 
-typedef struct held_endpoint
+typedef struct connect_endpoint
 {
   net_server_t *server;
   rt_target_t *target;
   unsigned requests;
-} held_endpoint_t;
+} connect_endpoint_t;
 
-typedef struct held_answer
+typedef struct connect_answer
 {
   int done;
   int status;
   char body[64];
-} held_answer_t;
+} connect_answer_t;
 
 static uv_loop_t loop;
-static net_clock_t held_clock;
+static net_clock_t test_clock;
 static net_client_t *callers;
 static gt_relays_t *relays;
-static held_endpoint_t endpoints[ENDPOINTS];
+static connect_endpoint_t endpoints[ENDPOINTS];
 
 static void
 endpoint_handle (void *arg, h2o_req_t *req)
 {
-  held_endpoint_t *endpoint = arg;
+  connect_endpoint_t *endpoint = arg;
 
   endpoint->requests++;
   net_req_add_header (req, EL_STR ("x-elmarch-request-id"),
@@ -60,7 +60,7 @@
 }
 
 static void
-endpoint_open (held_endpoint_t *endpoint, const char *id)
+endpoint_open (connect_endpoint_t *endpoint, const char *id)
 {
   const net_server_options_t server = { .loop = &loop,
                                         .address = EL_STR ("127.0.0.1:0"),
@@ -92,16 +92,16 @@
 }
 
 static int
-polls_never (void *arg)
+never_poller (void *arg)
 {
   (void)arg;
   return 0;
 }
 
 static void
-held_setup (void)
+connect_setup (void)
 {
-  gt_relay_options_t options = { .clock = &held_clock,
+  gt_relay_options_t options = { .clock = &test_clock,
                                  .dialect = &pf_relay,
                                  .listen = EL_STR ("127.0.0.1:0"),
                                  .hall = EL_STR ("h"),
@@ -111,17 +111,17 @@
                                  .repeat_window = 10 * EL_SEC,
                                  .hosts = one_host,
                                  .hall_hosts = one_host,
-                                 .is_poller = polls_never };
+                                 .is_poller = never_poller };
   el_err_t err;
 
   uv_loop_init (&loop);
-  net_clock_open (&held_clock, &loop);
-  callers = net_client_new (&held_clock);
-  options.client = net_client_new (&held_clock);
+  net_clock_open (&test_clock, &loop);
+  callers = net_client_new (&test_clock);
+  options.client = net_client_new (&test_clock);
   options.fleet = rt_fleet_new (7);
   relays = gt_relays_new (&options, &err);
   ck_assert_ptr_nonnull (relays);
-  gt_relays_set_rules_as_of (relays, net_clock_now (&held_clock));
+  gt_relays_set_rules_as_of (relays, net_clock_now (&test_clock));
   gt_relays_peers_heard (relays);
   gt_relays_set_rules (relays, pf_rules_read (el_str (rules_text), &err));
 }
@@ -129,7 +129,7 @@
 static void
 answer_done (void *arg, const net_result_t *result)
 {
-  held_answer_t *answer = arg;
+  connect_answer_t *answer = arg;
 
   answer->done = 1;
   answer->status = result->status;
@@ -137,10 +137,10 @@
             result->body.ptr);
 }
 
-/* Send a request, and stop once an endpoint is chosen for it and a connection
-   to that is being made. */
+/* Send a request, and stop once an endpoint is chosen for it and the
+   connection to it is being established. */
 static rt_target_t *
-ask_until_chosen (held_answer_t *answer)
+send_until_chosen (connect_answer_t *answer)
 {
   static const net_header_t headers[]
       = { { EL_STR ("x-elmarch-request-id"), EL_STR ("r1") } };
@@ -151,7 +151,7 @@
                             .path = EL_STR ("/look/x"),
                             .headers = headers,
                             .nheaders = 1,
-                            .timeout = LIMIT,
+                            .timeout = REQUEST_TIMEOUT,
                             .done = answer_done,
                             .arg = answer };
   net_send_t whole = send;
@@ -162,10 +162,10 @@
   whole.address = el_str (address);
   memset (answer, 0, sizeof *answer);
   net_client_send (callers, &whole);
-  for (i = 0; i < TURNS_MAX && !relays->counts.attempts; i++)
+  for (i = 0; i < MAX_ITERATIONS && !relays->counts.attempts; i++)
     {
       uv_run (&loop, UV_RUN_NOWAIT);
-      usleep (TURN_US);
+      usleep (LOOP_INTERVAL_US);
     }
   ck_assert_msg (relays->counts.attempts == 1, "%d %s", answer->status,
                  answer->body);
@@ -173,42 +173,44 @@
 }
 
 static void
-answer_wait (const held_answer_t *answer)
+answer_wait (const connect_answer_t *answer)
 {
   int i;
 
-  for (i = 0; i < TURNS_MAX && !answer->done; i++)
+  for (i = 0; i < MAX_ITERATIONS && !answer->done; i++)
     {
       uv_run (&loop, UV_RUN_NOWAIT);
-      usleep (TURN_US);
+      usleep (LOOP_INTERVAL_US);
     }
   ck_assert_int_eq (answer->done, 1);
 }
 
-/* What may close an endpoint while a connection to it is being made. */
+/* Close an endpoint to new requests: 0: it requests a backoff, 1: it says that
+   it leaves, 2: it is no longer listed. */
 static void
-closed_by (rt_target_t *target, int how)
+close_endpoint (rt_target_t *target, int reason)
 {
   static const rt_asks_t asks[]
       = { { .rest = 60 * EL_SEC }, { .leaves = 1 }, { 0 } };
 
-  gt_relays_asked (relays, target, &asks[how], EL_STR ("test"));
-  if (how == 2)
+  gt_relays_asked (relays, target, &asks[reason], EL_STR ("test"));
+  if (reason == 2)
     rt_fleet_remove (relays->options.fleet, target->facts.id);
 }
 
-/* It goes to the other one, and nothing is spent on it. */
+/* The request goes to the other endpoint, and takes nothing from the retry
+   budget. */
 START_TEST (test_held_while_a_connection_is_made)
 {
-  held_answer_t answer;
+  connect_answer_t answer;
   rt_target_t *target;
   size_t closed;
 
   endpoint_open (&endpoints[0], "a");
   endpoint_open (&endpoints[1], "b");
-  target = ask_until_chosen (&answer);
+  target = send_until_chosen (&answer);
   closed = target == endpoints[0].target ? 0 : 1;
-  closed_by (target, _i);
+  close_endpoint (target, _i);
   answer_wait (&answer);
   ck_assert_int_eq (answer.status, 200);
   ck_assert_uint_eq (endpoints[closed].requests, 0);
@@ -219,13 +221,13 @@
 }
 END_TEST
 
-/* There is no other one: it is refused as not run, at once. */
+/* There is no other endpoint: the request is refused at once as not run. */
 START_TEST (test_held_and_nowhere_else_to_go)
 {
-  held_answer_t answer;
+  connect_answer_t answer;
 
   endpoint_open (&endpoints[0], "a");
-  closed_by (ask_until_chosen (&answer), _i);
+  close_endpoint (send_until_chosen (&answer), _i);
   answer_wait (&answer);
   ck_assert_int_eq (answer.status, 503);
   ck_assert_str_eq (answer.body,
@@ -238,11 +240,11 @@
 Suite *
 held_suite (void)
 {
-  Suite *suite = suite_create ("held");
-  TCase *tcase = tcase_create ("held");
+  Suite *suite = suite_create ("connect");
+  TCase *tcase = tcase_create ("connect");
 
   tcase_set_timeout (tcase, 60);
-  tcase_add_checked_fixture (tcase, held_setup, NULL);
+  tcase_add_checked_fixture (tcase, connect_setup, NULL);
   ADD_LOOP (tcase, test_held_while_a_connection_is_made, 3);
   ADD_LOOP (tcase, test_held_and_nowhere_else_to_go, 3);
   suite_add_tcase (suite, tcase);
