--- a/tests/t_seeded.c
+++ b/tests/t_seeded.c
@@ -3,10 +3,10 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Seeded tests: what comes from outside is changed at random, and the
- * decisions on placing and on attempts are played through schedules of events
- * with what must always hold. ELMARCH_SEEDS sets their number; the seed of a
- * failure is printed and plays it again by ELMARCH_SEED.
+ * Randomized tests: parsers get mutated input, and layer placement and retry
+ * decisions are checked for their invariants under random schedules of events.
+ * ELMARCH_SEEDS sets the number of seeds; the seed of a failure is printed,
+ * and ELMARCH_SEED reproduces it.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -22,7 +22,7 @@
 #define ENGINES_MAX 24
 #define ORDERS_MAX 64
 
-/* What comes from outside. */
+/* Parsers of external input. */
 
 static const char rules_text[]
     = "{\"Version\":7,\"Routes\":[{\"Name\":\"r\",\"Host\":\"h\","
@@ -45,7 +45,7 @@
     = "id: 7\ndata: a\n\nid:8\r\ndata: b\r\n\r\ndata: c\n\n";
 
 static void
-event_none (void *arg, el_str_t event, int has_id, uint64_t id)
+count_bytes (void *arg, el_str_t event, int has_id, uint64_t id)
 {
   size_t *bytes = arg;
 
@@ -55,7 +55,7 @@
 }
 
 static void
-spoil_play (uint64_t seed)
+fuzz_parsers (uint64_t seed)
 {
   el_buf_t text = seeds_spoil (rules_text);
   relay_events_t events = { { NULL, 0, 0 } };
@@ -83,34 +83,34 @@
   el_buf_free (&text);
   text = seeds_spoil (events_text);
   cut = seeds_draw ((unsigned)text.len + 1);
-  relay_events_add (&events, (el_str_t){ text.ptr, cut }, event_none, &bytes);
+  relay_events_add (&events, (el_str_t){ text.ptr, cut }, count_bytes, &bytes);
   relay_events_add (&events, el_str_after (el_buf_str (&text), cut),
-                    event_none, &bytes);
+                    count_bytes, &bytes);
   ck_assert_uint_le (bytes + events.part.len, text.len);
   relay_events_reset (&events);
   el_buf_free (&text);
 }
 
-START_TEST (test_spoiled_input_harms_nothing) { seeds_run (spoil_play); }
+START_TEST (test_spoiled_input_harms_nothing) { seeds_run (fuzz_parsers); }
 END_TEST
 
-/* Placing of layers, through losses, drains, silent engines, and orders that
-   are lost or carried out late. */
+/* Layer placement under lost, leaving and silent engines, and orders that are
+   lost or executed late. */
 
-typedef struct late_order
+typedef struct sim_order
 {
   char id[16];
   rt_order_t order;
-  unsigned taken; /* the engine's count that it was given under */
-  int due;        /* steps until it is carried out; -1: not under way */
-} late_order_t;
+  unsigned orders_done; /* the engine's count when the order was given */
+  int due;              /* steps until it is executed; -1: slot is free */
+} sim_order_t;
 
-typedef struct place_engine
+typedef struct sim_engine
 {
   char id[16];
-  unsigned taken; /* orders */
+  unsigned orders_done; /* orders executed */
   int live;
-} place_engine_t;
+} sim_engine_t;
 
 static rt_card_t cards[] = {
   { { "large", 5 }, 36000, 3.1, 3.2 },
@@ -122,116 +122,118 @@
 {
   rt_fleet_t *fleet;
   rt_service_t service;
-  place_engine_t engines[ENGINES_MAX];
+  sim_engine_t engines[ENGINES_MAX];
   size_t n;
-  late_order_t orders[ORDERS_MAX];
-} place;
+  sim_order_t orders[ORDERS_MAX];
+} sim;
 
 static rt_target_t *
-place_target (const place_engine_t *engine)
+engine_target (const sim_engine_t *engine)
 {
-  return rt_fleet_find (place.fleet, el_str (engine->id));
+  return rt_fleet_find (sim.fleet, el_str (engine->id));
 }
 
 static void
-place_add (void)
+engine_add (void)
 {
-  place_engine_t *engine;
+  sim_engine_t *engine;
   rt_facts_t facts = { .service = EL_STR ("pool"),
                        .address = EL_STR ("a"),
                        .hall = EL_STR ("h"),
                        .slots = 1 };
 
-  if (place.n == ENGINES_MAX)
+  if (sim.n == ENGINES_MAX)
     return;
-  engine = &place.engines[place.n];
-  *engine = (place_engine_t){ .live = 1 };
-  snprintf (engine->id, sizeof engine->id, "e%zu", place.n++);
+  engine = &sim.engines[sim.n];
+  *engine = (sim_engine_t){ .live = 1 };
+  snprintf (engine->id, sizeof engine->id, "e%zu", sim.n++);
   facts.id = el_str (engine->id);
   facts.card = cards[seeds_draw (3)].name;
-  rt_fleet_set (place.fleet, &facts);
+  rt_fleet_set (sim.fleet, &facts);
 }
 
-static place_engine_t *
-place_find (el_str_t id)
+static sim_engine_t *
+engine_find (el_str_t id)
 {
   size_t i;
 
-  for (i = 0; i < place.n; i++)
-    if (el_str_eq (el_str (place.engines[i].id), id))
-      return &place.engines[i];
+  for (i = 0; i < sim.n; i++)
+    if (el_str_eq (el_str (sim.engines[i].id), id))
+      return &sim.engines[i];
   return NULL;
 }
 
-/* The engine takes an order only under the count it was given for. */
+/* Execute an order, unless the engine has executed another since the order was
+   given. */
 static void
-place_take (late_order_t *late)
+order_execute (sim_order_t *pending)
 {
-  place_engine_t *engine = place_find (el_str (late->id));
-  rt_target_t *target = engine->live ? place_target (engine) : NULL;
+  sim_engine_t *engine = engine_find (el_str (pending->id));
+  rt_target_t *target = engine->live ? engine_target (engine) : NULL;
 
-  late->due = -1;
-  if (!target || engine->taken != late->taken)
+  pending->due = -1;
+  if (!target || engine->orders_done != pending->orders_done)
     return;
-  engine->taken++;
-  target->facts.first = late->order.first;
-  target->facts.end = late->order.end;
+  engine->orders_done++;
+  target->facts.first = pending->order.first;
+  target->facts.end = pending->order.end;
 }
 
 static void
-place_send (const rt_order_t *order)
+order_send (const rt_order_t *order)
 {
-  place_engine_t *engine = place_find (order->target->facts.id);
+  sim_engine_t *engine = engine_find (order->target->facts.id);
   const rt_card_t *card
-      = rt_model_card (&place.service.model, order->target->facts.card);
+      = rt_model_card (&sim.service.model, order->target->facts.card);
   size_t i;
 
   ck_assert_uint_lt (order->first, order->end);
   ck_assert_uint_le (order->end, LAYERS);
   ck_assert ((order->end - order->first) * 1750.0 <= card->memory_mb);
-  for (i = 0; i < ORDERS_MAX && place.orders[i].due >= 0; i++)
+  for (i = 0; i < ORDERS_MAX && sim.orders[i].due >= 0; i++)
     ;
   if (i == ORDERS_MAX || seeds_draw (8) == 0)
     return; /* lost */
-  place.orders[i]
-      = (late_order_t){ .order = *order,
-                        .taken = engine->taken,
-                        .due = (int)seeds_draw (seeds_draw (4) ? 2 : 12) };
-  snprintf (place.orders[i].id, sizeof place.orders[i].id, "%s", engine->id);
+  sim.orders[i]
+      = (sim_order_t){ .order = *order,
+                       .orders_done = engine->orders_done,
+                       .due = (int)seeds_draw (seeds_draw (4) ? 2 : 12) };
+  snprintf (sim.orders[i].id, sizeof sim.orders[i].id, "%s", engine->id);
 }
 
-/* One look of the planner: empty engines first, then holes. */
+/* Run the planner once: empty engines first, then missing layers. Returns the
+   number of orders. */
 static size_t
-place_look (void)
+run_planner (void)
 {
   rt_order_t orders[ORDERS_MAX];
-  size_t n = rt_layout_next (place.fleet, &place.service, NULL, 0, orders,
-                             ORDERS_MAX);
+  size_t n
+      = rt_layout_next (sim.fleet, &sim.service, NULL, 0, orders, ORDERS_MAX);
   size_t i;
 
   if (!n)
-    n = rt_layout_repair (place.fleet, &place.service, NULL, 0, orders,
+    n = rt_layout_repair (sim.fleet, &sim.service, NULL, 0, orders,
                           ORDERS_MAX);
   for (i = 0; i < n; i++)
-    place_send (&orders[i]);
+    order_send (&orders[i]);
   return n;
 }
 
 static void
-place_event (void)
+random_event (void)
 {
-  place_engine_t *engine = &place.engines[seeds_draw ((unsigned)place.n)];
-  rt_target_t *target = engine->live ? place_target (engine) : NULL;
+  sim_engine_t *engine = &sim.engines[seeds_draw ((unsigned)sim.n)];
+  rt_target_t *target = engine->live ? engine_target (engine) : NULL;
   size_t i;
 
   switch (seeds_draw (6))
     {
     case 0:
-      place_add ();
+      engine_add ();
       break;
     case 1:
       if (target)
-        rt_fleet_remove (place.fleet, el_str (engine->id));
+        rt_fleet_remove (sim.fleet, el_str (engine->id));
       engine->live = 0;
       break;
     case 2:
@@ -243,89 +245,94 @@
         target->access.silent = !target->access.silent;
       break;
     default:
-      place_look ();
+      run_planner ();
     }
   for (i = 0; i < ORDERS_MAX; i++)
-    if (place.orders[i].due >= 0 && place.orders[i].due-- == 0)
-      place_take (&place.orders[i]);
+    if (sim.orders[i].due >= 0 && sim.orders[i].due-- == 0)
+      order_execute (&sim.orders[i]);
 }
 
 static unsigned
-place_holes (unsigned *can_hold)
+uncovered_layers (unsigned *held_layers)
 {
   unsigned cover[LAYERS] = { 0 };
   const rt_target_t *target;
-  unsigned holes = 0;
+  unsigned uncovered = 0;
   unsigned k;
 
-  *can_hold = 0;
-  for (target = rt_fleet_first (place.fleet); target; target = target->hh.next)
+  *held_layers = 0;
+  for (target = rt_fleet_first (sim.fleet); target; target = target->hh.next)
     {
       if (rt_target_leaves (target))
         continue;
-      *can_hold += target->facts.end - target->facts.first;
+      *held_layers += target->facts.end - target->facts.first;
       for (k = target->facts.first; k < target->facts.end; k++)
         cover[k]++;
     }
   for (k = 0; k < LAYERS; k++)
-    holes += !cover[k];
-  return holes;
+    uncovered += !cover[k];
+  return uncovered;
 }
 
-/* After any schedule the planner comes to rest, and then a hall with a spare
-   copy has no hole. */
+/* After any schedule the planner converges, that is, gives no orders in 20
+   runs in a row; then no layer is missing if the engines hold at least twice
+   as many as the model has. */
 static void
-place_play (uint64_t seed)
+fuzz_planner (uint64_t seed)
 {
   rt_target_t *target;
   unsigned held;
   int step;
-  int looks = 0;
+  int idle_runs = 0;
   size_t i;
 
-  memset (&place, 0, sizeof place);
-  place.fleet = rt_fleet_new (seed);
-  place.service = (rt_service_t){ .name = EL_STR ("pool"),
-                                  .model = { .layers = LAYERS,
-                                             .layer_mb = 1750,
-                                             .step_ms = 0.85,
-                                             .read_ms = 1.0 / 252,
-                                             .read_steps = 2.0 / 512,
-                                             .token_kv_mb = 0.459,
-                                             .usual_tokens = 926,
-                                             .cards = cards,
-                                             .ncards = 3 } };
+  memset (&sim, 0, sizeof sim);
+  sim.fleet = rt_fleet_new (seed);
+  sim.service = (rt_service_t){ .name = EL_STR ("pool"),
+                                .model = { .layers = LAYERS,
+                                           .layer_mb = 1750,
+                                           .step_ms = 0.85,
+                                           .read_ms = 1.0 / 252,
+                                           .read_steps = 2.0 / 512,
+                                           .token_kv_mb = 0.459,
+                                           .usual_tokens = 926,
+                                           .cards = cards,
+                                           .ncards = 3 } };
   for (i = 0; i < ORDERS_MAX; i++)
-    place.orders[i].due = -1;
+    sim.orders[i].due = -1;
   for (i = 0; i < 11; i++)
-    place_add ();
+    engine_add ();
   for (step = 0; step < STEPS; step++)
-    place_event ();
-  for (target = rt_fleet_first (place.fleet); target; target = target->hh.next)
+    random_event ();
+  for (target = rt_fleet_first (sim.fleet); target; target = target->hh.next)
     target->access.silent = 0;
-  for (step = 0; step < 400 && looks < 20; step++)
+  for (step = 0; step < 400 && idle_runs < 20; step++)
     {
-      looks = place_look () ? 0 : looks + 1;
+      idle_runs = run_planner () ? 0 : idle_runs + 1;
       for (i = 0; i < ORDERS_MAX; i++)
-        if (place.orders[i].due >= 0 && place.orders[i].due-- == 0)
-          place_take (&place.orders[i]);
+        if (sim.orders[i].due >= 0 && sim.orders[i].due-- == 0)
+          order_execute (&sim.orders[i]);
     }
-  ck_assert_msg (looks == 20, "seed %lu: no rest", (unsigned long)seed);
-  if (place_holes (&held))
-    ck_assert_msg (held < 2 * LAYERS, "seed %lu: a hole beside %u held layers",
+  ck_assert_msg (idle_runs == 20,
+                 "seed %lu: the planner gives orders without end",
+                 (unsigned long)seed);
+  if (uncovered_layers (&held))
+    ck_assert_msg (held < 2 * LAYERS,
+                   "seed %lu: a layer is missing while engines hold %u",
                    (unsigned long)seed, held);
-  rt_fleet_free (place.fleet);
+  rt_fleet_free (sim.fleet);
 }
 
 START_TEST (test_placing_comes_to_rest_without_holes)
 {
-  seeds_run (place_play);
+  seeds_run (fuzz_planner);
 }
 END_TEST
 
-/* Attempts in any order of outcomes. */
+/* Attempts with random outcomes: they end, a request that may not be repeated
+   runs at most once, and one is refused only if it did not run. */
 static void
-course_play (uint64_t seed)
+fuzz_attempts (uint64_t seed)
 {
   const rt_rule_t rule = { .kind = (rt_kind_t)seeds_draw (3),
                            .attempts = 1 + seeds_draw (3),
@@ -350,7 +357,8 @@
       may_run += attempt.verdict != EL_NOT_RUN;
       next = rt_course_next (&course, &rule, &attempt, (int)seeds_draw (4),
                              seeds_draw (100) * EL_MSEC);
-      ck_assert_msg (sent <= 8, "seed %lu: no end", (unsigned long)seed);
+      ck_assert_msg (sent <= 8, "seed %lu: retries do not end",
+                     (unsigned long)seed);
       ck_assert_msg (may_run <= (repeatable ? rule.attempts : 1),
                      "seed %lu: ran %u times", (unsigned long)seed, may_run);
       if (next == RT_NEXT_REFUSE)
@@ -363,15 +371,15 @@
 
 START_TEST (test_attempts_in_any_order_keep_the_promises)
 {
-  seeds_run (course_play);
+  seeds_run (fuzz_attempts);
 }
 END_TEST
 
 Suite *
 seeded_suite (void)
 {
-  Suite *suite = suite_create ("seeded");
-  TCase *tcase = tcase_create ("seeded");
+  Suite *suite = suite_create ("random");
+  TCase *tcase = tcase_create ("random");
 
   tcase_set_timeout (tcase, (double)seeds_env ("ELMARCH_SEEDS_S", 60));
   ADD (tcase, test_spoiled_input_harms_nothing);
--- a/tests/t_spoiled.c
+++ b/tests/t_spoiled.c
@@ -3,7 +3,8 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Spoiled bytes on connections: what endpoints answer, what callers send.
+ * Fuzz tests of HTTP: mutated responses from endpoints and mutated requests
+ * from callers.
  */
 #include <arpa/inet.h>
 #include <fcntl.h>
@@ -17,12 +18,12 @@
 #include "seeds.h"
 #include "test.h"
 
-/* An exchange whose answer never ends is over after this. */
+/* Time limit of an exchange, for answers that never end. */
 #define ANSWER_LIMIT (20 * EL_MSEC)
-/* Turns of the loop that one seed takes at the most. */
-#define TURNS_MAX 200000
-/* Every so many seeds the server must still serve. */
-#define SERVES_EACH 50
+/* Maximum iterations of the loop per seed and step. */
+#define MAX_ITERATIONS 200000
+/* Interval, in seeds, of the check that the server still serves. */
+#define SERVE_CHECK_INTERVAL 50
 
 static const char *const answers[] = {
   "HTTP/1.1 200 OK\r\ncontent-length: 5\r\nkeep-alive: timeout=5\r\n"
@@ -51,8 +52,8 @@
 static net_server_t *server;
 static int listener;
 static char address[32];
-static unsigned ended;
-static net_result_t outcome;
+static unsigned completions;
+static net_result_t last_result;
 
 static struct sockaddr_in
 loopback (unsigned port)
@@ -70,7 +71,7 @@
 }
 
 static void
-spoiled_setup (void)
+fuzz_setup (void)
 {
   net_server_options_t options = { .loop = &loop,
                                    .address = EL_STR ("127.0.0.1:0"),
@@ -96,46 +97,49 @@
 answer_done (void *arg, const net_result_t *result)
 {
   (void)arg;
-  ended++;
-  outcome = *result;
+  completions++;
+  last_result = *result;
 }
 
-/* Answer with BYTES on the connection that comes, then end or reset it. */
+/* Answer with BYTES on the next connection, then close or reset it. */
 static void
-answer_play (const el_buf_t *bytes)
+answer_send (const el_buf_t *bytes)
 {
   const struct linger reset = { 1, 0 };
   char request[4096];
-  ssize_t got;
+  ssize_t received;
   int fd = -1;
-  int turns;
+  int iterations;
 
-  for (turns = 0; turns < TURNS_MAX && fd < 0; turns++)
+  for (iterations = 0; iterations < MAX_ITERATIONS && fd < 0; iterations++)
     {
       uv_run (&loop, UV_RUN_NOWAIT);
       fd = accept (listener, NULL, NULL);
     }
   ck_assert_int_ge (fd, 0);
-  /* A connection that is closed before its request was read is reset. */
-  got = seeds_draw (2) ? -1 : 0;
-  for (turns = 0; turns < TURNS_MAX && got < 0; turns++)
+  /* Closing a connection with an unread request resets it. */
+  received = seeds_draw (2) ? -1 : 0;
+  for (iterations = 0; iterations < MAX_ITERATIONS && received < 0;
+       iterations++)
     {
       uv_run (&loop, UV_RUN_NOWAIT);
-      got = recv (fd, request, sizeof request, MSG_DONTWAIT);
+      received = recv (fd, request, sizeof request, MSG_DONTWAIT);
     }
   if (bytes->len)
     ck_assert_int_ge (send (fd, bytes->ptr, bytes->len, MSG_NOSIGNAL), -1);
   if (seeds_draw (4) == 0)
     setsockopt (fd, SOL_SOCKET, SO_LINGER, &reset, sizeof reset);
-  if (seeds_draw (8) == 0) /* it stays open: the time limit ends it */
-    for (turns = 0; turns < TURNS_MAX && !ended; turns++)
+  if (seeds_draw (8) == 0) /* left open until the time limit */
+    for (iterations = 0; iterations < MAX_ITERATIONS && !completions;
+         iterations++)
       uv_run (&loop, UV_RUN_NOWAIT);
   close (fd);
 }
 
-/* Each exchange ends once, and one that ends well had an answer. */
+/* Each exchange completes exactly once: with a valid status and EL_RAN if it
+   succeeded, otherwise with another verdict. */
 static void
-answer_seed (uint64_t seed)
+fuzz_answer (uint64_t seed)
 {
   net_send_t send = { .address = el_str (address),
                       .method = EL_STR ("GET"),
@@ -145,40 +149,42 @@
                       .done = answer_done };
   el_buf_t bytes
       = seeds_spoil (answers[seed % (sizeof answers / sizeof *answers)]);
-  int turns;
+  int iterations;
 
-  ended = 0;
+  completions = 0;
   net_client_send (client, &send);
-  answer_play (&bytes);
-  for (turns = 0; turns < TURNS_MAX && !ended; turns++)
+  answer_send (&bytes);
+  for (iterations = 0; iterations < MAX_ITERATIONS && !completions;
+       iterations++)
     uv_run (&loop, UV_RUN_NOWAIT);
-  ck_assert_msg (ended == 1, "seed %llu: ended %u times",
-                 (unsigned long long)seed, ended);
-  ck_assert_msg (outcome.net != NET_OK
-                     || (outcome.status >= 100 && outcome.status < 1000
-                         && outcome.verdict == EL_RAN),
+  ck_assert_msg (completions == 1, "seed %llu: ended %u times",
+                 (unsigned long long)seed, completions);
+  ck_assert_msg (last_result.net != NET_OK
+                     || (last_result.status >= 100 && last_result.status < 1000
+                         && last_result.verdict == EL_RAN),
                  "seed %llu", (unsigned long long)seed);
-  ck_assert_msg (outcome.net == NET_OK || outcome.verdict != EL_RAN,
+  ck_assert_msg (last_result.net == NET_OK || last_result.verdict != EL_RAN,
                  "seed %llu", (unsigned long long)seed);
   el_buf_free (&bytes);
 }
 
-START_TEST (test_spoiled_answers_end_once) { seeds_run (answer_seed); }
+START_TEST (test_spoiled_answers_end_once) { seeds_run (fuzz_answer); }
 END_TEST
 
-/* Send BYTES to the server; gives what it answered within some turns. */
+/* Send BYTES to the server; returns the length of what it answered in OUT
+   within 20 iterations of the loop. */
 static size_t
-request_play (const char *bytes, size_t len, char *out, size_t size)
+request_send (const char *bytes, size_t len, char *out, size_t size)
 {
   struct sockaddr_in addr = loopback (net_server_port (server));
   int fd = socket (AF_INET, SOCK_STREAM, 0);
   ssize_t n = -1;
-  int turns;
+  int iterations;
 
   ck_assert_int_eq (connect (fd, (struct sockaddr *)&addr, sizeof addr), 0);
   if (len)
     ck_assert_int_ge (send (fd, bytes, len, MSG_NOSIGNAL), -1);
-  for (turns = 0; turns < 20 && n < 0; turns++)
+  for (iterations = 0; iterations < 20 && n < 0; iterations++)
     {
       uv_run (&loop, UV_RUN_NOWAIT);
       n = recv (fd, out, size - 1, MSG_DONTWAIT);
@@ -189,34 +195,34 @@
   return n > 0 ? (size_t)n : 0;
 }
 
-/* Whatever callers send, the next one is served. */
+/* Whatever callers send, the server still serves the next one. */
 static void
-request_seed (uint64_t seed)
+fuzz_request (uint64_t seed)
 {
   el_buf_t bytes
       = seeds_spoil (requests[seed % (sizeof requests / sizeof *requests)]);
   char answer[4096];
 
-  request_play (bytes.ptr, bytes.len, answer, sizeof answer);
+  request_send (bytes.ptr, bytes.len, answer, sizeof answer);
   el_buf_free (&bytes);
-  if (seed % SERVES_EACH)
+  if (seed % SERVE_CHECK_INTERVAL)
     return;
-  request_play (requests[0], strlen (requests[0]), answer, sizeof answer);
+  request_send (requests[0], strlen (requests[0]), answer, sizeof answer);
   ck_assert_msg (strstr (answer, "served") != NULL, "seed %llu: %s",
                  (unsigned long long)seed, answer);
 }
 
-START_TEST (test_spoiled_requests_harm_nobody) { seeds_run (request_seed); }
+START_TEST (test_spoiled_requests_harm_nobody) { seeds_run (fuzz_request); }
 END_TEST
 
 Suite *
 spoiled_suite (void)
 {
-  Suite *suite = suite_create ("spoiled");
-  TCase *tcase = tcase_create ("spoiled");
+  Suite *suite = suite_create ("fuzz_http");
+  TCase *tcase = tcase_create ("fuzz_http");
 
   tcase_set_timeout (tcase, (double)seeds_env ("ELMARCH_SEEDS_S", 60));
-  tcase_add_checked_fixture (tcase, spoiled_setup, NULL);
+  tcase_add_checked_fixture (tcase, fuzz_setup, NULL);
   ADD (tcase, test_spoiled_answers_end_once);
   ADD (tcase, test_spoiled_requests_harm_nobody);
   suite_add_tcase (suite, tcase);
