--- a/bench/bench_blame.c
+++ b/bench/bench_blame.c
@@ -22,51 +22,59 @@
   sim_options_t o;
 } cases[] = {
   { "small",
-    { .hosts = 7, .engines = 6, .rate = 62, .deadly = 1, .again_s = 1 } },
+    { .hosts = 7, .engines = 6, .rate = 62, .culprits = 1, .repeat_s = 1 } },
   { "small-three",
-    { .hosts = 7, .engines = 6, .rate = 62, .deadly = 3, .again_s = 1 } },
+    { .hosts = 7, .engines = 6, .rate = 62, .culprits = 3, .repeat_s = 1 } },
   { "small-faults",
     { .hosts = 7,
       .engines = 6,
       .rate = 62,
-      .deadly = 1,
-      .again_s = 1,
-      .end_rate = 0.01,
-      .rack = 2 } },
+      .culprits = 1,
+      .repeat_s = 1,
+      .crash_rate = 0.01,
+      .rack_size = 2 } },
   { "small-innocent",
-    { .hosts = 7, .engines = 6, .rate = 62, .end_rate = 0.02, .rack = 3 } },
+    { .hosts = 7,
+      .engines = 6,
+      .rate = 62,
+      .crash_rate = 0.02,
+      .rack_size = 3 } },
   { "small-often",
     { .hosts = 7,
       .engines = 6,
       .rate = 42,
-      .often = 20,
-      .end_rate = 0.02,
-      .rack = 3 } },
+      .frequent_rate = 20,
+      .crash_rate = 0.02,
+      .rack_size = 3 } },
   { "large",
-    { .hosts = 60, .engines = 24, .rate = 240, .deadly = 1, .again_s = 0.5 } },
+    { .hosts = 60,
+      .engines = 24,
+      .rate = 240,
+      .culprits = 1,
+      .repeat_s = 0.5 } },
   { "large-faults",
     { .hosts = 60,
       .engines = 24,
       .rate = 240,
-      .deadly = 2,
-      .again_s = 0.5,
-      .end_rate = 0.01,
-      .rack = 6 } },
+      .culprits = 2,
+      .repeat_s = 0.5,
+      .crash_rate = 0.01,
+      .rack_size = 6 } },
   { "large-innocent",
     { .hosts = 60,
       .engines = 24,
       .rate = 240,
-      .end_rate = 0.02,
-      .rack = 12 } },
+      .crash_rate = 0.02,
+      .rack_size = 12 } },
 };
 
 static const struct
 {
   const char *name;
   const rt_blame_rule_t *rule;
-  int apart;
-  int patient;
-  int tell_late;
+  int isolation;
+  int free_retries;
+  int defer_completed;
 } ways[] = {
   { "none", NULL, 0, 0, 0 },
   { "count", &rt_blame_rule_count, 0, 0, 0 },
@@ -84,9 +92,9 @@
 sum_add (sim_result_t *sum, const sim_result_t *one)
 {
   sum->sends += one->sends;
-  sum->ended += one->ended;
+  sum->culprit_crashes += one->culprit_crashes;
   sum->late = one->late > sum->late ? one->late : sum->late;
-  sum->others += one->others;
+  sum->other_crashes += one->other_crashes;
   sum->streams += one->streams;
   sum->refused += one->refused;
   sum->failed += one->failed;
@@ -105,25 +113,25 @@
   unsigned seed;
 
   options.rule = ways[w].rule;
-  options.apart = ways[w].apart;
-  options.patient = ways[w].patient;
-  options.tell_late = ways[w].tell_late;
+  options.isolation = ways[w].isolation;
+  options.free_retries = ways[w].free_retries;
+  options.defer_completed = ways[w].defer_completed;
   options.seconds = SECONDS;
-  options.loss = 0.02;
+  options.delayed_share = 0.02;
   for (seed = 1; seed <= seeds; seed++)
     {
       options.seed = seed;
       one = sim_run (&options);
       sum_add (&sum, &one);
-      if ((double)one.ended > most)
-        most = (double)one.ended;
+      if ((double)one.culprit_crashes > most)
+        most = (double)one.culprit_crashes;
     }
   printf ("case=%s way=%s deadly_sends=%.1f engines_ended=%.2f most=%.0f "
           "late_sends_most=%zu other_ends=%.1f broken=%.0f failed=%.1f "
           "of=%.0f innocents_blocked=%.3f blocked=%.2f ms=%.0f\n",
           cases[c].name, ways[w].name, (double)sum.sends / seeds,
-          (double)sum.ended / seeds, most, sum.late,
-          (double)sum.others / seeds, (double)sum.broken / seeds,
+          (double)sum.culprit_crashes / seeds, most, sum.late,
+          (double)sum.other_crashes / seeds, (double)sum.broken / seeds,
           (double)sum.failed / seeds, (double)sum.streams / seeds,
           (double)sum.refused / seeds, (double)sum.blocked / seeds,
           (double)(bench_ns () - begin) / 1e6);
@@ -135,7 +143,7 @@
 static int
 wanted (size_t w, const char *name)
 {
-  return name ? strcmp (name, ways[w].name) == 0 : !ways[w].patient;
+  return name ? strcmp (name, ways[w].name) == 0 : !ways[w].free_retries;
 }
 
 int
--- a/tests/blame_sim.c
+++ b/tests/blame_sim.c
@@ -122,7 +122,7 @@
 {
   if (status->state != RT_BLAME_SUSPECT)
     return 0;
-  return sim->options.apart < 3 || status->crashes > 1
+  return sim->options.isolation < 3 || status->crashes > 1
          || status->prime_suspect;
 }
 
@@ -145,13 +145,13 @@
       if (!engine->up)
         continue;
       rank = sim_random (sim);
-      if (sim->options.apart && is_isolated (sim, status))
+      if (sim->options.isolation && is_isolated (sim, status))
         rank = (double)(XXH3_64bits (mixed, sizeof mixed) >> 11)
                / (double)(1ULL << 53);
-      if (sim->options.apart
+      if (sim->options.isolation
           && sim->now < engine->probation_until[stream->host])
         {
-          if (sim->options.apart > 1 && status->crashes >= WAIT_CRASHES)
+          if (sim->options.isolation > 1 && status->crashes >= WAIT_CRASHES)
             continue;
           rank -= 1;
         }
@@ -183,7 +183,7 @@
   again->waiting = 1;
   again->at
       = sim->now
-        + sim_jitter (sim, 0, (el_time_t)(2 * sim->options.again_s * EL_SEC));
+        + sim_jitter (sim, 0, (el_time_t)(2 * sim->options.repeat_s * EL_SEC));
   DL_APPEND (sim->streams, again);
 }
 
@@ -251,7 +251,7 @@
       report->completed = completed;
       report->to = i;
       report->at = sim->now + sim_jitter (sim, EL_MSEC, REPORT_DELAY);
-      if (sim_random (sim) < sim->options.loss)
+      if (sim_random (sim) < sim->options.delayed_share)
         report->at += REPORT_EXTRA_DELAY;
       DL_APPEND (sim->reports, report);
     }
@@ -262,7 +262,7 @@
 stream_interrupted (sim_t *sim, sim_stream_t *stream)
 {
   sim->result.broken += !stream->culprit;
-  if (!sim->options.patient)
+  if (!sim->options.free_retries)
     stream->attempts++;
   if (stream->attempts < MAX_ATTEMPTS && stream->sends < MAX_SENDS)
     {
@@ -369,7 +369,7 @@
 
   if (stream->culprit)
     {
-      sim->result.ended++;
+      sim->result.culprit_crashes++;
       if (++sim->crash_count[d] == LATE_CRASHES)
         sim->third_crash[d] = sim->now;
       engine_crash (sim, stream->engine);
@@ -378,7 +378,7 @@
   if (sim->options.rule
       && rt_blame_completed (sim->blame[stream->host], stream->digest,
                              sim->now)
-      && (!sim->options.tell_late || crashes > 1))
+      && (!sim->options.defer_completed || crashes > 1))
     report_broadcast (sim, stream->host, &at, stream->digest);
   stream_free (sim, stream);
 }
@@ -428,19 +428,19 @@
     }
   for (i = 0; i < n; i++)
     if (sim_random (sim)
-        < sim->options.end_rate * (double)STEP / (double)EL_SEC)
+        < sim->options.crash_rate * (double)STEP / (double)EL_SEC)
       {
-        sim->result.others++;
+        sim->result.other_crashes++;
         engine_crash (sim, up[i]);
       }
   /* A rack outage: engines crash one after another within a second. */
-  if (sim->options.rack && sim->now % RACK_PERIOD < EL_SEC
-      && sim->now % (EL_SEC / sim->options.rack) < STEP && n)
+  if (sim->options.rack_size && sim->now % RACK_PERIOD < EL_SEC
+      && sim->now % (EL_SEC / sim->options.rack_size) < STEP && n)
     {
       i = up[el_random (&sim->rng) % n];
       if (!sim->engine[i].up)
         return;
-      sim->result.others++;
+      sim->result.other_crashes++;
       engine_crash (sim, i);
     }
 }
@@ -448,7 +448,7 @@
 static void
 callers_step (sim_t *sim)
 {
-  double rate = sim->options.rate + sim->options.often;
+  double rate = sim->options.rate + sim->options.frequent_rate;
   double due = rate * (double)STEP / (double)EL_SEC;
   size_t n = (size_t)due;
   sim_stream_t *stream;
@@ -456,7 +456,7 @@
   for (n += sim_random (sim) < due - (double)n; n; n--)
     {
       stream = el_alloc (sizeof *stream);
-      stream->digest = sim_random (sim) * rate < sim->options.often
+      stream->digest = sim_random (sim) * rate < sim->options.frequent_rate
                            ? FREQUENT_DIGEST
                            : ++sim->last_digest;
       stream->host = el_random (&sim->rng) % sim->options.hosts;
@@ -484,7 +484,7 @@
     sim->engine[i].up = 1;
   for (i = 0; sim->options.rule && i < sim->options.hosts; i++)
     sim->blame[i] = rt_blame_new (&options);
-  for (i = 0; i < sim->options.deadly; i++)
+  for (i = 0; i < sim->options.culprits; i++)
     {
       first.culprit = i + 1;
       first.digest = i + 1;
@@ -501,7 +501,7 @@
   sim_report_t *after;
   size_t i;
 
-  for (i = 0; i < sim->options.deadly; i++)
+  for (i = 0; i < sim->options.culprits; i++)
     {
       if (sim->late[i] > sim->result.late)
         sim->result.late = sim->late[i];
--- a/tests/blame_sim.h
+++ b/tests/blame_sim.h
@@ -18,38 +18,40 @@
 {
   uint64_t seed;
   const rt_blame_rule_t *rule; /* NULL: no request is blamed */
-  int apart;   /* isolation of suspects; 0: none, 1: sent to different engines,
-                  2: and those with several crashes wait for an engine that no
-                  other suspect uses, 3: as 2, but after one crash only prime
-                  suspects are isolated */
-  int patient; /* attempts that end in a crash don't count as attempts */
+  /* isolation of suspects; 0: none, 1: sent to different engines, 2: and those
+     with several crashes wait for an engine that no other suspect uses, 3: as
+     2, but after one crash only prime suspects are isolated */
+  int isolation;
+  int free_retries; /* attempts that end in a crash don't count as attempts */
   size_t hosts;
-  size_t engines;  /* first engines, to which streams are sent */
-  double rate;     /* streams per second */
-  size_t deadly;   /* distinct culprits: requests that crash engines */
-  double again_s;  /* mean delay in seconds after which a culprit's caller
-                      sends it again */
-  double end_rate; /* unrelated crashes per engine and second */
-  size_t rack;     /* engines that crash within one second, every 20 s */
-  double loss;     /* share of reports that arrive a second late */
-  double often;    /* streams per second that repeat one innocent request */
-  int tell_late;   /* a completed run is reported to other hosts only after the
-                      request's second crash */
-  double seconds;  /* simulated time */
+  size_t engines;       /* first engines, to which streams are sent */
+  double rate;          /* streams per second */
+  size_t culprits;      /* distinct culprits: requests that crash engines */
+  double repeat_s;      /* mean delay in seconds after which a culprit's caller
+                          sends it again */
+  double crash_rate;    /* unrelated crashes per engine and second */
+  size_t rack_size;     /* engines that crash within one second, every 20 s */
+  double delayed_share; /* share of reports that arrive a second late */
+  /* streams per second that repeat one innocent request */
+  double frequent_rate;
+  /* a completed run is reported to other hosts only after the request's second
+     crash */
+  int defer_completed;
+  double seconds; /* simulated time */
 } sim_options_t;
 
 typedef struct sim_result
 {
-  size_t sends;   /* of culprits */
-  size_t ended;   /* engine crashes caused by culprits */
-  size_t late;    /* most sends of one culprit later than 3 s after its third
-                     crash */
-  size_t others;  /* unrelated engine crashes */
-  size_t streams; /* innocent ones */
-  size_t refused; /* innocent streams refused as culprits */
-  size_t failed;  /* innocent streams without a complete answer */
-  size_t broken;  /* interruptions of innocent streams */
-  size_t blocked; /* culprits that are blocked at the end */
+  size_t sends;           /* of culprits */
+  size_t culprit_crashes; /* engine crashes caused by culprits */
+  size_t late; /* most sends of one culprit later than 3 s after its third
+                  crash */
+  size_t other_crashes; /* unrelated engine crashes */
+  size_t streams;       /* innocent ones */
+  size_t refused;       /* innocent streams refused as culprits */
+  size_t failed;        /* innocent streams without a complete answer */
+  size_t broken;        /* interruptions of innocent streams */
+  size_t blocked;       /* culprits that are blocked at the end */
 } sim_result_t;
 
 sim_result_t sim_run (const sim_options_t *options);
--- a/tests/script.c
+++ b/tests/script.c
@@ -65,11 +65,11 @@
             return NULL;
           script.connections++;
         }
-      if (answer->then == RESET)
+      if (answer->after_answer == RESET)
         setsockopt (fd, SOL_SOCKET, SO_LINGER, &reset, sizeof reset);
       if (write (fd, answer->bytes, strlen (answer->bytes)) < 0)
         return NULL;
-      if (answer->then == KEEP)
+      if (answer->after_answer == KEEP_ALIVE)
         continue;
       close (fd);
       fd = -1;
@@ -82,7 +82,7 @@
 /** Start the endpoint on a thread of its own; its address is in
     script.address. */
 void
-script_open (const answer_t *answers, size_t n)
+script_start (const answer_t *answers, size_t n)
 {
   struct sockaddr_in addr
       = { .sin_family = AF_INET, .sin_addr.s_addr = htonl (INADDR_LOOPBACK) };
@@ -105,7 +105,7 @@
 
 /** Open the loop, clock and client of a test. */
 void
-script_setup (void)
+loop_setup (void)
 {
   signal (SIGPIPE, SIG_IGN);
   uv_loop_init (&loop);
@@ -122,7 +122,7 @@
 
 /** Run the loop for a given time. */
 void
-run_for (el_time_t span)
+loop_run_for (el_time_t span)
 {
   int over = 0;
   el_timer_t timer = { .cb = on_timer, .arg = &over };
--- a/tests/script.h
+++ b/tests/script.h
@@ -14,17 +14,17 @@
 #include "net.h"
 
 /* What the endpoint does with the connection after an answer. */
-typedef enum then
+typedef enum after_answer
 {
-  KEEP,
-  END,
+  KEEP_ALIVE,
+  CLOSE,
   RESET
-} then_t;
+} after_answer_t;
 
 typedef struct answer
 {
   const char *bytes;
-  then_t then;
+  after_answer_t after_answer;
 } answer_t;
 
 /* The endpoint: it sends one answer per request and serves one connection at a
@@ -45,15 +45,15 @@
 extern net_clock_t test_clock;
 extern net_client_t *client;
 
-void script_open (const answer_t *answers, size_t n);
-void script_setup (void);
-void run_for (el_time_t span);
+void script_start (const answer_t *answers, size_t n);
+void loop_setup (void);
+void loop_run_for (el_time_t span);
 
 #define SCRIPT(...)                                                           \
   do                                                                          \
     {                                                                         \
       static const answer_t answers[] = { __VA_ARGS__ };                      \
-      script_open (answers, sizeof answers / sizeof *answers);                \
+      script_start (answers, sizeof answers / sizeof *answers);               \
     }                                                                         \
   while (0)
 
--- a/tests/seeds.c
+++ b/tests/seeds.c
@@ -17,7 +17,7 @@
 
 /** A pseudo-random number below N (xorshift). */
 unsigned
-seeds_draw (unsigned n)
+seeds_random (unsigned n)
 {
   random_state ^= random_state << 13;
   random_state ^= random_state >> 7;
@@ -52,30 +52,31 @@
 /** A copy of TEXT with up to 5 bytes changed or dropped, some with a prefix of
     TEXT inserted before them, and sometimes truncated; the caller frees it. */
 el_buf_t
-seeds_spoil (const char *text)
+seeds_mutate (const char *text)
 {
   el_buf_t out = { NULL, 0, 0 };
   size_t len = strlen (text);
-  unsigned changes = seeds_draw (6);
+  unsigned changes = seeds_random (6);
   size_t i;
   char c;
 
   for (i = 0; i < len; i++)
     {
       c = text[i];
-      if (changes && seeds_draw ((unsigned)len) < 4)
+      if (changes && seeds_random ((unsigned)len) < 4)
         {
           changes--;
-          if (seeds_draw (3) == 0)
+          if (seeds_random (3) == 0)
             continue;
-          c = seeds_draw (2) ? (char)seeds_draw (256)
-                             : "{}[]\",:0-9e\n"[seeds_draw (12)];
-          if (seeds_draw (4) == 0)
-            el_buf_add (&out, (el_str_t){ text, seeds_draw ((unsigned)len) });
+          c = seeds_random (2) ? (char)seeds_random (256)
+                               : "{}[]\",:0-9e\n"[seeds_random (12)];
+          if (seeds_random (4) == 0)
+            el_buf_add (&out,
+                        (el_str_t){ text, seeds_random ((unsigned)len) });
         }
       el_buf_add (&out, (el_str_t){ &c, 1 });
     }
-  if (seeds_draw (8) == 0)
-    out.len = seeds_draw ((unsigned)out.len + 1);
+  if (seeds_random (8) == 0)
+    out.len = seeds_random ((unsigned)out.len + 1);
   return out;
 }
--- a/tests/seeds.h
+++ b/tests/seeds.h
@@ -10,9 +10,9 @@
 
 #include "base.h"
 
-unsigned seeds_draw (unsigned n);
+unsigned seeds_random (unsigned n);
 uint64_t seeds_env (const char *name, uint64_t def);
 void seeds_run (void (*play) (uint64_t seed));
-el_buf_t seeds_spoil (const char *text);
+el_buf_t seeds_mutate (const char *text);
 
 #endif
--- a/tests/t_access.c
+++ b/tests/t_avail.c
@@ -87,7 +87,7 @@
 }
 
 /* No other event of an endpoint shortens its backoff. */
-START_TEST (test_access_nothing_cuts_a_rest_short)
+START_TEST (test_avail_no_event_shortens_a_backoff)
 {
   rt_avail_t avail = { 0 };
 
@@ -108,7 +108,7 @@
 }
 END_TEST
 
-START_TEST (test_access_a_longer_rest_replaces_a_shorter_one)
+START_TEST (test_avail_longer_backoff_replaces_shorter)
 {
   rt_avail_t avail = { 0 };
 
@@ -121,7 +121,7 @@
 
 /* After a backoff one trial request goes first; others follow when it has been
    answered or has taken too long. */
-START_TEST (test_access_one_tries_first_after_a_rest)
+START_TEST (test_avail_trial_request_after_a_backoff)
 {
   const el_time_t backoff_end = NOW + EL_SEC;
   rt_avail_t avail = { 0 };
@@ -150,7 +150,7 @@
 
 /* Hosts that are asked to back off at the same moment return spread over time,
    none of them early. */
-START_TEST (test_access_hosts_come_back_spread)
+START_TEST (test_avail_hosts_return_spread_over_time)
 {
   unsigned tenths[10] = { 0 };
   rt_avail_t avail;
@@ -252,7 +252,7 @@
     }
 }
 
-START_TEST (test_access_any_order_keeps_to_what_was_asked)
+START_TEST (test_avail_random_events_respect_backoff)
 {
   run_random_schedule ((uint64_t)_i);
 }
@@ -260,7 +260,7 @@
 
 /* Other endpoints serve the requests; when all have asked
    hosts to back off, the end of the earliest backoff is known. */
-START_TEST (test_pick_leaves_out_those_that_rest)
+START_TEST (test_pick_skips_endpoints_in_backoff)
 {
   rt_target_t *a = add_endpoint ("a", 1, 0, 0);
   rt_target_t *b = add_endpoint ("b", 1, 0, 0);
@@ -283,7 +283,7 @@
 /* An engine in backoff runs no part of a new pipeline, neither the first nor a
    later one. A pipeline is available again as soon as enough backoffs have
    ended to cover all layers. */
-START_TEST (test_line_passes_no_engine_that_rests)
+START_TEST (test_chain_skips_engines_in_backoff)
 {
   rt_target_t *first_engine = add_endpoint ("f0", 1, 0, 4);
   rt_target_t *first_replica = add_endpoint ("f1", 1, 0, 4);
@@ -312,7 +312,7 @@
 
 /* The layout does not change for an engine in backoff, which is neither lost
    nor empty, but for one that leaves. */
-START_TEST (test_layout_an_engine_that_rests_is_not_lost)
+START_TEST (test_layout_keeps_engines_in_backoff)
 {
   rt_target_t *first_engine = add_endpoint ("f0", 1, 0, 4);
   rt_order_t orders[4];
@@ -331,7 +331,7 @@
 /* An instance's leaving state is kept before it is listed, while it is, and
    when its entry lapses and returns; the next instance with its id is not
    leaving. */
-START_TEST (test_fleet_leaving_holds_for_one_start)
+START_TEST (test_fleet_leaving_applies_to_one_instance)
 {
   rt_target_t *target;
 
@@ -364,7 +364,7 @@
   return asks;
 }
 
-START_TEST (test_asks_a_time_is_read_once_and_bounded)
+START_TEST (test_retry_after_is_parsed_and_bounded)
 {
   static const struct
   {
@@ -412,7 +412,7 @@
 }
 END_TEST
 
-START_TEST (test_asks_two_headers_the_longer_one)
+START_TEST (test_retry_after_longest_of_several_wins)
 {
   const net_header_t headers[] = { { EL_STR ("retry-after"), EL_STR ("2") },
                                    { EL_STR ("x"), EL_STR ("9") },
@@ -423,7 +423,7 @@
 }
 END_TEST
 
-START_TEST (test_asks_any_answer_may_say_that_its_endpoint_leaves)
+START_TEST (test_leaving_header_is_read_from_any_answer)
 {
   static const int statuses[] = { 200, 202, 404, 409, 421, 429, 500, 503 };
   static const char *const others[] = { "0", "", "true", "11", "1 1" };
@@ -441,24 +441,24 @@
 END_TEST
 
 Suite *
-access_suite (void)
+avail_suite (void)
 {
   Suite *suite = suite_create ("access");
   TCase *tcase = tcase_create ("access");
 
   tcase_add_checked_fixture (tcase, access_setup, access_teardown);
-  ADD (tcase, test_access_nothing_cuts_a_rest_short);
-  ADD (tcase, test_access_a_longer_rest_replaces_a_shorter_one);
-  ADD (tcase, test_access_one_tries_first_after_a_rest);
-  ADD (tcase, test_access_hosts_come_back_spread);
-  ADD_LOOP (tcase, test_access_any_order_keeps_to_what_was_asked, SEEDS);
-  ADD (tcase, test_pick_leaves_out_those_that_rest);
-  ADD (tcase, test_line_passes_no_engine_that_rests);
-  ADD (tcase, test_layout_an_engine_that_rests_is_not_lost);
-  ADD (tcase, test_fleet_leaving_holds_for_one_start);
-  ADD (tcase, test_asks_a_time_is_read_once_and_bounded);
-  ADD (tcase, test_asks_two_headers_the_longer_one);
-  ADD (tcase, test_asks_any_answer_may_say_that_its_endpoint_leaves);
+  ADD (tcase, test_avail_no_event_shortens_a_backoff);
+  ADD (tcase, test_avail_longer_backoff_replaces_shorter);
+  ADD (tcase, test_avail_trial_request_after_a_backoff);
+  ADD (tcase, test_avail_hosts_return_spread_over_time);
+  ADD_LOOP (tcase, test_avail_random_events_respect_backoff, SEEDS);
+  ADD (tcase, test_pick_skips_endpoints_in_backoff);
+  ADD (tcase, test_chain_skips_engines_in_backoff);
+  ADD (tcase, test_layout_keeps_engines_in_backoff);
+  ADD (tcase, test_fleet_leaving_applies_to_one_instance);
+  ADD (tcase, test_retry_after_is_parsed_and_bounded);
+  ADD (tcase, test_retry_after_longest_of_several_wins);
+  ADD (tcase, test_leaving_header_is_read_from_any_answer);
   suite_add_tcase (suite, tcase);
   return suite;
 }
--- a/tests/t_suspect.c
+++ b/tests/t_blame.c
@@ -19,7 +19,7 @@
                                            .body = EL_STR ("body") };
 
 /* The digest covers each field and the boundaries between fields. */
-START_TEST (test_digest_names_what_is_asked_and_by_whom)
+START_TEST (test_digest_covers_each_field_and_its_bounds)
 {
   rt_digest_t digest = rt_digest (KEY, &request);
   rt_digest_input_t other[]
@@ -117,7 +117,7 @@
 
 /* At each of three crashes the culprit ran beside fifty other requests, new
    ones each time. Only the culprit is blocked, and only at the third crash. */
-START_TEST (test_blame_one_of_fifty_is_found)
+START_TEST (test_blame_finds_one_culprit_of_fifty)
 {
   unsigned crash;
   unsigned i;
@@ -143,7 +143,7 @@
 
 /* A rack outage: twelve engines crash within a second, and the requests of
    each are retried on the next two. No request is blocked. */
-START_TEST (test_blame_a_rack_accuses_nobody)
+START_TEST (test_blame_rack_outage_blocks_no_request)
 {
   const unsigned load = rack_loads[_i];
   unsigned back;
@@ -166,7 +166,7 @@
 
 /* A rack outage in which one request is retried on three of the rack's
    engines, each time on one that ran nothing else. It is not blocked. */
-START_TEST (test_blame_a_rack_that_one_request_follows)
+START_TEST (test_blame_rack_outage_with_a_retried_request)
 {
   unsigned crash;
 
@@ -179,7 +179,7 @@
 END_TEST
 
 /* Reports arrive in any order, some twice; the odds are the same. */
-START_TEST (test_blame_order_of_news_plays_no_part)
+START_TEST (test_blame_is_independent_of_report_order)
 {
   rt_crash_report_t reports[60];
   double odds[2];
@@ -224,7 +224,7 @@
 
 /* A request that ran to completion is cleared of older crashes, also of those
    reported later, but not of new ones. */
-START_TEST (test_blame_who_ran_to_the_end_is_cleared)
+START_TEST (test_blame_completed_request_is_cleared)
 {
   add_crash (1, NOW, CULPRIT, EL_MSEC);
   add_crash (2, NOW + EL_SEC, CULPRIT, EL_MSEC);
@@ -241,7 +241,7 @@
 
 /* A crash reported by only one host may be a fault of that host: it has less
    weight until a second witness, here the store, confirms it. */
-START_TEST (test_blame_one_witness_counts_half)
+START_TEST (test_blame_unconfirmed_crash_counts_half)
 {
   rt_crash_report_t e
       = { .digest = CULPRIT, .host = 1, .ran = 80 * EL_MSEC, .first = 1 };
@@ -269,7 +269,7 @@
 /* Guards against a request that is blocked by a single crash: the rounding
    error left from adding and removing an older crash must not count as a
    nearby unexplained crash. */
-START_TEST (test_blame_one_end_after_another_of_long_ago_is_not_enough)
+START_TEST (test_blame_old_crash_leaves_no_rounding_error)
 {
   const rt_crash_report_t old = { .instance = { .id = "gone" }, .at = NOW };
 
@@ -283,7 +283,7 @@
 
 /* Guards against an attempt that reached an endpoint after its crash being
    counted as running there. */
-START_TEST (test_blame_what_came_after_an_end_is_not_to_blame)
+START_TEST (test_blame_attempt_after_the_crash_is_ignored)
 {
   rt_crash_report_t e = { .instance = { .id = "e", .born = 1 },
                           .digest = CULPRIT,
@@ -305,7 +305,7 @@
 
 /* A culprit is allowed again as a suspect when its block of ten minutes ends;
    one more crash blocks it for twenty. */
-START_TEST (test_blame_waiting_it_out_costs_an_engine_each_time)
+START_TEST (test_blame_second_block_lasts_twice_as_long)
 {
   el_time_t now = NOW;
   el_time_t first;
@@ -336,7 +336,7 @@
 /* A customer with an endless supply of different culprits: they use no more
    than that customer's share of the table and evict no other customer's
    requests. */
-START_TEST (test_blame_one_caller_pushes_nobody_out)
+START_TEST (test_blame_customer_cannot_evict_others)
 {
   rt_crash_report_t e
       = { .customer = 2, .host = 1, .ran = EL_MSEC, .first = 1 };
@@ -367,53 +367,52 @@
    sent at most three times later than three seconds after its third crash, and
    is blocked at the end. Without a culprit, unrelated crashes get no request
    refused. */
-START_TEST (test_blame_any_course_keeps_to_the_bound)
+START_TEST (test_blame_simulations_keep_the_send_bound)
 {
   sim_options_t options = { .seed = (uint64_t)_i + 1,
                             .rule = &rt_blame_rule_odds,
-                            .apart = 2,
+                            .isolation = 2,
                             .hosts = 7,
                             .engines = 6,
                             .rate = 62,
-                            .deadly = 1,
-                            .again_s = 0.5,
-                            .loss = 0.1,
+                            .culprits = 1,
+                            .repeat_s = 0.5,
+                            .delayed_share = 0.1,
                             .seconds = 30 };
   sim_result_t result = sim_run (&options);
 
   ck_assert_uint_le (result.late, 3);
   ck_assert_uint_eq (result.blocked, 1);
-  ck_assert_uint_le (result.ended, 6);
-  options.deadly = 0;
-  options.end_rate = 0.02;
-  options.rack = 3;
+  ck_assert_uint_le (result.culprit_crashes, 6);
+  options.culprits = 0;
+  options.crash_rate = 0.02;
+  options.rack_size = 3;
   result = sim_run (&options);
   ck_assert_uint_eq (result.refused, 0);
 }
 END_TEST
 
 Suite *
-suspect_suite (void)
+blame_suite (void)
 {
   Suite *suite = suite_create ("blame");
   TCase *tcase = tcase_create ("blame");
 
   tcase_set_timeout (tcase, 60);
   tcase_add_checked_fixture (tcase, blame_setup, blame_teardown);
-  ADD (tcase, test_digest_names_what_is_asked_and_by_whom);
-  ADD (tcase, test_blame_one_of_fifty_is_found);
-  ADD_LOOP (tcase, test_blame_a_rack_accuses_nobody,
+  ADD (tcase, test_digest_covers_each_field_and_its_bounds);
+  ADD (tcase, test_blame_finds_one_culprit_of_fifty);
+  ADD_LOOP (tcase, test_blame_rack_outage_blocks_no_request,
             sizeof rack_loads / sizeof *rack_loads);
-  ADD (tcase, test_blame_a_rack_that_one_request_follows);
-  ADD_LOOP (tcase, test_blame_order_of_news_plays_no_part, SEEDS);
-  ADD (tcase, test_blame_who_ran_to_the_end_is_cleared);
-  ADD (tcase, test_blame_one_witness_counts_half);
-  ADD_LOOP (tcase, test_blame_one_end_after_another_of_long_ago_is_not_enough,
-            SEEDS);
-  ADD (tcase, test_blame_what_came_after_an_end_is_not_to_blame);
-  ADD (tcase, test_blame_waiting_it_out_costs_an_engine_each_time);
-  ADD (tcase, test_blame_one_caller_pushes_nobody_out);
-  ADD_LOOP (tcase, test_blame_any_course_keeps_to_the_bound, SEEDS);
+  ADD (tcase, test_blame_rack_outage_with_a_retried_request);
+  ADD_LOOP (tcase, test_blame_is_independent_of_report_order, SEEDS);
+  ADD (tcase, test_blame_completed_request_is_cleared);
+  ADD (tcase, test_blame_unconfirmed_crash_counts_half);
+  ADD_LOOP (tcase, test_blame_old_crash_leaves_no_rounding_error, SEEDS);
+  ADD (tcase, test_blame_attempt_after_the_crash_is_ignored);
+  ADD (tcase, test_blame_second_block_lasts_twice_as_long);
+  ADD (tcase, test_blame_customer_cannot_evict_others);
+  ADD_LOOP (tcase, test_blame_simulations_keep_the_send_bound, SEEDS);
   suite_add_tcase (suite, tcase);
   return suite;
 }
--- a/tests/t_check.c
+++ b/tests/t_check.c
@@ -127,7 +127,7 @@
   run_loop (120 * EL_MSEC); /* until a new check is allowed */
 }
 
-START_TEST (test_check_report_is_taken_in)
+START_TEST (test_check_applies_reported_load)
 {
   check_all_once ();
   ck_assert_int_eq (engines[0].engine->avail.silent, 0);
@@ -138,7 +138,7 @@
 END_TEST
 
 /* Another engine answers, so the silent engine is at fault. */
-START_TEST (test_check_silent_beside_one_that_answers)
+START_TEST (test_check_silent_engine_is_detected)
 {
   check_all_once ();
   engines[0].mute = 1;
@@ -156,7 +156,7 @@
 
 /* No engine answers: the fault may be this host's own, so it waits longer
    before it takes the engine as silent. */
-START_TEST (test_check_alone_is_judged_later)
+START_TEST (test_check_waits_longer_if_no_engine_answers)
 {
   el_time_t sent_at;
 
@@ -171,7 +171,7 @@
 END_TEST
 
 /* An event of a stream shows that the engines of its pipeline are alive. */
-START_TEST (test_check_engine_whose_streams_go_on_is_alive)
+START_TEST (test_check_stream_event_proves_liveness)
 {
   check_all_once ();
   engines[0].mute = 1;
@@ -187,7 +187,7 @@
 
 /* An engine that gives up layers loads others only once its streams have left:
    they are rerouted to the replica. */
-START_TEST (test_stream_leaves_an_engine_that_gives_layers_up)
+START_TEST (test_stream_leaves_an_engine_that_gives_up_layers)
 {
   static rt_card_t card
       = { .memory_mb = 1000, .step_scale = 1, .prefill_scale = 1 };
@@ -234,7 +234,7 @@
 
 /* No check is sent while another is outstanding, and an engine that is no
    longer listed is not checked again. */
-START_TEST (test_check_is_asked_once_at_a_time)
+START_TEST (test_check_one_outstanding_per_engine)
 {
   relay_check (&relays, engines[0].engine);
   wait_checked (&engines[0]);
@@ -261,12 +261,12 @@
 
   tcase_set_timeout (tcase, 30);
   tcase_add_checked_fixture (tcase, check_setup, NULL);
-  ADD (tcase, test_check_report_is_taken_in);
-  ADD (tcase, test_check_silent_beside_one_that_answers);
-  ADD (tcase, test_check_alone_is_judged_later);
-  ADD (tcase, test_check_engine_whose_streams_go_on_is_alive);
-  ADD (tcase, test_stream_leaves_an_engine_that_gives_layers_up);
-  ADD (tcase, test_check_is_asked_once_at_a_time);
+  ADD (tcase, test_check_applies_reported_load);
+  ADD (tcase, test_check_silent_engine_is_detected);
+  ADD (tcase, test_check_waits_longer_if_no_engine_answers);
+  ADD (tcase, test_check_stream_event_proves_liveness);
+  ADD (tcase, test_stream_leaves_an_engine_that_gives_up_layers);
+  ADD (tcase, test_check_one_outstanding_per_engine);
   suite_add_tcase (suite, tcase);
   return suite;
 }
--- a/tests/t_clock.c
+++ b/tests/t_clock.c
@@ -70,10 +70,10 @@
 
   SCRIPT ({ "HTTP/1.1 200 OK\r\ncontent-length: 25\r\n\r\n"
             "{\"lease\":7,\"ttl_ms\":2000}",
-            KEEP },
+            KEEP_ALIVE },
           { "HTTP/1.1 200 OK\r\ncontent-length: 14\r\n\r\n"
             "{\"Revision\":3}",
-            KEEP });
+            KEEP_ALIVE });
   store.address = el_str (script.address);
   duty = gt_duty_new (&options);
   gt_duty_want (duty, 1);
@@ -111,7 +111,7 @@
   Suite *suite = suite_create ("clock");
   TCase *tcase = tcase_create ("clock");
 
-  tcase_add_checked_fixture (tcase, script_setup, NULL);
+  tcase_add_checked_fixture (tcase, loop_setup, NULL);
   ADD (tcase, test_clock_counts_while_the_host_is_suspended);
   ADD (tcase, test_duty_is_over_after_a_suspension);
   ADD (tcase, test_block_runs_out_while_the_host_is_suspended);
--- a/tests/t_held.c
+++ b/tests/t_connect.c
@@ -200,7 +200,7 @@
 
 /* The request goes to the other endpoint, and takes nothing from the retry
    budget. */
-START_TEST (test_held_while_a_connection_is_made)
+START_TEST (test_connect_closed_endpoint_is_replaced)
 {
   connect_answer_t answer;
   rt_target_t *target;
@@ -222,7 +222,7 @@
 END_TEST
 
 /* There is no other endpoint: the request is refused at once as not run. */
-START_TEST (test_held_and_nowhere_else_to_go)
+START_TEST (test_connect_closed_only_endpoint_is_refused)
 {
   connect_answer_t answer;
 
@@ -238,15 +238,15 @@
 END_TEST
 
 Suite *
-held_suite (void)
+connect_suite (void)
 {
   Suite *suite = suite_create ("connect");
   TCase *tcase = tcase_create ("connect");
 
   tcase_set_timeout (tcase, 60);
   tcase_add_checked_fixture (tcase, connect_setup, NULL);
-  ADD_LOOP (tcase, test_held_while_a_connection_is_made, 3);
-  ADD_LOOP (tcase, test_held_and_nowhere_else_to_go, 3);
+  ADD_LOOP (tcase, test_connect_closed_endpoint_is_replaced, 3);
+  ADD_LOOP (tcase, test_connect_closed_only_endpoint_is_refused, 3);
   suite_add_tcase (suite, tcase);
   return suite;
 }
--- a/tests/t_epoch.c
+++ b/tests/t_epoch.c
@@ -220,11 +220,11 @@
   gt_store_t store;
 
   SCRIPT (
-      { ERA ("1") RANGE (ITEM ("p/a", "YQ==", "9"), "9"), END },
-      { ERA ("2") EVENTS (ITEM ("p/c", "YQ==", "10"), "10"), END },
+      { ERA ("1") RANGE (ITEM ("p/a", "YQ==", "9"), "9"), CLOSE },
+      { ERA ("2") EVENTS (ITEM ("p/c", "YQ==", "10"), "10"), CLOSE },
       { ERA ("2") RANGE (
             ITEM ("p/a", "Yg==", "8") "," ITEM ("p/c", "YQ==", "10"), "10"),
-        END });
+        CLOSE });
   follow_script (&seen, &store, 2);
   seen_is (&seen, "+p/a=a +p/a=b +p/c=a ");
   ck_assert_uint_eq (store.counts.reads[GT_STORE_READ_EPOCH], 1);
@@ -237,9 +237,9 @@
   seen_t seen = { .refuse = 0 };
   gt_store_t store;
 
-  SCRIPT ({ ERA ("1") PAGE (ITEM ("p/a", "YQ==", "9"), "9"), END },
-          { ERA ("2") RANGE (ITEM ("p/b", "YQ==", "9"), "9"), END },
-          { ERA ("2") RANGE (ITEM ("p/a", "Yg==", "7"), "8"), END });
+  SCRIPT ({ ERA ("1") PAGE (ITEM ("p/a", "YQ==", "9"), "9"), CLOSE },
+          { ERA ("2") RANGE (ITEM ("p/b", "YQ==", "9"), "9"), CLOSE },
+          { ERA ("2") RANGE (ITEM ("p/a", "Yg==", "7"), "8"), CLOSE });
   follow_script (&seen, &store, 1);
   seen_is (&seen, "+p/a=a +p/a=b ");
   ck_assert_ptr_nonnull (strstr (script.requests.ptr, "SinceRev=p/a"));
@@ -252,12 +252,12 @@
   seen_t seen = { .refuse = 0 };
   gt_store_t store;
 
-  SCRIPT ({ ERA ("1") RANGE (ITEM ("p/a", "YQ==", "9"), "9"), END },
+  SCRIPT ({ ERA ("1") RANGE (ITEM ("p/a", "YQ==", "9"), "9"), CLOSE },
           { "HTTP/1.1 410 Gone\r\nstore-era: 2\r\nconnection: close\r\n\r\n",
-            END },
+            CLOSE },
           { "HTTP/1.1 503 Busy\r\nstore-era: 3\r\nconnection: close\r\n\r\n",
-            END },
-          { ERA ("3") RANGE (ITEM ("p/a", "Yg==", "9"), "9"), END });
+            CLOSE },
+          { ERA ("3") RANGE (ITEM ("p/a", "Yg==", "9"), "9"), CLOSE });
   follow_script (&seen, &store, 2);
   seen_is (&seen, "+p/a=a +p/a=b ");
   ck_assert_uint_eq (store.epoch, 3);
@@ -271,9 +271,9 @@
   seen_t seen = { .refuse = 0 };
   gt_store_t store;
 
-  SCRIPT ({ ERA ("2") RANGE (ITEM ("p/a", "YQ==", "3"), "3"), END },
-          { ERA ("1") EVENTS (ITEM ("p/a", "Yg==", "9"), "9"), END },
-          { ERA ("2") EVENTS ("", "3"), END });
+  SCRIPT ({ ERA ("2") RANGE (ITEM ("p/a", "YQ==", "3"), "3"), CLOSE },
+          { ERA ("1") EVENTS (ITEM ("p/a", "Yg==", "9"), "9"), CLOSE },
+          { ERA ("2") EVENTS ("", "3"), CLOSE });
   follow_script (&seen, &store, 2);
   seen_is (&seen, "+p/a=a ");
   ck_assert_uint_eq (store.counts.former, 1);
@@ -290,15 +290,15 @@
           "store-era: 2\r\nstore-era: 2\r\n" };
   static char bytes[256];
   static answer_t answers[]
-      = { { ERA ("1") RANGE (ITEM ("p/a", "YQ==", "3"), "3"), END },
-          { bytes, END } };
+      = { { ERA ("1") RANGE (ITEM ("p/a", "YQ==", "3"), "3"), CLOSE },
+          { bytes, CLOSE } };
   seen_t seen = { .refuse = 0 };
   gt_store_t store;
 
   snprintf (bytes, sizeof bytes,
             "HTTP/1.1 200 OK\r\n%sconnection: close\r\n\r\n%s", heads[_i],
             EVENTS (ITEM ("p/a", "Yg==", "4"), "4"));
-  script_open (answers, 2);
+  script_start (answers, 2);
   follow_script (&seen, &store, 2);
   seen_is (&seen, "+p/a=a +p/a=b ");
   ck_assert_uint_eq (store.epoch, 1);
@@ -350,8 +350,8 @@
   gt_store_t store;
   gt_duty_t *duty;
 
-  SCRIPT ({ GRANTED ("1"), KEEP }, { CLAIMED ("1"), KEEP },
-          { WHOLE ("2", "2", "{}"), KEEP });
+  SCRIPT ({ GRANTED ("1"), KEEP_ALIVE }, { CLAIMED ("1"), KEEP_ALIVE },
+          { WHOLE ("2", "2", "{}"), KEEP_ALIVE });
   duty = duty_script (&store);
   while (store.epoch == 1)
     uv_run (&loop, UV_RUN_ONCE);
@@ -364,7 +364,7 @@
   gt_store_t store;
   gt_duty_t *duty;
 
-  SCRIPT ({ GRANTED ("1"), KEEP }, { CLAIMED ("1"), KEEP });
+  SCRIPT ({ GRANTED ("1"), KEEP_ALIVE }, { CLAIMED ("1"), KEEP_ALIVE });
   duty = duty_script (&store);
   gt_store_observe_epoch (&store, 2, "host");
   ck_assert (!gt_duty_held (duty, net_clock_now (&test_clock)));
@@ -387,13 +387,13 @@
                                       .vacant = vacant_always };
   gt_duty_t *duty;
 
-  SCRIPT ({ GRANTED ("2"), KEEP }, { CLAIMED ("2"), KEEP });
+  SCRIPT ({ GRANTED ("2"), KEEP_ALIVE }, { CLAIMED ("2"), KEEP_ALIVE });
   store.address = el_str (script.address);
   duty = gt_duty_new (&options);
   gt_store_observe_epoch (&store, 2, "host");
-  run_for (20 * EL_MSEC);
+  loop_run_for (20 * EL_MSEC);
   gt_duty_want (duty, 1);
-  run_for (800 * EL_MSEC);
+  loop_run_for (800 * EL_MSEC);
   ck_assert_uint_eq (store.counts.calls, 0);
   while (!gt_duty_held (duty, net_clock_now (&test_clock)))
     uv_run (&loop, UV_RUN_ONCE);
@@ -406,10 +406,10 @@
   gt_store_t store;
   gt_duty_t *duty;
 
-  SCRIPT ({ GRANTED ("1"), KEEP }, { CLAIMED ("1"), KEEP },
+  SCRIPT ({ GRANTED ("1"), KEEP_ALIVE }, { CLAIMED ("1"), KEEP_ALIVE },
           { "HTTP/1.1 503 Busy\r\nstore-era: 1\r\n"
             "content-length: 0\r\n\r\n",
-            KEEP });
+            KEEP_ALIVE });
   duty = duty_script (&store);
   while (!store.counts.failures)
     uv_run (&loop, UV_RUN_ONCE);
@@ -427,7 +427,7 @@
   TCase *tcase = tcase_create ("epoch");
 
   tcase_set_timeout (tcase, 20);
-  tcase_add_checked_fixture (tcase, script_setup, NULL);
+  tcase_add_checked_fixture (tcase, loop_setup, NULL);
   ADD_LOOP (tcase, test_keys_change_of_a_newer_epoch_counts_at_any_revision,
             3);
   ADD (tcase, test_keys_change_of_a_former_epoch_counts_for_nothing);
--- a/tests/t_spoiled.c
+++ b/tests/t_fuzz_http.c
@@ -118,7 +118,7 @@
     }
   ck_assert_int_ge (fd, 0);
   /* Closing a connection with an unread request resets it. */
-  received = seeds_draw (2) ? -1 : 0;
+  received = seeds_random (2) ? -1 : 0;
   for (iterations = 0; iterations < MAX_ITERATIONS && received < 0;
        iterations++)
     {
@@ -127,9 +127,9 @@
     }
   if (bytes->len)
     ck_assert_int_ge (send (fd, bytes->ptr, bytes->len, MSG_NOSIGNAL), -1);
-  if (seeds_draw (4) == 0)
+  if (seeds_random (4) == 0)
     setsockopt (fd, SOL_SOCKET, SO_LINGER, &reset, sizeof reset);
-  if (seeds_draw (8) == 0) /* left open until the time limit */
+  if (seeds_random (8) == 0) /* left open until the time limit */
     for (iterations = 0; iterations < MAX_ITERATIONS && !completions;
          iterations++)
       uv_run (&loop, UV_RUN_NOWAIT);
@@ -148,7 +148,7 @@
                          .timeout = ANSWER_LIMIT,
                          .done = answer_done };
   el_buf_t bytes
-      = seeds_spoil (answers[seed % (sizeof answers / sizeof *answers)]);
+      = seeds_mutate (answers[seed % (sizeof answers / sizeof *answers)]);
   int iterations;
 
   completions = 0;
@@ -168,7 +168,7 @@
   el_buf_free (&bytes);
 }
 
-START_TEST (test_spoiled_answers_end_once) { seeds_run (fuzz_answer); }
+START_TEST (test_fuzz_http_answers_complete_once) { seeds_run (fuzz_answer); }
 END_TEST
 
 /* Send BYTES to the server; returns the length of what it answered in OUT
@@ -200,7 +200,7 @@
 fuzz_request (uint64_t seed)
 {
   el_buf_t bytes
-      = seeds_spoil (requests[seed % (sizeof requests / sizeof *requests)]);
+      = seeds_mutate (requests[seed % (sizeof requests / sizeof *requests)]);
   char answer[4096];
 
   request_send (bytes.ptr, bytes.len, answer, sizeof answer);
@@ -212,19 +212,22 @@
                  (unsigned long long)seed, answer);
 }
 
-START_TEST (test_spoiled_requests_harm_nobody) { seeds_run (fuzz_request); }
+START_TEST (test_fuzz_http_requests_leave_server_working)
+{
+  seeds_run (fuzz_request);
+}
 END_TEST
 
 Suite *
-spoiled_suite (void)
+fuzz_http_suite (void)
 {
   Suite *suite = suite_create ("fuzz_http");
   TCase *tcase = tcase_create ("fuzz_http");
 
   tcase_set_timeout (tcase, (double)seeds_env ("ELMARCH_SEEDS_S", 60));
   tcase_add_checked_fixture (tcase, fuzz_setup, NULL);
-  ADD (tcase, test_spoiled_answers_end_once);
-  ADD (tcase, test_spoiled_requests_harm_nobody);
+  ADD (tcase, test_fuzz_http_answers_complete_once);
+  ADD (tcase, test_fuzz_http_requests_leave_server_working);
   suite_add_tcase (suite, tcase);
   return suite;
 }
--- a/tests/t_load.c
+++ b/tests/t_load.c
@@ -269,7 +269,7 @@
 /* A hall without most of its large engines: streams take 3.6 s instead of 2.3,
    and one of the two first engines leads to the faster pipeline. 80 streams
    per second are 288 at a time, for 384 slots. */
-START_TEST (test_load_places_of_all_first_engines_are_used)
+START_TEST (test_load_slots_of_all_first_engines_are_used)
 {
   unsigned at;
 
@@ -351,7 +351,7 @@
   TCase *tcase = tcase_create ("load");
 
   tcase_add_checked_fixture (tcase, load_setup, load_teardown);
-  ADD (tcase, test_load_places_of_all_first_engines_are_used);
+  ADD (tcase, test_load_slots_of_all_first_engines_are_used);
   ADD (tcase, test_load_hall_without_its_large_engines);
   suite_add_tcase (suite, tcase);
   return suite;
--- a/tests/t_net.c
+++ b/tests/t_net.c
@@ -100,11 +100,11 @@
 {
   seen_t seen;
 
-  SCRIPT ({ KEPT_ANSWER, KEEP }, { ANSWER_TO_THE_END, END });
+  SCRIPT ({ KEPT_ANSWER, KEEP_ALIVE }, { ANSWER_TO_THE_END, CLOSE });
   ask (&seen);
   ask_late (&seen);
   ck_assert_int_eq (seen.net, NET_OK);
-  SCRIPT ({ KEPT_ANSWER, KEEP }, { ANSWER_TO_THE_END, RESET });
+  SCRIPT ({ KEPT_ANSWER, KEEP_ALIVE }, { ANSWER_TO_THE_END, RESET });
   ask (&seen);
   ask_late (&seen);
   ck_assert_int_eq (seen.net, NET_CONNECTION_LOST);
@@ -116,12 +116,12 @@
 {
   seen_t seen;
 
-  SCRIPT ({ "HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\npart", END },
+  SCRIPT ({ "HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\npart", CLOSE },
           { "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n"
             "4\r\npart\r\n",
-            END },
-          { "garbage that is no answer\r\n\r\n", END },
-          { "HTTP/1.1 200 OK\r\ncontent-le", END });
+            CLOSE },
+          { "garbage that is no answer\r\n\r\n", CLOSE },
+          { "HTTP/1.1 200 OK\r\ncontent-le", CLOSE });
   ask (&seen);
   ck_assert_int_eq (seen.net, NET_CONNECTION_LOST);
   ask (&seen);
@@ -139,8 +139,8 @@
 
   SCRIPT ({ "HTTP/1.1 200 OK\r\nkeep-alive: timeout=9\r\ncontent-length: "
             "1\r\n\r\na",
-            KEEP },
-          { "HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\nb", KEEP });
+            KEEP_ALIVE },
+          { "HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\nb", KEEP_ALIVE });
   ask (&seen);
   ask (&seen);
   ck_assert_int_eq (seen.net, NET_OK);
@@ -159,13 +159,13 @@
           "HTTP/1.1 200 OK\r\nkeep-alive: timeout=0\r\n"
           "content-length: 1\r\n\r\na" };
   static answer_t answers[] = {
-    { NULL, KEEP },
-    { "HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\nb", KEEP },
+    { NULL, KEEP_ALIVE },
+    { "HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\nb", KEEP_ALIVE },
   };
   seen_t seen;
 
   answers[0].bytes = first[_i];
-  script_open (answers, 2);
+  script_start (answers, 2);
   ask (&seen);
   ask (&seen);
   ck_assert_int_eq (seen.net, NET_OK);
@@ -181,8 +181,8 @@
   SCRIPT ({ "HTTP/1.1 200 OK\r\nkeep-alive: timeout=9\r\ncontent-length: "
             "1\r\n\r\na"
             "HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\nz",
-            KEEP },
-          { "HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\nb", KEEP });
+            KEEP_ALIVE },
+          { "HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\nb", KEEP_ALIVE });
   ask (&seen);
   ck_assert_int_eq (seen.net, NET_OK);
   ask (&seen);
@@ -207,8 +207,8 @@
 
   SCRIPT ({ "HTTP/1.1 200 OK\r\nkeep-alive: timeout=9\r\ncontent-length: "
             "1\r\n\r\na",
-            KEEP },
-          { "HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\nb", KEEP });
+            KEEP_ALIVE },
+          { "HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\nb", KEEP_ALIVE });
   ask (&seen);
   memset (&seen, 0, sizeof seen);
   send.address = el_str (script.address);
@@ -227,7 +227,7 @@
 {
   seen_t seen;
 
-  SCRIPT ({ "", END });
+  SCRIPT ({ "", CLOSE });
   close (script.listener);
   shutdown (script.listener, SHUT_RDWR);
   snprintf (script.address, sizeof script.address, "127.0.0.1:1");
@@ -398,7 +398,7 @@
   TCase *tcase = tcase_create ("net");
 
   tcase_set_timeout (tcase, 60);
-  tcase_add_checked_fixture (tcase, script_setup, NULL);
+  tcase_add_checked_fixture (tcase, loop_setup, NULL);
   ADD (tcase, test_client_tells_a_reset_from_an_end);
   ADD (tcase, test_client_answer_cut_short_is_broken);
   ADD (tcase, test_client_keeps_a_connection);
--- a/tests/t_seeded.c
+++ b/tests/t_random.c
@@ -57,7 +57,7 @@
 static void
 fuzz_parsers (uint64_t seed)
 {
-  el_buf_t text = seeds_spoil (rules_text);
+  el_buf_t text = seeds_mutate (rules_text);
   relay_events_t events = { { NULL, 0, 0 } };
   net_result_t result = { .net = NET_OK, .status = 200 };
   gt_store_list_t list = { 0 };
@@ -70,19 +70,19 @@
   (void)seed;
   rt_rules_unref (pf_rules_read (el_buf_str (&text), &err));
   el_buf_free (&text);
-  text = seeds_spoil (entry_text);
+  text = seeds_mutate (entry_text);
   if (pf_attrs_read (EL_STR ("servers/x"), el_buf_str (&text), &attrs, &keep,
                      &err))
     ck_assert_uint_le (attrs.first, attrs.end);
   json_decref (keep);
   el_buf_free (&text);
-  text = seeds_spoil (list_text);
+  text = seeds_mutate (list_text);
   result.body = el_buf_str (&text);
   pf_store.read_list (&result, &list);
   gt_store_list_free (&list);
   el_buf_free (&text);
-  text = seeds_spoil (events_text);
-  cut = seeds_draw ((unsigned)text.len + 1);
+  text = seeds_mutate (events_text);
+  cut = seeds_random ((unsigned)text.len + 1);
   relay_events_add (&events, (el_str_t){ text.ptr, cut }, count_bytes, &bytes);
   relay_events_add (&events, el_str_after (el_buf_str (&text), cut),
                     count_bytes, &bytes);
@@ -91,7 +91,7 @@
   el_buf_free (&text);
 }
 
-START_TEST (test_spoiled_input_harms_nothing) { seeds_run (fuzz_parsers); }
+START_TEST (test_random_mutated_input_is_safe) { seeds_run (fuzz_parsers); }
 END_TEST
 
 /* Layer placement under lost, leaving and silent engines, and orders that are
@@ -148,7 +148,7 @@
   *engine = (sim_engine_t){ .live = 1 };
   snprintf (engine->id, sizeof engine->id, "e%zu", sim.n++);
   attrs.id = el_str (engine->id);
-  attrs.card = cards[seeds_draw (3)].name;
+  attrs.card = cards[seeds_random (3)].name;
   rt_fleet_update (sim.fleet, &attrs);
 }
 
@@ -192,12 +192,12 @@
   ck_assert ((order->end - order->first) * 1750.0 <= card->memory_mb);
   for (i = 0; i < ORDERS_MAX && sim.orders[i].due >= 0; i++)
     ;
-  if (i == ORDERS_MAX || seeds_draw (8) == 0)
+  if (i == ORDERS_MAX || seeds_random (8) == 0)
     return; /* lost */
   sim.orders[i]
       = (sim_order_t){ .order = *order,
                        .orders_done = engine->orders_done,
-                       .due = (int)seeds_draw (seeds_draw (4) ? 2 : 12) };
+                       .due = (int)seeds_random (seeds_random (4) ? 2 : 12) };
   snprintf (sim.orders[i].id, sizeof sim.orders[i].id, "%s", engine->id);
 }
 
@@ -222,11 +222,11 @@
 static void
 random_event (void)
 {
-  sim_engine_t *engine = &sim.engines[seeds_draw ((unsigned)sim.n)];
+  sim_engine_t *engine = &sim.engines[seeds_random ((unsigned)sim.n)];
   rt_target_t *target = engine->live ? engine_target (engine) : NULL;
   size_t i;
 
-  switch (seeds_draw (6))
+  switch (seeds_random (6))
     {
     case 0:
       engine_add ();
@@ -323,7 +323,7 @@
   rt_fleet_free (sim.fleet);
 }
 
-START_TEST (test_placing_comes_to_rest_without_holes)
+START_TEST (test_random_layout_converges_without_missing_layers)
 {
   seeds_run (fuzz_planner);
 }
@@ -334,9 +334,9 @@
 static void
 fuzz_attempts (uint64_t seed)
 {
-  const rt_rule_t rule = { .kind = (rt_rule_kind_t)seeds_draw (3),
-                           .attempts = 1 + seeds_draw (3),
-                           .resumable = (int)seeds_draw (2) };
+  const rt_rule_t rule = { .kind = (rt_rule_kind_t)seeds_random (3),
+                           .attempts = 1 + seeds_random (3),
+                           .resumable = (int)seeds_random (2) };
   rt_attempts_t course = { 0, 0 };
   rt_attempt_t attempt;
   unsigned may_run = 0;
@@ -347,16 +347,16 @@
 
   while (next == RT_NEXT_RETRY)
     {
-      attempt = (rt_attempt_t){ .verdict = (el_verdict_t)seeds_draw (3) };
+      attempt = (rt_attempt_t){ .verdict = (el_verdict_t)seeds_random (3) };
       if (attempt.verdict == EL_RAN)
         {
           attempt.answered = 1;
-          attempt.failed = (int)seeds_draw (2);
+          attempt.failed = (int)seeds_random (2);
         }
       sent++;
       may_run += attempt.verdict != EL_NOT_RUN;
-      next = rt_attempts_next (&course, &rule, &attempt, (int)seeds_draw (4),
-                               seeds_draw (100) * EL_MSEC);
+      next = rt_attempts_next (&course, &rule, &attempt, (int)seeds_random (4),
+                               seeds_random (100) * EL_MSEC);
       ck_assert_msg (sent <= 8, "seed %lu: retries do not end",
                      (unsigned long)seed);
       ck_assert_msg (may_run <= (repeatable ? rule.attempts : 1),
@@ -369,22 +369,22 @@
     }
 }
 
-START_TEST (test_attempts_in_any_order_keep_the_promises)
+START_TEST (test_random_attempts_keep_retry_guarantees)
 {
   seeds_run (fuzz_attempts);
 }
 END_TEST
 
 Suite *
-seeded_suite (void)
+random_suite (void)
 {
   Suite *suite = suite_create ("random");
   TCase *tcase = tcase_create ("random");
 
   tcase_set_timeout (tcase, (double)seeds_env ("ELMARCH_SEEDS_S", 60));
-  ADD (tcase, test_spoiled_input_harms_nothing);
-  ADD (tcase, test_placing_comes_to_rest_without_holes);
-  ADD (tcase, test_attempts_in_any_order_keep_the_promises);
+  ADD (tcase, test_random_mutated_input_is_safe);
+  ADD (tcase, test_random_layout_converges_without_missing_layers);
+  ADD (tcase, test_random_attempts_keep_retry_guarantees);
   suite_add_tcase (suite, tcase);
   return suite;
 }
--- a/tests/t_relay.c
+++ b/tests/t_relay.c
@@ -142,7 +142,7 @@
 
 /* Endpoint selection. */
 
-START_TEST (test_pick_leaves_out_the_leaving_and_the_tried)
+START_TEST (test_pick_skips_leaving_and_tried_endpoints)
 {
   rt_target_t *a = add_worker ("a");
   rt_target_t *b = add_worker ("b");
@@ -157,7 +157,7 @@
 }
 END_TEST
 
-START_TEST (test_pick_avoids_the_failing_but_never_all)
+START_TEST (test_pick_avoids_failing_endpoints_unless_all_fail)
 {
   rt_target_t *a = add_worker ("a");
   rt_target_t *b = add_worker ("b");
@@ -177,7 +177,7 @@
 }
 END_TEST
 
-START_TEST (test_endpoint_that_leaves_does_not_come_back)
+START_TEST (test_pick_leaving_endpoint_stays_excluded)
 {
   rt_target_t *a = add_worker ("a");
 
@@ -189,7 +189,7 @@
 
 /* Pipelines. */
 
-START_TEST (test_line_covers_each_layer_once)
+START_TEST (test_chain_covers_each_layer_once)
 {
   rt_chain_t line;
 
@@ -204,7 +204,7 @@
 }
 END_TEST
 
-START_TEST (test_line_stays_in_the_callers_hall)
+START_TEST (test_chain_stays_in_the_callers_hall)
 {
   rt_order_t orders[64];
   rt_chain_t line;
@@ -227,7 +227,7 @@
 
 /* Streams leave a hall whose memory is nearly full for another hall, but only
    while the link between halls has bandwidth to spare. */
-START_TEST (test_line_leaves_a_full_hall_while_the_pipe_carries)
+START_TEST (test_chain_leaves_full_hall_while_link_has_capacity)
 {
   const rt_load_t full = { .fill = 0.85, .pace = 1 };
   rt_order_t orders[64];
@@ -252,7 +252,7 @@
 }
 END_TEST
 
-START_TEST (test_line_takes_engines_set_aside_rather_than_none)
+START_TEST (test_chain_uses_avoided_engines_as_last_resort)
 {
   rt_target_t *a = add_engine ("a", "h", "large", 0, 80);
   rt_chain_t line;
@@ -267,7 +267,7 @@
 /* Engines with random, overlapping layer ranges: a pipeline that is picked
    covers all layers and uses no engine twice; none is found only if some layer
    is held by no engine. */
-START_TEST (test_line_any_layout_is_covered_or_refused)
+START_TEST (test_chain_random_layout_is_covered_or_refused)
 {
   unsigned cover[LAYERS] = { 0 };
   char id[16];
@@ -310,7 +310,7 @@
 }
 END_TEST
 
-START_TEST (test_line_around_keeps_what_it_can)
+START_TEST (test_chain_reroute_keeps_other_engines)
 {
   rt_target_t *a = add_engine ("a", "h", "large", 0, 40);
   rt_target_t *b = add_engine ("b", "h", "small", 40, 60);
@@ -335,7 +335,7 @@
 }
 END_TEST
 
-START_TEST (test_line_full_engine_is_left_to_its_copy)
+START_TEST (test_chain_prefers_replica_of_full_engine)
 {
   rt_target_t *a = add_engine ("a", "h", "small", 0, 6);
   rt_target_t *b = add_engine ("b", "h", "small", 0, 6);
@@ -352,7 +352,7 @@
 }
 END_TEST
 
-START_TEST (test_line_slow_engine_is_left_to_its_copy)
+START_TEST (test_chain_prefers_replica_of_slow_engine)
 {
   rt_target_t *a = add_engine ("a", "h", "small", 0, 6);
   rt_target_t *b = add_engine ("b", "h", "small", 0, 6);
@@ -371,7 +371,7 @@
 
 /* An engine with an overdue health check is avoided while there is another,
    also when a stream is rerouted. */
-START_TEST (test_line_doubtful_engine_is_passed_by)
+START_TEST (test_chain_avoids_engine_with_overdue_check)
 {
   rt_target_t *a = add_engine ("a", "h", "small", 6, 12);
   rt_target_t *b = add_engine ("b", "h", "small", 6, 12);
@@ -402,7 +402,7 @@
 
 /* The memory use that an engine reports overrides this host's own estimate.
    Streams sent since the report are scaled up to all hosts. */
-START_TEST (test_line_reported_fill_decides)
+START_TEST (test_chain_uses_reported_memory_fill)
 {
   rt_load_t full = { .fill = 0.95, .pace = 1 };
   rt_load_t old = { .fill = 0.1, .pace = 1 };
@@ -434,7 +434,7 @@
 
 /* Prompts waiting for prefill divert new streams to a replica, until the
    stream's first event or its end. */
-START_TEST (test_line_waiting_prompts_send_streams_to_a_copy)
+START_TEST (test_chain_prefers_replica_while_prompts_wait)
 {
   rt_target_t *a = add_engine ("a", "h", "small", 0, 6);
   rt_target_t *b = add_engine ("b", "h", "small", 0, 6);
@@ -460,7 +460,7 @@
 
 /* A rerouted stream repeats the prefill only on the engines that are new in
    its pipeline. */
-START_TEST (test_line_moved_reads_only_in_new_parts)
+START_TEST (test_chain_reroute_prefills_only_new_engines)
 {
   rt_target_t *b;
   rt_tried_t tried = { .n = 0 };
@@ -487,7 +487,7 @@
 }
 END_TEST
 
-START_TEST (test_line_in_use_counts_as_held)
+START_TEST (test_chain_in_use_is_accounted_on_its_engine)
 {
   rt_target_t *a = add_engine ("a", "h", "large", 0, 80);
   rt_chain_t line;
@@ -550,7 +550,7 @@
 
 /* Memory that a hall does not need for its layers and a quarter more as
    replicas is left for streams, up to what an engine's slots can use. */
-START_TEST (test_layout_memory_is_room_once_there_are_copies)
+START_TEST (test_layout_leaves_memory_for_streams)
 {
   rt_order_t orders[64];
   unsigned layers = 0;
@@ -577,7 +577,7 @@
 
 /* Pipelines use the engines with the lowest time per token and layer; slow
    engines hold replicas, however large their memory. */
-START_TEST (test_layout_quick_engines_make_the_line)
+START_TEST (test_layout_chain_uses_fast_engines)
 {
   rt_order_t orders[64];
   rt_chain_t line;
@@ -596,7 +596,7 @@
 }
 END_TEST
 
-START_TEST (test_layout_counts_orders_under_way)
+START_TEST (test_layout_counts_pending_orders)
 {
   rt_target_t *a = add_engine ("a", "h", "large", 0, 0);
   const rt_order_t pending = { a, 0, 16 };
@@ -612,7 +612,7 @@
 
 /* When a hall loses an engine for good, spare replicas are moved to cover the
    missing layers. */
-START_TEST (test_layout_moves_spare_copies_into_a_hole)
+START_TEST (test_layout_moves_spare_replicas_to_missing_layers)
 {
   static const char *const lost[] = { "b-large-0", "b-middle-2", "b-small-0" };
   rt_order_t orders[64];
@@ -633,7 +633,7 @@
 }
 END_TEST
 
-START_TEST (test_layout_moves_nothing_while_a_hall_has_orders)
+START_TEST (test_layout_moves_nothing_while_orders_are_pending)
 {
   rt_order_t orders[64];
   rt_order_t pending;
@@ -656,28 +656,28 @@
   TCase *tcase = tcase_create ("relay");
 
   tcase_add_checked_fixture (tcase, relay_setup, relay_teardown);
-  ADD (tcase, test_pick_leaves_out_the_leaving_and_the_tried);
-  ADD (tcase, test_pick_avoids_the_failing_but_never_all);
-  ADD (tcase, test_endpoint_that_leaves_does_not_come_back);
-  ADD (tcase, test_line_covers_each_layer_once);
-  ADD (tcase, test_line_stays_in_the_callers_hall);
-  ADD (tcase, test_line_leaves_a_full_hall_while_the_pipe_carries);
-  ADD (tcase, test_line_takes_engines_set_aside_rather_than_none);
-  ADD_LOOP (tcase, test_line_any_layout_is_covered_or_refused, SEEDS);
-  ADD (tcase, test_line_around_keeps_what_it_can);
-  ADD (tcase, test_line_full_engine_is_left_to_its_copy);
-  ADD (tcase, test_line_slow_engine_is_left_to_its_copy);
-  ADD (tcase, test_line_doubtful_engine_is_passed_by);
-  ADD (tcase, test_line_reported_fill_decides);
-  ADD (tcase, test_line_waiting_prompts_send_streams_to_a_copy);
-  ADD (tcase, test_line_moved_reads_only_in_new_parts);
-  ADD (tcase, test_line_in_use_counts_as_held);
+  ADD (tcase, test_pick_skips_leaving_and_tried_endpoints);
+  ADD (tcase, test_pick_avoids_failing_endpoints_unless_all_fail);
+  ADD (tcase, test_pick_leaving_endpoint_stays_excluded);
+  ADD (tcase, test_chain_covers_each_layer_once);
+  ADD (tcase, test_chain_stays_in_the_callers_hall);
+  ADD (tcase, test_chain_leaves_full_hall_while_link_has_capacity);
+  ADD (tcase, test_chain_uses_avoided_engines_as_last_resort);
+  ADD_LOOP (tcase, test_chain_random_layout_is_covered_or_refused, SEEDS);
+  ADD (tcase, test_chain_reroute_keeps_other_engines);
+  ADD (tcase, test_chain_prefers_replica_of_full_engine);
+  ADD (tcase, test_chain_prefers_replica_of_slow_engine);
+  ADD (tcase, test_chain_avoids_engine_with_overdue_check);
+  ADD (tcase, test_chain_uses_reported_memory_fill);
+  ADD (tcase, test_chain_prefers_replica_while_prompts_wait);
+  ADD (tcase, test_chain_reroute_prefills_only_new_engines);
+  ADD (tcase, test_chain_in_use_is_accounted_on_its_engine);
   ADD (tcase, test_layout_covers_every_hall_within_memory);
-  ADD_LOOP (tcase, test_layout_memory_is_room_once_there_are_copies, 2);
-  ADD (tcase, test_layout_quick_engines_make_the_line);
-  ADD (tcase, test_layout_counts_orders_under_way);
-  ADD_LOOP (tcase, test_layout_moves_spare_copies_into_a_hole, 3);
-  ADD (tcase, test_layout_moves_nothing_while_a_hall_has_orders);
+  ADD_LOOP (tcase, test_layout_leaves_memory_for_streams, 2);
+  ADD (tcase, test_layout_chain_uses_fast_engines);
+  ADD (tcase, test_layout_counts_pending_orders);
+  ADD_LOOP (tcase, test_layout_moves_spare_replicas_to_missing_layers, 3);
+  ADD (tcase, test_layout_moves_nothing_while_orders_are_pending);
   suite_add_tcase (suite, tcase);
   return suite;
 }
--- a/tests/t_course.c
+++ b/tests/t_retry.c
@@ -72,7 +72,7 @@
 
 /* Retry decisions. */
 
-START_TEST (test_course_unsafe_runs_once)
+START_TEST (test_retry_unsafe_request_runs_once)
 {
   const rt_rule_t rule = { .kind = RT_UNSAFE, .attempts = 3 };
   const rt_attempt_t lost = { .verdict = EL_MAY_HAVE_RUN };
@@ -86,7 +86,7 @@
 }
 END_TEST
 
-START_TEST (test_course_refusal_is_said_only_when_nothing_ran)
+START_TEST (test_retry_refuses_only_if_nothing_ran)
 {
   const rt_rule_t rule = { .kind = RT_SAFE, .attempts = 2 };
   const rt_attempt_t lost = { .verdict = EL_MAY_HAVE_RUN };
@@ -105,7 +105,7 @@
 
 /* A caller that has part of its stream has more to lose: refusals are retried
    more often than before the first event. */
-START_TEST (test_course_stream_that_began_is_offered_longer)
+START_TEST (test_retry_begun_stream_gets_more_sends)
 {
   const rt_rule_t rule = { .kind = RT_STREAM, .resumable = 1, .attempts = 2 };
   const rt_attempt_t lost = { .verdict = EL_MAY_HAVE_RUN, .begun = 1 };
@@ -129,7 +129,7 @@
                     RT_NEXT_FAIL);
 }
 END_TEST
-START_TEST (test_course_keeps_to_the_rules_attempts)
+START_TEST (test_retry_respects_max_attempts)
 {
   const rt_rule_t rule = { .kind = RT_SAFE, .attempts = 2 };
   const rt_attempt_t lost = { .verdict = EL_MAY_HAVE_RUN };
@@ -144,7 +144,7 @@
 }
 END_TEST
 
-START_TEST (test_course_stream_goes_on_only_when_resumable)
+START_TEST (test_retry_resumes_only_resumable_streams)
 {
   rt_rule_t rule = { .kind = RT_STREAM, .attempts = 2, .resumable = 1 };
   const rt_attempt_t lost = { .verdict = EL_MAY_HAVE_RUN };
@@ -161,7 +161,7 @@
 
 /* Over all hosts and in any window, retries do not exceed requests * ratio +
    slack. */
-START_TEST (test_spend_holds_over_hosts_and_windows)
+START_TEST (test_retry_budget_holds_over_hosts_and_windows)
 {
   enum
   {
@@ -204,7 +204,7 @@
 
 /* A restarted host takes none of the slack in its first window, as the process
    before it may have spent its share. */
-START_TEST (test_spend_restart_brings_no_slack)
+START_TEST (test_retry_budget_restart_grants_no_slack)
 {
   const el_time_t born = 20 * EL_SEC;
   unsigned retries = 0;
@@ -222,20 +222,20 @@
 END_TEST
 
 Suite *
-course_suite (void)
+retry_suite (void)
 {
   Suite *suite = suite_create ("retry");
   TCase *tcase = tcase_create ("retry");
 
   ADD (tcase, test_rules_longest_prefix_of_the_host_wins);
   ADD (tcase, test_rules_split_follows_the_weights);
-  ADD (tcase, test_course_unsafe_runs_once);
-  ADD (tcase, test_course_refusal_is_said_only_when_nothing_ran);
-  ADD (tcase, test_course_stream_that_began_is_offered_longer);
-  ADD (tcase, test_course_keeps_to_the_rules_attempts);
-  ADD (tcase, test_course_stream_goes_on_only_when_resumable);
-  ADD (tcase, test_spend_holds_over_hosts_and_windows);
-  ADD (tcase, test_spend_restart_brings_no_slack);
+  ADD (tcase, test_retry_unsafe_request_runs_once);
+  ADD (tcase, test_retry_refuses_only_if_nothing_ran);
+  ADD (tcase, test_retry_begun_stream_gets_more_sends);
+  ADD (tcase, test_retry_respects_max_attempts);
+  ADD (tcase, test_retry_resumes_only_resumable_streams);
+  ADD (tcase, test_retry_budget_holds_over_hosts_and_windows);
+  ADD (tcase, test_retry_budget_restart_grants_no_slack);
   suite_add_tcase (suite, tcase);
   return suite;
 }
--- a/tests/t_starts.c
+++ b/tests/t_starts.c
@@ -166,11 +166,13 @@
   for (i = 0; i < 3; i++)
     {
       text = entry_with (
-          fields[seeds_draw (sizeof fields / sizeof *fields)],
-          seeds_draw (8) ? others[seeds_draw (sizeof others / sizeof *others)]
-                         : NULL);
-      spoiled = seeds_draw (2) ? seeds_spoil (text) : (el_buf_t){ NULL, 0, 0 };
-      if (pf_attrs_read (seeds_draw (2) ? KEY : EL_STR ("servers/e2"),
+          fields[seeds_random (sizeof fields / sizeof *fields)],
+          seeds_random (8)
+              ? others[seeds_random (sizeof others / sizeof *others)]
+              : NULL);
+      spoiled
+          = seeds_random (2) ? seeds_mutate (text) : (el_buf_t){ NULL, 0, 0 };
+      if (pf_attrs_read (seeds_random (2) ? KEY : EL_STR ("servers/e2"),
                          spoiled.ptr ? el_buf_str (&spoiled) : el_str (text),
                          &attrs, &keep, &err))
         {
--- a/tests/t_store.c
+++ b/tests/t_store.c
@@ -64,14 +64,14 @@
   SCRIPT ({ JSON () "{\"Items\":[{\"Key\":\"p/a\",\"Value\":\"\","
                     "\"Revision\":1},{\"Key\":\"p/b\",\"Value\":\"\","
                     "\"Revision\":2}],\"more\":false,\"at\":2}",
-            END },
+            CLOSE },
           { JSON () "{\"events\":[{\"Key\":\"p/a\",\"Value\":\"\","
                     "\"Revision\":3}],\"at\":3}",
-            END },
-          { "HTTP/1.1 410 Gone\r\nconnection: close\r\n\r\n", END },
+            CLOSE },
+          { "HTTP/1.1 410 Gone\r\nconnection: close\r\n\r\n", CLOSE },
           { JSON () "{\"Items\":[{\"Key\":\"p/b\",\"Value\":\"\","
                     "\"Revision\":2}],\"more\":false,\"at\":9}",
-            END });
+            CLOSE });
   store.address = el_str (script.address);
   follow = gt_follow_new (&options);
   while (seen.enough)
@@ -100,14 +100,14 @@
 
   SCRIPT ({ JSON () "{\"Items\":[{\"Key\":\"p/a\",\"Value\":\"\","
                     "\"Revision\":1}],\"more\":true,\"at\":5}",
-            END },
+            CLOSE },
           { JSON () "{\"Items\":[{\"Key\":\"p/b\",\"Value\":\"\","
                     "\"Revision\":8}],\"more\":false,\"at\":8}",
-            END },
+            CLOSE },
           { JSON () "{\"events\":[{\"Key\":\"p/b\",\"Revision\":7,"
                     "\"gone\":true},{\"Key\":\"p/b\",\"Value\":\"\","
                     "\"Revision\":8}],\"at\":8}",
-            END });
+            CLOSE });
   store.address = el_str (script.address);
   follow = gt_follow_new (&options);
   while (seen.enough)
@@ -160,10 +160,10 @@
 
   SCRIPT ({ JSON () "{\"Items\":[{\"Key\":\"p/a\",\"Value\":\"\","
                     "\"Revision\":1}],\"more\":false,\"at\":1}",
-            END },
+            CLOSE },
           { JSON () "{\"events\":[{\"Key\":\"p/b\",\"Value\":\"\","
                     "\"Revision\":2}],\"at\":2}",
-            END });
+            CLOSE });
   store.address = el_str (script.address);
   follow = gt_follow_new (&options);
   while (seen.enough)
@@ -212,8 +212,8 @@
                                   .arg = &host };
   gt_follow_t *follow;
 
-  SCRIPT ({ JSON () "{\"Items\":[],\"more\":false,\"at\":1}", END },
-          { BUSY (), END }, { BUSY (), END }, { BUSY (), END });
+  SCRIPT ({ JSON () "{\"Items\":[],\"more\":false,\"at\":1}", CLOSE },
+          { BUSY (), CLOSE }, { BUSY (), CLOSE }, { BUSY (), CLOSE });
   store.address = el_str (script.address);
   follow = gt_follow_new (&options);
   while (host.asked < 5)
@@ -256,10 +256,10 @@
 
   SCRIPT ({ "HTTP/1.1 429 Busy\r\nretry-after: 0.5\r\n"
             "connection: close\r\n\r\n",
-            END },
+            CLOSE },
           { "HTTP/1.1 503 Busy\r\nretry-after: 3600\r\n"
             "content-length: 0\r\n\r\n",
-            KEEP });
+            KEEP_ALIVE });
   store.address = el_str (script.address);
   follow = gt_follow_new (&follow_options);
   while (!store.counts.rests)
@@ -267,7 +267,7 @@
   duty = gt_duty_new (&duty_options);
   gt_duty_want (duty, 1);
   gt_store_put_leased (&store, EL_STR ("k"), EL_STR ("v"), 1000, 0);
-  run_for (480 * EL_MSEC);
+  loop_run_for (480 * EL_MSEC);
   ck_assert_uint_eq (store.counts.calls, 1);
   while (store.counts.rests < 2)
     uv_run (&loop, UV_RUN_ONCE);
@@ -295,14 +295,14 @@
   /* What was sent of a body is read with the next request. */
   SCRIPT ({ "HTTP/1.1 200 OK\r\ncontent-length: 25\r\n\r\n"
             "{\"lease\":7,\"ttl_ms\":2000}",
-            KEEP },
+            KEEP_ALIVE },
           { "HTTP/1.1 200 OK\r\ncontent-length: 14\r\n\r\n"
             "{\"Revision\":3}",
-            KEEP });
+            KEEP_ALIVE });
   store.address = el_str (script.address);
   duty = gt_duty_new (&options);
   gt_duty_want (duty, 1);
-  run_for (300 * EL_MSEC);
+  loop_run_for (300 * EL_MSEC);
   ck_assert_uint_eq (store.counts.calls, 0);
   vacant = 1;
   while (!gt_duty_held (duty, net_clock_now (&test_clock)))
@@ -318,7 +318,7 @@
   TCase *tcase = tcase_create ("store");
 
   tcase_set_timeout (tcase, 60);
-  tcase_add_checked_fixture (tcase, script_setup, NULL);
+  tcase_add_checked_fixture (tcase, loop_setup, NULL);
   ADD (tcase, test_follow_key_that_vanished_unseen_is_gone);
   ADD (tcase, test_follow_reads_pages_and_ignores_older_events);
   ADD (tcase, test_follow_news_too_old_have_the_store_asked);
