--- a/tests/rumor_net.c
+++ b/tests/rumor_net.c
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Rumors on a network of events.
+ * Simulation of rumor spreading between hosts.
  */
 #include "rumor_net.h"
 
@@ -11,14 +11,14 @@
 #include <string.h>
 
 #define LATENCY_MAX (5 * EL_MSEC)
-#define RESEND_AFTER (200 * EL_MSEC)
-#define COMPARE_EVERY (500 * EL_MSEC)
-#define HOLD (600 * EL_SEC)
-#define STEP EL_MSEC
+#define RETRANSMIT_DELAY (200 * EL_MSEC)
+#define SYNC_PERIOD (500 * EL_MSEC)
+#define RUMOR_LIFETIME (600 * EL_SEC)
+#define STEP_TIME EL_MSEC
 #define FANOUT 6
-#define BODY EL_STR ("what all should know soon")
+#define RUMOR_BODY EL_STR ("what all should know soon")
 
-/* A message on its way: rumors, or a question for all. */
+/* A message in transit: rumors, or a digest for anti-entropy. */
 typedef struct rumor_msg
 {
   el_timer_t timer;
@@ -26,21 +26,21 @@
   rumor_host_t *to;
   co_rumor_t list[CO_RUMORS_BATCH];
   size_t n;
-  int again; /* it is sent once more when it is lost */
-  int compare;
+  int retransmit; /* send once more if it is lost */
+  int has_digest;
   uint64_t digest;
 } rumor_msg_t;
 
 static void msg_arrive (void *arg, el_time_t now);
 
 static double
-net_chance (rumor_net_t *net)
+random_fraction (rumor_net_t *net)
 {
   return (double)(el_random (&net->rng) >> 11) / (double)(1ULL << 53);
 }
 
 static rumor_host_t *
-host_some (rumor_net_t *net, const rumor_host_t *but)
+random_other_host (rumor_net_t *net, const rumor_host_t *but)
 {
   rumor_host_t *host;
 
@@ -51,18 +51,19 @@
 }
 
 static void
-msg_send (rumor_msg_t *msg, el_time_t wait)
+msg_send (rumor_msg_t *msg, el_time_t delay)
 {
   rumor_net_t *net = msg->from->net;
 
   msg->timer = (el_timer_t){ .cb = msg_arrive, .arg = msg };
-  el_timers_set (&net->timers, &msg->timer,
-                 net->now + wait + 1
-                     + (el_time_t)(net_chance (net) * (double)LATENCY_MAX));
+  el_timers_set (
+      &net->timers, &msg->timer,
+      net->now + delay + 1
+          + (el_time_t)(random_fraction (net) * (double)LATENCY_MAX));
 }
 
 static void
-take_visit (void *arg, const co_rumor_t *rumor)
+hear_visit (void *arg, const co_rumor_t *rumor)
 {
   rumor_host_t *to = arg;
 
@@ -76,12 +77,13 @@
   rumor_net_t *net = msg->from->net;
   size_t i;
 
-  if (msg->from->cut || msg->to->cut || net_chance (net) < net->loss)
+  if (msg->from->isolated || msg->to->isolated
+      || random_fraction (net) < net->loss)
     {
-      if (msg->again)
+      if (msg->retransmit)
         {
-          msg->again = 0;
-          msg_send (msg, RESEND_AFTER);
+          msg->retransmit = 0;
+          msg_send (msg, RETRANSMIT_DELAY);
         }
       else
         free (msg);
@@ -89,8 +91,8 @@
     }
   for (i = 0; i < msg->n; i++)
     co_rumors_hear (msg->to->rumors, now, &msg->list[i]);
-  if (msg->compare && co_rumors_behind (msg->to->rumors, now, msg->digest))
-    co_rumors_visit (msg->from->rumors, take_visit, msg->to);
+  if (msg->has_digest && co_rumors_behind (msg->to->rumors, now, msg->digest))
+    co_rumors_visit (msg->from->rumors, hear_visit, msg->to);
   free (msg);
 }
 
@@ -107,13 +109,13 @@
     {
       msg = calloc (1, sizeof *msg);
       msg->from = host;
-      msg->to = host_some (net, host);
-      msg->again = 1;
+      msg->to = random_other_host (net, host);
+      msg->retransmit = 1;
       msg->n = n;
       for (i = 0; i < n; i++)
         {
           msg->list[i] = list[i];
-          msg->list[i].body = BODY;
+          msg->list[i].body = RUMOR_BODY;
           host->bytes += list[i].body.len;
         }
       msg_send (msg, 0);
@@ -126,9 +128,9 @@
   rumor_host_t *host = arg;
 
   (void)rumor;
-  host->known++;
-  if (!host->heard)
-    host->heard = host->net->now;
+  host->nheard++;
+  if (!host->first_heard_at)
+    host->first_heard_at = host->net->now;
 }
 
 static void
@@ -142,8 +144,8 @@
 
   host->net = net;
   host->rumors = co_rumors_new (&options);
-  host->compare
-      = net->now + (el_time_t)(net_chance (net) * (double)COMPARE_EVERY);
+  host->next_sync
+      = net->now + (el_time_t)(random_fraction (net) * (double)SYNC_PERIOD);
 }
 
 rumor_net_t *
@@ -180,81 +182,84 @@
   free (net);
 }
 
-/** A host tells a rumor of its own. */
+/** Has a host start a rumor of its own. */
 void
 rumor_net_tell (rumor_net_t *net, size_t host, uint64_t id)
 {
-  const co_rumor_t rumor
-      = { .id = id, .at = net->now, .until = net->now + HOLD, .body = BODY };
+  const co_rumor_t rumor = { .id = id,
+                             .at = net->now,
+                             .until = net->now + RUMOR_LIFETIME,
+                             .body = RUMOR_BODY };
 
   co_rumors_tell (net->hosts[host].rumors, net->now, &rumor);
   host_heard (&net->hosts[host], &rumor);
 }
 
-/** A host begins anew and knows nothing. */
+/** Restarts a host, which then knows no rumors. */
 void
-rumor_net_restart (rumor_net_t *net, size_t host)
+rumor_net_restart_host (rumor_net_t *net, size_t host)
 {
   co_rumors_free (net->hosts[host].rumors);
-  net->hosts[host].heard = 0;
-  net->hosts[host].known = 0;
+  net->hosts[host].first_heard_at = 0;
+  net->hosts[host].nheard = 0;
   host_open (net, &net->hosts[host]);
 }
 
-/* Probes carry the digest, and the answer that of the other one. */
+/* Sends the digest of a host to a random peer, and the peer's digest back, as
+   probes and their answers do. */
 static void
-host_compare (rumor_host_t *host)
+host_sync (rumor_host_t *host)
 {
   rumor_net_t *net = host->net;
-  rumor_host_t *other = host_some (net, host);
+  rumor_host_t *other = random_other_host (net, host);
   rumor_msg_t *msg;
-  int back;
+  int reply;
 
-  host->compare = net->now + COMPARE_EVERY;
-  for (back = 0; back < 2; back++)
+  host->next_sync = net->now + SYNC_PERIOD;
+  for (reply = 0; reply < 2; reply++)
     {
       msg = calloc (1, sizeof *msg);
-      msg->from = back ? other : host;
-      msg->to = back ? host : other;
-      msg->compare = 1;
+      msg->from = reply ? other : host;
+      msg->to = reply ? host : other;
+      msg->has_digest = 1;
       msg->digest = co_rumors_digest (msg->from->rumors);
       msg_send (msg, 0);
     }
 }
 
-/** Run to a time. */
+/** Runs the simulation until a given time. */
 void
 rumor_net_run (rumor_net_t *net, el_time_t until)
 {
   size_t i;
 
-  for (; net->now < until; net->now += STEP)
+  for (; net->now < until; net->now += STEP_TIME)
     {
       el_timers_run (&net->timers, net->now);
       for (i = 0; i < net->n; i++)
         {
           if (co_rumors_next (net->hosts[i].rumors) <= net->now)
             co_rumors_tick (net->hosts[i].rumors, net->now);
-          if (net->hosts[i].compare <= net->now)
-            host_compare (&net->hosts[i]);
+          if (net->hosts[i].next_sync <= net->now)
+            host_sync (&net->hosts[i]);
         }
     }
 }
 
-/** Hosts that know so many rumors. */
+/** Returns how many hosts have heard at least a given number of rumors. */
 size_t
-rumor_net_know (const rumor_net_t *net, size_t rumors)
+rumor_net_count_informed (const rumor_net_t *net, size_t rumors)
 {
   size_t n = 0;
   size_t i;
 
   for (i = 0; i < net->n; i++)
-    n += net->hosts[i].known >= rumors;
+    n += net->hosts[i].nheard >= rumors;
   return n;
 }
 
 static int
-time_order (const void *a, const void *b)
+compare_times (const void *a, const void *b)
 {
   const el_time_t *x = a;
   const el_time_t *y = b;
@@ -262,15 +267,17 @@
   return *x < *y ? -1 : *x > *y;
 }
 
-/** By when a part of the hosts had heard the first rumor. */
+/** Returns the time by which a fraction Q of the hosts had heard their first
+    rumor; EL_TIME_NEVER if they had not. */
 el_time_t
 rumor_net_quantile (const rumor_net_t *net, double q)
 {
-  el_time_t times[RUMOR_HOSTS_MOST];
+  el_time_t times[RUMOR_HOSTS_MAX];
   size_t i;
 
   for (i = 0; i < net->n; i++)
-    times[i] = net->hosts[i].heard ? net->hosts[i].heard : EL_TIME_NEVER;
-  qsort (times, net->n, sizeof *times, time_order);
+    times[i] = net->hosts[i].first_heard_at ? net->hosts[i].first_heard_at
+                                            : EL_TIME_NEVER;
+  qsort (times, net->n, sizeof *times, compare_times);
   return times[(size_t)(q * (double)(net->n - 1))];
 }
--- a/tests/suspend.c
+++ b/tests/suspend.c
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Stands in for the C library's clock_gettime in the test program, libuv's
- * calls included.
+ * Replaces the C library's clock_gettime in the test program, for calls from
+ * libuv too.
  */
 #include "suspend.h"
 
@@ -12,17 +12,17 @@
 #include <time.h>
 #include <unistd.h>
 
-static el_time_t suspended;
+static el_time_t suspended_time;
 
 int
-clock_gettime (clockid_t clock, struct timespec *out)
+clock_gettime (clockid_t clock_id, struct timespec *out)
 {
-  long rc = syscall (SYS_clock_gettime, clock, out);
+  long rc = syscall (SYS_clock_gettime, clock_id, out);
 
-  if (rc == 0 && (clock == CLOCK_BOOTTIME || clock == CLOCK_REALTIME))
+  if (rc == 0 && (clock_id == CLOCK_BOOTTIME || clock_id == CLOCK_REALTIME))
     {
-      out->tv_sec += (time_t)(suspended / EL_SEC);
-      out->tv_nsec += (long)(suspended % EL_SEC) * 1000;
+      out->tv_sec += (time_t)(suspended_time / EL_SEC);
+      out->tv_nsec += (long)(suspended_time % EL_SEC) * 1000;
       out->tv_sec += out->tv_nsec / 1000000000;
       out->tv_nsec %= 1000000000;
     }
@@ -32,5 +32,5 @@
 void
 suspend_for (el_time_t span)
 {
-  suspended += span;
+  suspended_time += span;
 }
--- a/tests/suspend.h
+++ b/tests/suspend.h
@@ -3,15 +3,15 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * A host that was suspended, as its process sees it: the steady clock stood
- * still, the clock since boot and the time of day went on.
+ * Simulates the suspension of a host as its processes see it:
+ * CLOCK_MONOTONIC stands still, CLOCK_BOOTTIME and CLOCK_REALTIME advance.
  */
 #ifndef ELMARCH_SUSPEND_H
 #define ELMARCH_SUSPEND_H
 
 #include "base.h"
 
-/** The host was suspended for so long. */
+/** Advances the clocks as if the host had been suspended for SPAN. */
 void suspend_for (el_time_t span);
 
 #endif
--- a/tests/t_base.c
+++ b/tests/t_base.c
@@ -3,7 +3,8 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Tests of the base package.
+ * Tests of the base library: verdicts, the log, timers, histograms and
+ * settings.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -48,7 +49,7 @@
 END_TEST
 
 static void
-timer_note (void *arg, el_time_t now)
+note_timer (void *arg, el_time_t now)
 {
   el_buf_printf (arg, "%llu ", (unsigned long long)now);
 }
@@ -64,7 +65,7 @@
   memset (list, 0, sizeof list);
   for (i = 0; i < 64; i++)
     {
-      list[i].cb = timer_note;
+      list[i].cb = note_timer;
       list[i].arg = &out;
       el_timers_set (&timers, &list[i], (i * 37) % 64 + 1);
     }
@@ -102,48 +103,49 @@
 }
 END_TEST
 
-typedef struct set_out
+typedef struct settings_values
 {
   uint64_t number;
   const char *text;
   int flag;
-} set_out_t;
-
-static const el_set_t set_table[] = {
-  { "number", EL_SET_U64, offsetof (set_out_t, number), "5", 1, 10, 0, "N",
-    "a number" },
-  { "text", EL_SET_STRING, offsetof (set_out_t, text), NULL, 1, 8, 1, "T",
-    "a text" },
-  { "flag", EL_SET_FLAG, offsetof (set_out_t, flag), "0", 0, 1, 0, NULL,
-    "a flag" },
+} settings_values_t;
+
+static const el_set_t settings_table[] = {
+  { "number", EL_SET_U64, offsetof (settings_values_t, number), "5", 1, 10, 0,
+    "N", "a number" },
+  { "text", EL_SET_STRING, offsetof (settings_values_t, text), NULL, 1, 8, 1,
+    "T", "a text" },
+  { "flag", EL_SET_FLAG, offsetof (settings_values_t, flag), "0", 0, 1, 0,
+    NULL, "a flag" },
 };
 
-static const el_set_options_t set_options
-    = { "prog", "TESTSET", "", set_table, 3 };
+static const el_set_options_t settings_options
+    = { "prog", "TESTSET", "", settings_table, 3 };
 
 static el_set_result_t
-settings (const char **argv, int argc, set_out_t *out, el_err_t *err)
+parse_settings (const char **argv, int argc, settings_values_t *out,
+                el_err_t *err)
 {
   memset (out, 0, sizeof *out);
-  return el_set_parse (&set_options, argc, argv, out, NULL, err);
+  return el_set_parse (&settings_options, argc, argv, out, NULL, err);
 }
 
 START_TEST (test_settings_flag_goes_before_variable)
 {
   const char *argv[] = { "prog", "--number=7", "--flag", NULL };
-  set_out_t out;
+  settings_values_t out;
   el_err_t err;
 
   setenv ("TESTSET_NUMBER", "3", 1);
   setenv ("TESTSET_TEXT", "abc", 1);
-  ck_assert_int_eq (settings (argv, 3, &out, &err), EL_SET_RUN);
+  ck_assert_int_eq (parse_settings (argv, 3, &out, &err), EL_SET_RUN);
   ck_assert_uint_eq (out.number, 7);
   ck_assert_str_eq (out.text, "abc");
   ck_assert_int_eq (out.flag, 1);
-  el_set_free (&set_options, &out);
-  ck_assert_int_eq (settings (argv, 1, &out, &err), EL_SET_RUN);
+  el_set_free (&settings_options, &out);
+  ck_assert_int_eq (parse_settings (argv, 1, &out, &err), EL_SET_RUN);
   ck_assert_uint_eq (out.number, 3);
-  el_set_free (&set_options, &out);
+  el_set_free (&settings_options, &out);
   unsetenv ("TESTSET_NUMBER");
   unsetenv ("TESTSET_TEXT");
 }
@@ -157,25 +159,25 @@
                                      "--number=-1",
                                      "--number=99999999999999999999",
                                      "--text=" };
-  set_out_t out;
+  settings_values_t out;
   el_err_t err;
   const char *argv[] = { "prog", "--text=a", bad[_i], NULL };
 
-  ck_assert_int_eq (settings (argv, 3, &out, &err), EL_SET_REFUSED);
+  ck_assert_int_eq (parse_settings (argv, 3, &out, &err), EL_SET_REFUSED);
   ck_assert_ptr_nonnull (strstr (err.msg, _i == 5 ? "--text" : "--number"));
   ck_assert_ptr_nonnull (
       strstr (err.msg, _i == 5 ? "1 to 8 characters" : "from 1 to 10"));
-  el_set_free (&set_options, &out);
+  el_set_free (&settings_options, &out);
 }
 END_TEST
 
 START_TEST (test_settings_required_is_named)
 {
   const char *argv[] = { "prog", NULL };
-  set_out_t out;
+  settings_values_t out;
   el_err_t err;
 
-  ck_assert_int_eq (settings (argv, 1, &out, &err), EL_SET_REFUSED);
+  ck_assert_int_eq (parse_settings (argv, 1, &out, &err), EL_SET_REFUSED);
   ck_assert_ptr_nonnull (strstr (err.msg, "--text: is required"));
 }
 END_TEST
--- a/tests/t_clock.c
+++ b/tests/t_clock.c
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Tests of a host that was suspended for seconds: what it was given for a
- * while is over when it wakes.
+ * Tests of a host that was suspended for seconds: timers, leases and blocks
+ * that ran out meanwhile have ended when it resumes.
  */
 #include <string.h>
 
@@ -15,20 +15,21 @@
 #include "suspend.h"
 #include "test.h"
 
-#define SUSPENDED (5 * EL_SEC)
+#define SUSPEND_TIME (5 * EL_SEC)
 
-static unsigned fired;
+static unsigned nfired;
 
 static void
 timer_fired (void *arg, el_time_t now)
 {
   (void)arg;
   (void)now;
-  fired++;
+  nfired++;
 }
 
-/* The clock goes on, and timers that fell due meanwhile fire at the first turn
-   of the loop that anything else brings about. */
+/* The clock includes the time of the suspension, and timers that fell due
+   meanwhile fire in the next iteration of the event loop, whatever wakes it.
+ */
 START_TEST (test_clock_counts_while_the_host_is_suspended)
 {
   el_timer_t late = { .cb = timer_fired };
@@ -36,26 +37,26 @@
   el_time_t before = net_clock_now (&test_clock);
 
   net_clock_set (&test_clock, &late, 4 * EL_SEC);
-  suspend_for (SUSPENDED);
-  ck_assert_uint_ge (net_clock_now (&test_clock), before + SUSPENDED);
+  suspend_for (SUSPEND_TIME);
+  ck_assert_uint_ge (net_clock_now (&test_clock), before + SUSPEND_TIME);
   net_clock_set (&test_clock, &soon, EL_MSEC);
-  fired = 0;
-  while (fired < 2
-         && net_clock_now (&test_clock) < before + SUSPENDED + EL_SEC)
+  nfired = 0;
+  while (nfired < 2
+         && net_clock_now (&test_clock) < before + SUSPEND_TIME + EL_SEC)
     uv_run (&loop, UV_RUN_ONCE);
-  ck_assert_uint_eq (fired, 2);
+  ck_assert_uint_eq (nfired, 2);
 }
 END_TEST
 
 static int
-vacant_always (void *arg)
+always_vacant (void *arg)
 {
   (void)arg;
   return 1;
 }
 
-/* A duty is leased for two seconds; the holder sleeps for five: it does not
-   believe to have it when it wakes. */
+/* A duty is leased for 2 s and its holder is suspended for 5 s: the holder
+   must not count it as held when it resumes. */
 START_TEST (test_duty_is_over_after_a_suspension)
 {
   gt_store_t store = {
@@ -65,7 +66,7 @@
                                 .key = EL_STR ("elmarch/planner"),
                                 .holder = EL_STR ("h"),
                                 .ttl_ms = 2000,
-                                .vacant = vacant_always };
+                                .vacant = always_vacant };
   gt_duty_t *duty;
 
   SCRIPT ({ "HTTP/1.1 200 OK\r\ncontent-length: 25\r\n\r\n"
@@ -79,13 +80,13 @@
   gt_duty_want (duty, 1);
   while (!gt_duty_held (duty, net_clock_now (&test_clock)))
     uv_run (&loop, UV_RUN_ONCE);
-  suspend_for (SUSPENDED);
+  suspend_for (SUSPEND_TIME);
   ck_assert_int_eq (gt_duty_held (duty, net_clock_now (&test_clock)), 0);
 }
 END_TEST
 
-/* A request that was blocked may come again when its time is over, whether the
-   host slept meanwhile or not. */
+/* A blocked request is admitted again when its block has run out, also where
+   the host was suspended meanwhile. */
 START_TEST (test_block_runs_out_while_the_host_is_suspended)
 {
   const rt_blame_options_t options = { .max_requests = 10,
--- a/tests/t_members.c
+++ b/tests/t_members.c
@@ -215,7 +215,7 @@
 #define DEATH_KNOWN_WITHIN (4 * EL_SEC)
 #define JOIN_KNOWN_WITHIN (4 * EL_SEC)
 #define ISOLATION_TIME (8 * EL_SEC)
-/* A host that was isolated must be up to date again after this time. */
+/* A host that was isolated counts as reconnected after this time. */
 #define RECONNECT_TIME (5 * EL_SEC)
 
 static net_t *
