--- a/tests/t_coord.c
+++ b/tests/t_coord.c
@@ -3,17 +3,18 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Tests of the coordination library.
+ * Tests of session tokens, the request ledger, and the configuration with its
+ * schema.
  */
 #include <stdlib.h>
 #include <string.h>
 
 #include "test.h"
 
-#define KEY EL_STR ("a-key-of-the-hosts")
+#define CLUSTER_KEY EL_STR ("a-key-of-the-hosts")
 
 static co_token_t
-token_sample (void)
+sample_token (void)
 {
   co_token_t token = { .http = EL_STR ("127.0.0.1:8080"),
                        .peer = EL_STR ("127.0.0.1:8081"),
@@ -26,14 +27,14 @@
 
 START_TEST (test_token_reads_back)
 {
-  co_token_t token = token_sample ();
+  co_token_t token = sample_token ();
   co_token_t back;
   el_buf_t text = { NULL, 0, 0 };
   el_err_t err;
 
-  co_token_write (&text, &token, KEY);
-  ck_assert_int_eq (co_token_read (el_buf_str (&text), KEY, &back, &err),
-                    EL_OK);
+  co_token_write (&text, &token, CLUSTER_KEY);
+  ck_assert_int_eq (
+      co_token_read (el_buf_str (&text), CLUSTER_KEY, &back, &err), EL_OK);
   ck_assert (el_str_eq (back.http, token.http));
   ck_assert (el_str_eq (back.customer, token.customer));
   ck_assert_uint_eq (back.session, 42);
@@ -44,23 +45,24 @@
 
 START_TEST (test_token_forged_is_denied)
 {
-  co_token_t token = token_sample ();
+  co_token_t token = sample_token ();
   co_token_t back;
   el_buf_t text = { NULL, 0, 0 };
   el_err_t err;
   size_t i;
 
-  co_token_write (&text, &token, KEY);
+  co_token_write (&text, &token, CLUSTER_KEY);
   for (i = 0; i < text.len; i++)
     {
       text.ptr[i] ^= 1;
-      ck_assert_int_ne (co_token_read (el_buf_str (&text), KEY, &back, &err),
-                        EL_OK);
+      ck_assert_int_ne (
+          co_token_read (el_buf_str (&text), CLUSTER_KEY, &back, &err), EL_OK);
       text.ptr[i] ^= 1;
     }
   for (i = 0; i < text.len; i++)
     ck_assert_int_ne (
-        co_token_read ((el_str_t){ text.ptr, i }, KEY, &back, &err), EL_OK);
+        co_token_read ((el_str_t){ text.ptr, i }, CLUSTER_KEY, &back, &err),
+        EL_OK);
   ck_assert_int_eq (co_token_read (el_buf_str (&text),
                                    EL_STR ("the-key-of-others"), &back, &err),
                     EL_DENIED);
@@ -68,14 +70,14 @@
 }
 END_TEST
 
-static unsigned released;
+static unsigned nreleased;
 
 static void
-answer_release (void *arg, void *answer)
+count_release (void *arg, void *answer)
 {
   (void)arg;
   (void)answer;
-  released++;
+  nreleased++;
 }
 
 static co_ledger_t *
@@ -85,15 +87,16 @@
                                   .max_entries = entries,
                                   .max_bytes = 1000,
                                   .idle = 100,
-                                  .release = answer_release };
+                                  .release = count_release };
 
-  released = 0;
+  nreleased = 0;
   return co_ledger_new (&options);
 }
 
-/* A session that was opened at the tests' own, zero, incarnation. */
+/* The key of a session that was opened at the all-zero incarnation, the one
+   that these tests run as. */
 static const co_session_t *
-key (uint64_t id)
+session_key (uint64_t id)
 {
   static co_session_t session;
 
@@ -102,12 +105,12 @@
 }
 
 static co_led_result_t
-begin (co_ledger_t *ledger, uint64_t session, uint64_t sequence)
+begin_request (co_ledger_t *ledger, uint64_t session, uint64_t sequence)
 {
   void *answer;
 
-  return co_ledger_begin (ledger, 1, key (session), sequence, 5, &released,
-                          &answer);
+  return co_ledger_begin (ledger, 1, session_key (session), sequence, 5,
+                          &nreleased, &answer);
 }
 
 START_TEST (test_ledger_runs_once_and_joins)
@@ -118,17 +121,17 @@
   int first;
 
   co_ledger_open (ledger, 1, EL_STR ("c"), &session, NULL);
+  ck_assert_int_eq (co_ledger_begin (ledger, 1, session_key (session), 1, 5,
+                                     &first, &answer),
+                    CO_LED_RUN);
   ck_assert_int_eq (
-      co_ledger_begin (ledger, 1, key (session), 1, 5, &first, &answer),
-      CO_LED_RUN);
-  ck_assert_int_eq (
-      co_ledger_begin (ledger, 1, key (session), 1, 5, NULL, &answer),
+      co_ledger_begin (ledger, 1, session_key (session), 1, 5, NULL, &answer),
       CO_LED_JOIN);
   ck_assert_ptr_eq (answer, &first);
-  co_ledger_end (ledger, 2, key (session), 1, EL_RAN, 10);
-  ck_assert_int_eq (begin (ledger, session, 1), CO_LED_ANSWER);
+  co_ledger_end (ledger, 2, session_key (session), 1, EL_RAN, 10);
+  ck_assert_int_eq (begin_request (ledger, session, 1), CO_LED_ANSWER);
   ck_assert_int_eq (
-      co_ledger_begin (ledger, 1, key (session), 1, 6, NULL, &answer),
+      co_ledger_begin (ledger, 1, session_key (session), 1, 6, NULL, &answer),
       CO_LED_MISMATCH);
   co_ledger_free (ledger);
 }
@@ -140,12 +143,12 @@
   uint64_t session;
 
   co_ledger_open (ledger, 1, EL_STR ("c"), &session, NULL);
-  begin (ledger, session, 1);
-  co_ledger_end (ledger, 2, key (session), 1, EL_MAY_HAVE_RUN, 10);
-  ck_assert_int_eq (begin (ledger, session, 1), CO_LED_ANSWER);
-  begin (ledger, session, 2);
-  co_ledger_end (ledger, 2, key (session), 2, EL_NOT_RUN, 10);
-  ck_assert_int_eq (begin (ledger, session, 2), CO_LED_RUN);
+  begin_request (ledger, session, 1);
+  co_ledger_end (ledger, 2, session_key (session), 1, EL_MAY_HAVE_RUN, 10);
+  ck_assert_int_eq (begin_request (ledger, session, 1), CO_LED_ANSWER);
+  begin_request (ledger, session, 2);
+  co_ledger_end (ledger, 2, session_key (session), 2, EL_NOT_RUN, 10);
+  ck_assert_int_eq (begin_request (ledger, session, 2), CO_LED_RUN);
   co_ledger_free (ledger);
 }
 END_TEST
@@ -159,12 +162,12 @@
   co_ledger_open (ledger, 1, EL_STR ("c"), &session, NULL);
   for (i = 1; i <= 5; i++)
     {
-      ck_assert_int_eq (begin (ledger, session, i), CO_LED_RUN);
-      co_ledger_end (ledger, 2, key (session), i, EL_RAN, 10);
+      ck_assert_int_eq (begin_request (ledger, session, i), CO_LED_RUN);
+      co_ledger_end (ledger, 2, session_key (session), i, EL_RAN, 10);
     }
   for (i = 1; i <= 3; i++)
-    ck_assert_int_eq (begin (ledger, session, i), CO_LED_FORGOTTEN);
-  ck_assert_int_eq (begin (ledger, session, 5), CO_LED_ANSWER);
+    ck_assert_int_eq (begin_request (ledger, session, i), CO_LED_FORGOTTEN);
+  ck_assert_int_eq (begin_request (ledger, session, 5), CO_LED_ANSWER);
   co_ledger_free (ledger);
 }
 END_TEST
@@ -174,18 +177,20 @@
   co_ledger_t *ledger = ledger_new (2);
   uint64_t session;
 
-  ck_assert_int_eq (begin (ledger, 99, 1), CO_LED_FORGOTTEN);
+  ck_assert_int_eq (begin_request (ledger, 99, 1), CO_LED_FORGOTTEN);
   co_ledger_open (ledger, 1, EL_STR ("c"), &session, NULL);
   co_ledger_expire (ledger, 200);
-  ck_assert_int_eq (begin (ledger, session, 1), CO_LED_FORGOTTEN);
+  ck_assert_int_eq (begin_request (ledger, session, 1), CO_LED_FORGOTTEN);
   co_ledger_open (ledger, 1, EL_STR ("c"), &session, NULL);
-  begin (ledger, session, 1);
-  co_ledger_expire (ledger, 500); /* a running request keeps its session */
-  ck_assert_int_eq (begin (ledger, session, 1), CO_LED_JOIN);
-  ck_assert_int_eq (co_ledger_close (ledger, key (session)), EL_CONFLICT);
-  co_ledger_end (ledger, 2, key (session), 1, EL_RAN, 10);
-  ck_assert_int_eq (co_ledger_close (ledger, key (session)), EL_OK);
-  ck_assert_int_eq (begin (ledger, session, 1), CO_LED_FORGOTTEN);
+  begin_request (ledger, session, 1);
+  co_ledger_expire (ledger,
+                    500); /* a running request keeps its session open */
+  ck_assert_int_eq (begin_request (ledger, session, 1), CO_LED_JOIN);
+  ck_assert_int_eq (co_ledger_close (ledger, session_key (session)),
+                    EL_CONFLICT);
+  co_ledger_end (ledger, 2, session_key (session), 1, EL_RAN, 10);
+  ck_assert_int_eq (co_ledger_close (ledger, session_key (session)), EL_OK);
+  ck_assert_int_eq (begin_request (ledger, session, 1), CO_LED_FORGOTTEN);
   co_ledger_free (ledger);
 }
 END_TEST
@@ -196,18 +201,18 @@
   uint64_t session;
 
   co_ledger_open (ledger, 1, EL_STR ("c"), &session, NULL);
-  begin (ledger, session, 1);
-  begin (ledger, session, 2);
-  ck_assert_int_eq (begin (ledger, session, 3), CO_LED_FULL);
-  co_ledger_end (ledger, 1, key (session), 1, EL_RAN, 10);
-  ck_assert_int_eq (begin (ledger, session, 3), CO_LED_RUN);
-  ck_assert_int_eq (begin (ledger, session, 2), CO_LED_JOIN);
+  begin_request (ledger, session, 1);
+  begin_request (ledger, session, 2);
+  ck_assert_int_eq (begin_request (ledger, session, 3), CO_LED_FULL);
+  co_ledger_end (ledger, 1, session_key (session), 1, EL_RAN, 10);
+  ck_assert_int_eq (begin_request (ledger, session, 3), CO_LED_RUN);
+  ck_assert_int_eq (begin_request (ledger, session, 2), CO_LED_JOIN);
   co_ledger_free (ledger);
 }
 END_TEST
 
-/* Answers take no more memory than they may; what is forgotten never runs
-   again, and what runs is never forgotten. */
+/* Stored answers stay within the memory limit. A request that was evicted
+   never runs again, and one that is running is never evicted. */
 START_TEST (test_ledger_keeps_within_its_memory)
 {
   co_ledger_t *ledger = ledger_new (50);
@@ -217,16 +222,17 @@
 
   co_ledger_open (ledger, 1, EL_STR ("c"), &session, NULL);
   co_ledger_open (ledger, 1, EL_STR ("c"), &other, NULL);
-  begin (ledger, session, 1);
+  begin_request (ledger, session, 1);
   for (i = 2; i <= 40; i++)
     {
-      begin (ledger, i % 2 ? session : other, i);
-      co_ledger_end (ledger, 2, key (i % 2 ? session : other), i, EL_RAN, 100);
+      begin_request (ledger, i % 2 ? session : other, i);
+      co_ledger_end (ledger, 2, session_key (i % 2 ? session : other), i,
+                     EL_RAN, 100);
       ck_assert_uint_le (co_ledger_bytes (ledger), 1000);
     }
-  ck_assert_int_eq (begin (ledger, other, 2), CO_LED_FORGOTTEN);
-  ck_assert_int_eq (begin (ledger, other, 40), CO_LED_ANSWER);
-  ck_assert_int_eq (begin (ledger, session, 1), CO_LED_JOIN);
+  ck_assert_int_eq (begin_request (ledger, other, 2), CO_LED_FORGOTTEN);
+  ck_assert_int_eq (begin_request (ledger, other, 40), CO_LED_ANSWER);
+  ck_assert_int_eq (begin_request (ledger, session, 1), CO_LED_JOIN);
   co_ledger_free (ledger);
 }
 END_TEST
@@ -238,18 +244,18 @@
   uint64_t other;
 
   co_ledger_open (ledger, 1, EL_STR ("c"), &session, NULL);
-  begin (ledger, session, 1);
+  begin_request (ledger, session, 1);
   co_ledger_seal (ledger);
-  ck_assert_int_eq (begin (ledger, session, 1), CO_LED_JOIN);
-  ck_assert_int_eq (begin (ledger, session, 2), CO_LED_SEALED);
+  ck_assert_int_eq (begin_request (ledger, session, 1), CO_LED_JOIN);
+  ck_assert_int_eq (begin_request (ledger, session, 2), CO_LED_SEALED);
   ck_assert_int_eq (co_ledger_open (ledger, 1, EL_STR ("c"), &other, NULL),
                     EL_LIMIT);
   co_ledger_free (ledger);
 }
 END_TEST
 
-/* Arrivals, ends and forgetting in any order never run a number twice unless
-   every earlier run was proved not to have run. */
+/* Whatever the order of arrivals, completions and evictions, a sequence number
+   runs again only if every earlier attempt is proved not to have run. */
 START_TEST (test_ledger_any_order_runs_at_most_once)
 {
   unsigned seed = (unsigned)_i + 1;
@@ -269,11 +275,12 @@
         {
           el_verdict_t verdict = (el_verdict_t)(random () % 3);
 
-          co_ledger_end (ledger, 1, key (session), sequence, verdict, 10);
+          co_ledger_end (ledger, 1, session_key (session), sequence, verdict,
+                         10);
           running[sequence] = 0;
           may_have_run[sequence] |= verdict != EL_NOT_RUN;
         }
-      else if (begin (ledger, session, sequence) == CO_LED_RUN)
+      else if (begin_request (ledger, session, sequence) == CO_LED_RUN)
         {
           ck_assert_msg (!may_have_run[sequence] && !running[sequence],
                          "seed %u step %u: %llu ran twice", seed, step,
@@ -285,66 +292,66 @@
 }
 END_TEST
 
-static unsigned changes;
+static unsigned nchanges;
 
 static void
-config_changed (void *arg, const co_resource_t *prev,
-                const co_resource_t *next)
+count_config_change (void *arg, const co_resource_t *prev,
+                     const co_resource_t *next)
 {
   (void)arg;
   ck_assert (prev || next);
-  changes++;
+  nchanges++;
 }
 
-#define CUSTOMER(hash)                                                        \
+#define CUSTOMER_JSON(hash)                                                   \
   "{\"keyHash\":\"" hash hash hash hash hash hash hash hash "\"}"
-#define CUSTOMER_A CUSTOMER ("aaaaaaaa")
-#define CUSTOMER_B CUSTOMER ("bbbbbbbb")
+#define CUSTOMER_JSON_A CUSTOMER_JSON ("aaaaaaaa")
+#define CUSTOMER_JSON_B CUSTOMER_JSON ("bbbbbbbb")
 
 START_TEST (test_config_never_reverts)
 {
-  co_config_options_t options = { .changed = config_changed };
+  co_config_options_t options = { .changed = count_config_change };
   co_config_t *config = co_config_new (&options);
   el_err_t err;
 
-  changes = 0;
+  nchanges = 0;
   ck_assert_int_eq (
-      co_config_apply (config, test_resource (CO_CUSTOMER, "c", CUSTOMER_B, 7),
-                       &err),
+      co_config_apply (
+          config, test_resource (CO_CUSTOMER, "c", CUSTOMER_JSON_B, 7), &err),
       EL_OK);
   ck_assert_int_eq (
-      co_config_apply (config, test_resource (CO_CUSTOMER, "c", CUSTOMER_A, 6),
-                       &err),
+      co_config_apply (
+          config, test_resource (CO_CUSTOMER, "c", CUSTOMER_JSON_A, 6), &err),
       EL_CONFLICT);
   ck_assert_int_eq (
-      co_config_apply (config, test_resource (CO_CUSTOMER, "c", CUSTOMER_A, 7),
-                       &err),
+      co_config_apply (
+          config, test_resource (CO_CUSTOMER, "c", CUSTOMER_JSON_A, 7), &err),
       EL_CONFLICT);
   ck_assert_uint_eq (
       co_config_get (config, CO_CUSTOMER, EL_STR ("c"))->revision, 7);
   ck_assert_int_eq (
       co_config_remove (config, CO_CUSTOMER, EL_STR ("c"), 9, &err), EL_OK);
   ck_assert_int_eq (
-      co_config_apply (config, test_resource (CO_CUSTOMER, "c", CUSTOMER_A, 8),
-                       &err),
+      co_config_apply (
+          config, test_resource (CO_CUSTOMER, "c", CUSTOMER_JSON_A, 8), &err),
       EL_CONFLICT);
   ck_assert_ptr_null (co_config_get (config, CO_CUSTOMER, EL_STR ("c")));
-  ck_assert_uint_eq (changes, 2);
+  ck_assert_uint_eq (nchanges, 2);
   co_config_free (config);
 }
 END_TEST
 
-/* A host's own change comes before those of others that were made earlier:
-   it must not count as if they had been seen. */
+/* A host applies its own change before it has seen earlier changes by other
+   hosts; its revision must not advance as if it had. */
 START_TEST (test_config_own_change_does_not_skip_others)
 {
-  co_config_options_t options = { .changed = config_changed };
+  co_config_options_t options = { .changed = count_config_change };
   co_config_t *config = co_config_new (&options);
   el_err_t err;
 
   co_config_advance (config, 4);
-  co_config_apply (config, test_resource (CO_CUSTOMER, "c", CUSTOMER_A, 9),
-                   &err);
+  co_config_apply (config,
+                   test_resource (CO_CUSTOMER, "c", CUSTOMER_JSON_A, 9), &err);
   ck_assert_uint_eq (co_config_revision (config), 4);
   co_config_advance (config, 9);
   co_config_advance (config, 3);
@@ -358,7 +365,7 @@
   co_kind_t kind;
   const char *json;
   const char *error;
-} bad_resources[] = {
+} invalid_resources[] = {
   { CO_DEPLOYMENT, "{\"model\":\"m\"}", "layers: is required" },
   { CO_DEPLOYMENT, "{\"model\":\"m\",\"layers\":0}", "layers: takes" },
   { CO_DEPLOYMENT, "{\"model\":7,\"layers\":1}", "model: takes a string" },
@@ -389,13 +396,13 @@
 
 START_TEST (test_schema_error_names_the_field)
 {
-  json_t *json = json_loads (bad_resources[_i].json, 0, NULL);
+  json_t *json = json_loads (invalid_resources[_i].json, 0, NULL);
   el_err_t err = { EL_OK, "" };
 
-  ck_assert_ptr_null (
-      co_resource_parse (bad_resources[_i].kind, EL_STR ("n"), json, 1, &err));
-  ck_assert_msg (strstr (err.msg, bad_resources[_i].error) != NULL,
-                 "'%s' is not in '%s'", bad_resources[_i].error, err.msg);
+  ck_assert_ptr_null (co_resource_parse (invalid_resources[_i].kind,
+                                         EL_STR ("n"), json, 1, &err));
+  ck_assert_msg (strstr (err.msg, invalid_resources[_i].error) != NULL,
+                 "'%s' is not in '%s'", invalid_resources[_i].error, err.msg);
   json_decref (json);
 }
 END_TEST
@@ -419,7 +426,7 @@
   ADD (tcase, test_config_never_reverts);
   ADD (tcase, test_config_own_change_does_not_skip_others);
   ADD_LOOP (tcase, test_schema_error_names_the_field,
-            sizeof bad_resources / sizeof *bad_resources);
+            sizeof invalid_resources / sizeof *invalid_resources);
   suite_add_tcase (suite, tcase);
   return suite;
 }
--- a/tests/t_replay.c
+++ b/tests/t_replay.c
@@ -3,9 +3,9 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Replays recorded traces: the events of a trace go to a router of its own,
- * and what it decides is compared with the actions that were recorded. The
- * files stand in tests/replay; elmarchd --trace writes such files.
+ * Replays recorded traces: the events of each trace are fed to a new router,
+ * and its actions are compared with the recorded ones. The traces are in
+ * tests/replay; elmarchd --trace writes them.
  */
 #include <dirent.h>
 #include <stdio.h>
@@ -15,14 +15,14 @@
 #include "test.h"
 
 #define REPLAY_DIR "tests/replay"
-#define FILES_MAX 64
+#define TRACES_MAX 64
 #define LINE_MAX_BYTES 65536
 
-static char files[FILES_MAX][512];
-static int nfiles;
+static char trace_files[TRACES_MAX][512];
+static int ntraces;
 
 static void
-replay_act (void *arg, const rt_action_t *action)
+write_action (void *arg, const rt_action_t *action)
 {
   json_t *json = rt_trace_action (action);
   char *text = json_dumps (json, JSON_COMPACT);
@@ -33,7 +33,7 @@
 }
 
 static void
-replay_config (rt_router_t *router, json_t *line)
+apply_config_line (rt_router_t *router, json_t *line)
 {
   co_kind_t kind;
   const char *name = json_string_value (json_object_get (line, "name"));
@@ -50,9 +50,9 @@
 }
 
 static rt_router_t *
-replay_start (json_t *line, el_buf_t *out)
+create_router (json_t *line, el_buf_t *actual)
 {
-  rt_options_t options = { .act = replay_act, .arg = out };
+  rt_options_t options = { .act = write_action, .arg = actual };
 
   options.seed = (uint64_t)json_integer_value (json_object_get (line, "seed"));
   options.max_active
@@ -66,9 +66,10 @@
   return rt_router_new (&options);
 }
 
-/* One line of a trace: an event goes in, an action is expected. */
+/* Processes a line of a trace: feeds an event to the router, or appends an
+   action to those expected. */
 static rt_router_t *
-replay_line (rt_router_t *router, json_t *line, el_buf_t *out,
+replay_line (rt_router_t *router, json_t *line, el_buf_t *actual,
              el_buf_t *expected)
 {
   const char *kind = json_string_value (json_object_get (line, "event"));
@@ -84,9 +85,9 @@
       free (text);
     }
   else if (strcmp (kind, "start") == 0)
-    return replay_start (line, out);
+    return create_router (line, actual);
   else if (strcmp (kind, "config") == 0)
-    replay_config (router, line);
+    apply_config_line (router, line);
   else
     {
       ck_assert_msg (!rt_trace_read (line, &now, &event, &err), "%s", err.msg);
@@ -96,28 +97,30 @@
   return router;
 }
 
-/* Line by line, so that a difference is told by its first line. */
+/* Compares line by line, so that a failure reports the first difference. */
 static void
-actions_same (el_str_t out, el_str_t expected)
+compare_actions (el_str_t actual, el_str_t expected)
 {
-  el_str_t got;
-  el_str_t want;
+  el_str_t actual_line;
+  el_str_t expected_line;
   unsigned line = 0;
 
-  while (out.len || expected.len)
+  while (actual.len || expected.len)
     {
-      got = el_str_cut (&out, '\n');
-      want = el_str_cut (&expected, '\n');
+      actual_line = el_str_cut (&actual, '\n');
+      expected_line = el_str_cut (&expected, '\n');
       line++;
-      ck_assert_msg (el_str_eq (got, want), "action %u: %.*s not %.*s", line,
-                     (int)got.len, got.ptr, (int)want.len, want.ptr);
+      ck_assert_msg (el_str_eq (actual_line, expected_line),
+                     "action %u: %.*s not %.*s", line, (int)actual_line.len,
+                     actual_line.ptr, (int)expected_line.len,
+                     expected_line.ptr);
     }
 }
 
 START_TEST (test_replay_decides_as_recorded)
 {
-  FILE *file = fopen (files[_i], "r");
-  el_buf_t out = { NULL, 0, 0 };
+  FILE *file = fopen (trace_files[_i], "r");
+  el_buf_t actual = { NULL, 0, 0 };
   el_buf_t expected = { NULL, 0, 0 };
   rt_router_t *router = NULL;
   char *text = malloc (LINE_MAX_BYTES);
@@ -128,13 +131,13 @@
       json_t *line = json_loads (text, 0, NULL);
 
       ck_assert_ptr_nonnull (line);
-      router = replay_line (router, line, &out, &expected);
+      router = replay_line (router, line, &actual, &expected);
       json_decref (line);
     }
   ck_assert_uint_gt (expected.len, 0);
-  actions_same (el_buf_str (&out), el_buf_str (&expected));
+  compare_actions (el_buf_str (&actual), el_buf_str (&expected));
   rt_router_free (router);
-  el_buf_free (&out);
+  el_buf_free (&actual);
   el_buf_free (&expected);
   free (text);
   fclose (file);
@@ -142,15 +145,15 @@
 END_TEST
 
 static void
-files_find (void)
+find_traces (void)
 {
   DIR *dir = opendir (REPLAY_DIR);
   struct dirent *entry;
 
   while (dir && (entry = readdir (dir)))
-    if (strstr (entry->d_name, ".trace") && nfiles < FILES_MAX)
-      snprintf (files[nfiles++], sizeof files[0], REPLAY_DIR "/%s",
-                entry->d_name);
+    if (strstr (entry->d_name, ".trace") && ntraces < TRACES_MAX)
+      snprintf (trace_files[ntraces++], sizeof trace_files[0],
+                REPLAY_DIR "/%s", entry->d_name);
   if (dir)
     closedir (dir);
 }
@@ -161,8 +164,8 @@
   Suite *suite = suite_create ("replay");
   TCase *tcase = tcase_create ("replay");
 
-  files_find ();
-  ADD_LOOP (tcase, test_replay_decides_as_recorded, nfiles ? nfiles : 1);
+  find_traces ();
+  ADD_LOOP (tcase, test_replay_decides_as_recorded, ntraces ? ntraces : 1);
   suite_add_tcase (suite, tcase);
   return suite;
 }
--- a/tests/t_route.c
+++ b/tests/t_route.c
@@ -3,8 +3,7 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Tests of the decisions, by events handed to a router and the actions that
- * come back.
+ * Tests of the router: events go in, and the resulting actions are checked.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -15,32 +14,33 @@
 #define LAYERS 4
 #define DEADLINE (60 * EL_SEC)
 
-/* An action with its strings copied. */
-typedef struct act
+/* A recorded action, with a copy of its endpoint. */
+typedef struct recorded_action
 {
-  rt_action_t a;
+  rt_action_t action;
   char endpoint[64];
-} act_t;
+} recorded_action_t;
 
 static rt_router_t *router;
-static act_t acts[ACTIONS_MAX];
-static size_t nacts;
+static recorded_action_t recorded_actions[ACTIONS_MAX];
+static size_t nactions;
 static el_time_t now;
 
 static void
-act_note (void *arg, const rt_action_t *action)
+record_action (void *arg, const rt_action_t *action)
 {
   (void)arg;
-  ck_assert_uint_lt (nacts, ACTIONS_MAX);
-  acts[nacts].a = *action;
-  snprintf (acts[nacts].endpoint, sizeof acts[nacts].endpoint, "%.*s",
+  ck_assert_uint_lt (nactions, ACTIONS_MAX);
+  recorded_actions[nactions].action = *action;
+  snprintf (recorded_actions[nactions].endpoint,
+            sizeof recorded_actions[nactions].endpoint, "%.*s",
             (int)action->endpoint.len,
             action->endpoint.len ? action->endpoint.ptr : "");
-  nacts++;
+  nactions++;
 }
 
 static void
-config (co_kind_t kind, const char *name, const char *json)
+apply_config (co_kind_t kind, const char *name, const char *json)
 {
   co_resource_t *res = test_resource (kind, name, json, 1);
 
@@ -49,49 +49,55 @@
 }
 
 static void
-router_open (size_t max_active, size_t max_queue)
+open_router (size_t max_active, size_t max_queue)
 {
   rt_options_t options = { .seed = 1,
                            .max_active = max_active,
                            .max_queue = max_queue,
                            .call_limit = EL_SEC,
                            .leave_hold = 5 * EL_SEC,
-                           .act = act_note };
+                           .act = record_action };
 
-  nacts = 0;
+  nactions = 0;
   now = 1000;
   router = rt_router_new (&options);
 }
 
-/* Two pipelines of two engines each, a service on two workers. */
+/* Configures two pipelines of two engines each, and a service on two workers.
+ */
 static void
 setup (void)
 {
   static const char *const endpoints[] = { "a1", "a2", "b1", "b2" };
   size_t i;
 
-  router_open (8, 8);
+  open_router (8, 8);
   for (i = 0; i < 4; i++)
-    config (CO_ENDPOINT, endpoints[i],
-            "{\"address\":\"10.0.0.1:1\",\"hall\":\"h\",\"role\":"
-            "\"engine\"}");
-  config (CO_ENDPOINT, "w1",
-          "{\"address\":\"10.0.0.9:1\",\"hall\":\"h\",\"role\":\"worker\"}");
-  config (CO_ENDPOINT, "w2",
-          "{\"address\":\"10.0.0.9:2\",\"hall\":\"h\",\"role\":\"worker\"}");
-  config (CO_DEPLOYMENT, "d",
-          "{\"model\":\"m\",\"layers\":4,\"maxTokens\":100}");
-  config (CO_PIPELINE, "pa",
-          "{\"deployment\":\"d\",\"stages\":[{\"endpoint\":\"a1\",\"first\":"
-          "0,\"last\":1},{\"endpoint\":\"a2\",\"first\":2,\"last\":3}]}");
-  config (CO_PIPELINE, "pb",
-          "{\"deployment\":\"d\",\"stages\":[{\"endpoint\":\"b1\",\"first\":"
-          "0,\"last\":1},{\"endpoint\":\"b2\",\"first\":2,\"last\":3}]}");
-  config (CO_SERVICE, "s", "{\"endpoints\":[\"w1\",\"w2\"]}");
-  config (CO_CUSTOMER, "c",
-          "{\"keyHash\":"
-          "\"0000000000000000000000000000000000000000000000000000000000000000"
-          "\",\"maxInFlight\":6}");
+    apply_config (CO_ENDPOINT, endpoints[i],
+                  "{\"address\":\"10.0.0.1:1\",\"hall\":\"h\",\"role\":"
+                  "\"engine\"}");
+  apply_config (
+      CO_ENDPOINT, "w1",
+      "{\"address\":\"10.0.0.9:1\",\"hall\":\"h\",\"role\":\"worker\"}");
+  apply_config (
+      CO_ENDPOINT, "w2",
+      "{\"address\":\"10.0.0.9:2\",\"hall\":\"h\",\"role\":\"worker\"}");
+  apply_config (CO_DEPLOYMENT, "d",
+                "{\"model\":\"m\",\"layers\":4,\"maxTokens\":100}");
+  apply_config (
+      CO_PIPELINE, "pa",
+      "{\"deployment\":\"d\",\"stages\":[{\"endpoint\":\"a1\",\"first\":"
+      "0,\"last\":1},{\"endpoint\":\"a2\",\"first\":2,\"last\":3}]}");
+  apply_config (
+      CO_PIPELINE, "pb",
+      "{\"deployment\":\"d\",\"stages\":[{\"endpoint\":\"b1\",\"first\":"
+      "0,\"last\":1},{\"endpoint\":\"b2\",\"first\":2,\"last\":3}]}");
+  apply_config (CO_SERVICE, "s", "{\"endpoints\":[\"w1\",\"w2\"]}");
+  apply_config (
+      CO_CUSTOMER, "c",
+      "{\"keyHash\":"
+      "\"0000000000000000000000000000000000000000000000000000000000000000"
+      "\",\"maxInFlight\":6}");
 }
 
 static void
@@ -116,32 +122,34 @@
   rt_router_handle_event (router, now, &event);
 }
 
-/* The last action of a kind for a stream, or NULL. */
-static act_t *
-last (rt_action_kind_t kind, uint64_t stream)
+/* Returns the last action of a kind for a stream, or NULL. */
+static recorded_action_t *
+last_action (rt_action_kind_t kind, uint64_t stream)
 {
   size_t i;
 
-  for (i = nacts; i-- > 0;)
-    if (acts[i].a.kind == kind && acts[i].a.stream == stream)
-      return &acts[i];
+  for (i = nactions; i-- > 0;)
+    if (recorded_actions[i].action.kind == kind
+        && recorded_actions[i].action.stream == stream)
+      return &recorded_actions[i];
   return NULL;
 }
 
 static unsigned
-count (rt_action_kind_t kind, uint64_t stream)
+count_actions (rt_action_kind_t kind, uint64_t stream)
 {
   unsigned n = 0;
   size_t i;
 
-  for (i = 0; i < nacts; i++)
-    n += acts[i].a.kind == kind && acts[i].a.stream == stream;
+  for (i = 0; i < nactions; i++)
+    n += recorded_actions[i].action.kind == kind
+         && recorded_actions[i].action.stream == stream;
   return n;
 }
 
 static void
-reply_place (const rt_call_id_t *call, const rt_call_id_t *echo, int final,
-             uint64_t token)
+reply_to_call (const rt_call_id_t *call, const rt_call_id_t *echo, int final,
+               uint64_t token)
 {
   rt_event_t event = { .kind = RT_EV_REPLY,
                        .stream = call->stream,
@@ -155,13 +163,14 @@
   rt_router_handle_event (router, now, &event);
 }
 
-/* Answer the stream's call that is out. */
+/* Answers the stream's outstanding call. */
 static void
-reply (uint64_t stream, uint64_t token)
+reply_to_last_call (uint64_t stream, uint64_t token)
 {
-  act_t call = *last (RT_ACT_CALL, stream);
+  recorded_action_t call = *last_action (RT_ACT_CALL, stream);
 
-  reply_place (&call.a.call, &call.a.call, call.a.final, token);
+  reply_to_call (&call.action.call, &call.action.call, call.action.final,
+                 token);
 }
 
 static void
@@ -169,7 +178,7 @@
 {
   rt_event_t event = { .kind = RT_EV_FAILED,
                        .stream = stream,
-                       .call = last (RT_ACT_CALL, stream)->a.call,
+                       .call = last_action (RT_ACT_CALL, stream)->action.call,
                        .verdict = verdict,
                        .fail = why };
 
@@ -177,11 +186,11 @@
 }
 
 static void
-tick (el_time_t to)
+tick (el_time_t until)
 {
   rt_event_t event = { .kind = RT_EV_TICK };
 
-  now = to;
+  now = until;
   rt_router_handle_event (router, now, &event);
 }
 
@@ -192,66 +201,66 @@
 
   request (1, RT_CHAT, 1);
   for (i = 0; i < 6; i++)
-    reply (1, 10 + i);
-  ck_assert_uint_eq (count (RT_ACT_CALL, 1), 6);
-  ck_assert_uint_eq (count (RT_ACT_TOKEN, 1), 3);
-  for (i = 0; i < nacts; i++)
-    if (acts[i].a.kind == RT_ACT_CALL)
+    reply_to_last_call (1, 10 + i);
+  ck_assert_uint_eq (count_actions (RT_ACT_CALL, 1), 6);
+  ck_assert_uint_eq (count_actions (RT_ACT_TOKEN, 1), 3);
+  for (i = 0; i < nactions; i++)
+    if (recorded_actions[i].action.kind == RT_ACT_CALL)
       {
-        ck_assert_uint_eq (acts[i].a.call.first, next);
-        next = (acts[i].a.call.last + 1) % LAYERS;
+        ck_assert_uint_eq (recorded_actions[i].action.call.first, next);
+        next = (recorded_actions[i].action.call.last + 1) % LAYERS;
       }
-  ck_assert_int_eq (last (RT_ACT_END, 1)->a.verdict, EL_RAN);
-  ck_assert_int_eq (last (RT_ACT_END, 1)->a.reason, RT_LENGTH);
+  ck_assert_int_eq (last_action (RT_ACT_END, 1)->action.verdict, EL_RAN);
+  ck_assert_int_eq (last_action (RT_ACT_END, 1)->action.reason, RT_LENGTH);
   ck_assert_uint_eq (rt_router_active (router), 0);
 }
 END_TEST
 
 START_TEST (test_chat_rebuild_feeds_what_was_delivered)
 {
-  act_t *call;
+  recorded_action_t *call;
   char first[64];
 
   request (1, RT_CHAT, 1);
-  snprintf (first, sizeof first, "%s", last (RT_ACT_CALL, 1)->endpoint);
-  reply (1, 0);
-  reply (1, 77);
+  snprintf (first, sizeof first, "%s", last_action (RT_ACT_CALL, 1)->endpoint);
+  reply_to_last_call (1, 0);
+  reply_to_last_call (1, 77);
   fail_call (1, EL_MAY_HAVE_RUN, RT_FAIL_BROKEN);
-  call = last (RT_ACT_CALL, 1);
-  ck_assert_uint_eq (call->a.call.attempt, 2);
-  ck_assert_uint_eq (call->a.call.step, 1);
-  ck_assert_uint_eq (call->a.call.first, 0);
-  ck_assert_uint_eq (call->a.nfeed, 1);
-  ck_assert_uint_eq (call->a.prompt.len, 2);
+  call = last_action (RT_ACT_CALL, 1);
+  ck_assert_uint_eq (call->action.call.attempt, 2);
+  ck_assert_uint_eq (call->action.call.step, 1);
+  ck_assert_uint_eq (call->action.call.first, 0);
+  ck_assert_uint_eq (call->action.nfeed, 1);
+  ck_assert_uint_eq (call->action.prompt.len, 2);
   ck_assert_str_ne (call->endpoint, first);
-  ck_assert_uint_eq (count (RT_ACT_ABANDON, 1), 2);
-  ck_assert_ptr_null (last (RT_ACT_END, 1));
+  ck_assert_uint_eq (count_actions (RT_ACT_ABANDON, 1), 2);
+  ck_assert_ptr_null (last_action (RT_ACT_END, 1));
 }
 END_TEST
 
 START_TEST (test_chat_late_answer_is_dropped)
 {
-  act_t old;
+  recorded_action_t late_call;
 
   request (1, RT_CHAT, 1);
-  old = *last (RT_ACT_CALL, 1);
+  late_call = *last_action (RT_ACT_CALL, 1);
   tick (now + EL_SEC);
-  ck_assert_uint_eq (last (RT_ACT_CALL, 1)->a.call.attempt, 2);
-  reply_place (&old.a.call, &old.a.call, 0, 1);
+  ck_assert_uint_eq (last_action (RT_ACT_CALL, 1)->action.call.attempt, 2);
+  reply_to_call (&late_call.action.call, &late_call.action.call, 0, 1);
   ck_assert_uint_eq (rt_router_counts (router)->late, 1);
-  ck_assert_uint_eq (count (RT_ACT_CALL, 1), 2);
+  ck_assert_uint_eq (count_actions (RT_ACT_CALL, 1), 2);
 }
 END_TEST
 
 START_TEST (test_chat_crossed_answer_never_enters_the_stream)
 {
-  act_t call;
+  recorded_action_t call;
   rt_call_id_t echo;
 
   request (1, RT_CHAT, 1);
-  reply (1, 0);
-  call = *last (RT_ACT_CALL, 1);
-  echo = call.a.call;
+  reply_to_last_call (1, 0);
+  call = *last_action (RT_ACT_CALL, 1);
+  echo = call.action.call;
   switch (_i)
     {
     case 0:
@@ -273,15 +282,15 @@
       echo.generation++;
       break;
     }
-  reply_place (&call.a.call, &echo, 1, 5);
-  ck_assert_uint_eq (count (RT_ACT_TOKEN, 1), 0);
+  reply_to_call (&call.action.call, &echo, 1, 5);
+  ck_assert_uint_eq (count_actions (RT_ACT_TOKEN, 1), 0);
   ck_assert_uint_eq (rt_router_counts (router)->crossed, 1);
-  ck_assert_uint_eq (last (RT_ACT_CALL, 1)->a.call.attempt, 2);
+  ck_assert_uint_eq (last_action (RT_ACT_CALL, 1)->action.call.attempt, 2);
 }
 END_TEST
 
-/* Failures, late answers and crossed ones in any order: the tokens handed on
-   are those of the expected calls, each once. */
+/* Whatever the order of failures and late answers, exactly the tokens of the
+   expected calls are passed on, each once. */
 START_TEST (test_chat_any_order_keeps_the_stream_whole)
 {
   unsigned seed = (unsigned)_i + 1;
@@ -290,10 +299,10 @@
 
   srandom (seed);
   request (1, RT_CHAT, 1);
-  for (step = 0; step < 400 && !last (RT_ACT_END, 1); step++)
+  for (step = 0; step < 400 && !last_action (RT_ACT_END, 1); step++)
     {
-      act_t call = *last (RT_ACT_CALL, 1);
-      size_t past = (size_t)random () % nacts;
+      recorded_action_t call = *last_action (RT_ACT_CALL, 1);
+      size_t earlier = (size_t)random () % nactions;
 
       switch (random () % 5)
         {
@@ -302,24 +311,26 @@
                      (rt_failure_t)(random () % RT_FAIL_REFUSED));
           break;
         case 1:
-          if (acts[past].a.kind == RT_ACT_CALL
-              && memcmp (&acts[past].a.call, &call.a.call, sizeof call.a.call)
+          if (recorded_actions[earlier].action.kind == RT_ACT_CALL
+              && memcmp (&recorded_actions[earlier].action.call,
+                         &call.action.call, sizeof call.action.call)
                      != 0)
-            reply_place (&acts[past].a.call, &acts[past].a.call,
-                         acts[past].a.final, 999);
+            reply_to_call (&recorded_actions[earlier].action.call,
+                           &recorded_actions[earlier].action.call,
+                           recorded_actions[earlier].action.final, 999);
           break;
         case 2:
           tick (now + 100 * EL_MSEC);
           break;
         default:
-          reply (1, 100 + call.a.call.step);
+          reply_to_last_call (1, 100 + call.action.call.step);
         }
     }
-  for (step = 0; step < nacts; step++)
-    if (acts[step].a.kind == RT_ACT_TOKEN)
-      ck_assert_msg (acts[step].a.token == 100 + expected++,
+  for (step = 0; step < nactions; step++)
+    if (recorded_actions[step].action.kind == RT_ACT_TOKEN)
+      ck_assert_msg (recorded_actions[step].action.token == 100 + expected++,
                      "seed %u: wrong token %llu", seed,
-                     (unsigned long long)acts[step].a.token);
+                     (unsigned long long)recorded_actions[step].action.token);
 }
 END_TEST
 
@@ -328,20 +339,20 @@
   rt_event_t leave = { .kind = RT_EV_LEAVING, .leaving = 1 };
 
   request (1, RT_CHAT, 1);
-  reply (1, 0);
-  reply (1, 50);
+  reply_to_last_call (1, 0);
+  reply_to_last_call (1, 50);
   leave.target = EL_STR ("a1");
   rt_router_handle_event (router, now, &leave);
   leave.target = EL_STR ("b1");
   rt_router_handle_event (router, now, &leave);
   fail_call (1, EL_MAY_HAVE_RUN, RT_FAIL_BROKEN);
   tick (now + EL_SEC);
-  ck_assert_ptr_null (last (RT_ACT_END, 1));
+  ck_assert_ptr_null (last_action (RT_ACT_END, 1));
   leave.leaving = 0;
   rt_router_handle_event (router, now, &leave);
   tick (now + EL_SEC);
-  ck_assert_str_eq (last (RT_ACT_CALL, 1)->endpoint, "b1");
-  ck_assert_uint_eq (last (RT_ACT_CALL, 1)->a.call.step, 1);
+  ck_assert_str_eq (last_action (RT_ACT_CALL, 1)->endpoint, "b1");
+  ck_assert_uint_eq (last_action (RT_ACT_CALL, 1)->action.call.step, 1);
 }
 END_TEST
 
@@ -349,9 +360,10 @@
 {
   request (1, RT_CHAT, 1);
   tick (now + DEADLINE);
-  ck_assert_int_eq (last (RT_ACT_END, 1)->a.reason, RT_DEADLINE);
-  ck_assert_int_eq (last (RT_ACT_END, 1)->a.verdict, EL_MAY_HAVE_RUN);
-  ck_assert_uint_gt (last (RT_ACT_END, 1)->a.retry_after_ms, 0);
+  ck_assert_int_eq (last_action (RT_ACT_END, 1)->action.reason, RT_DEADLINE);
+  ck_assert_int_eq (last_action (RT_ACT_END, 1)->action.verdict,
+                    EL_MAY_HAVE_RUN);
+  ck_assert_uint_gt (last_action (RT_ACT_END, 1)->action.retry_after_ms, 0);
 }
 END_TEST
 
@@ -359,9 +371,11 @@
 {
   request (1, RT_CALL, 0);
   fail_call (1, EL_MAY_HAVE_RUN, RT_FAIL_BROKEN);
-  ck_assert_uint_eq (count (RT_ACT_CALL, 1), 1);
-  ck_assert_int_eq (last (RT_ACT_END, 1)->a.verdict, EL_MAY_HAVE_RUN);
-  ck_assert_int_eq (last (RT_ACT_END, 1)->a.reason, RT_ENDPOINT_FAILED);
+  ck_assert_uint_eq (count_actions (RT_ACT_CALL, 1), 1);
+  ck_assert_int_eq (last_action (RT_ACT_END, 1)->action.verdict,
+                    EL_MAY_HAVE_RUN);
+  ck_assert_int_eq (last_action (RT_ACT_END, 1)->action.reason,
+                    RT_ENDPOINT_FAILED);
 }
 END_TEST
 
@@ -370,24 +384,26 @@
   char first[64];
 
   request (1, RT_CALL, 0);
-  snprintf (first, sizeof first, "%s", last (RT_ACT_CALL, 1)->endpoint);
+  snprintf (first, sizeof first, "%s", last_action (RT_ACT_CALL, 1)->endpoint);
   fail_call (1, EL_NOT_RUN, RT_FAIL_CONNECT);
-  ck_assert_str_ne (last (RT_ACT_CALL, 1)->endpoint, first);
-  reply_place (&last (RT_ACT_CALL, 1)->a.call, &last (RT_ACT_CALL, 1)->a.call,
-               1, 0);
-  ck_assert_int_eq (last (RT_ACT_END, 1)->a.verdict, EL_RAN);
+  ck_assert_str_ne (last_action (RT_ACT_CALL, 1)->endpoint, first);
+  reply_to_call (&last_action (RT_ACT_CALL, 1)->action.call,
+                 &last_action (RT_ACT_CALL, 1)->action.call, 1, 0);
+  ck_assert_int_eq (last_action (RT_ACT_END, 1)->action.verdict, EL_RAN);
 }
 END_TEST
 
 START_TEST (test_not_run_is_said_only_when_nothing_ran)
 {
   request (1, RT_CALL, 1);
-  fail_call (1, EL_MAY_HAVE_RUN, RT_FAIL_BROKEN); /* repeatable: goes on */
+  fail_call (1, EL_MAY_HAVE_RUN,
+             RT_FAIL_BROKEN); /* repeatable, so it is retried */
   fail_call (1, EL_NOT_RUN, RT_FAIL_REFUSED);
-  ck_assert_int_eq (last (RT_ACT_END, 1)->a.verdict, EL_MAY_HAVE_RUN);
+  ck_assert_int_eq (last_action (RT_ACT_END, 1)->action.verdict,
+                    EL_MAY_HAVE_RUN);
   request (2, RT_CALL, 0);
   fail_call (2, EL_NOT_RUN, RT_FAIL_REFUSED);
-  ck_assert_int_eq (last (RT_ACT_END, 2)->a.verdict, EL_NOT_RUN);
+  ck_assert_int_eq (last_action (RT_ACT_END, 2)->action.verdict, EL_NOT_RUN);
 }
 END_TEST
 
@@ -399,17 +415,18 @@
   for (stream = 1; stream <= 200; stream++)
     {
       request (stream, RT_CALL, 1);
-      while (!last (RT_ACT_END, stream))
+      while (!last_action (RT_ACT_END, stream))
         {
           fail_call (stream, EL_NOT_RUN, RT_FAIL_BUSY);
-          if (!last (RT_ACT_END, stream)
-              && last (RT_ACT_CALL, stream)->a.call.attempt > 1)
+          if (!last_action (RT_ACT_END, stream)
+              && last_action (RT_ACT_CALL, stream)->action.call.attempt > 1)
             tick (now + EL_SEC);
         }
-      retries += count (RT_ACT_CALL, stream) - 1;
-      nacts = 0;
+      retries += count_actions (RT_ACT_CALL, stream) - 1;
+      nactions = 0;
     }
-  /* The first ten are saved; each request earns a tenth. */
+  /* The budget starts with 10 retries, and each request adds a tenth of one.
+   */
   ck_assert_uint_le (retries, 10 + 200 / 10);
   ck_assert_uint_ge (retries, 20);
 }
@@ -418,15 +435,17 @@
 START_TEST (test_leaving_endpoint_gets_no_new_work)
 {
   uint64_t stream;
-  char left[64];
+  char leaving_endpoint[64];
 
   request (1, RT_CHAT, 1);
-  snprintf (left, sizeof left, "%s", last (RT_ACT_CALL, 1)->endpoint);
+  snprintf (leaving_endpoint, sizeof leaving_endpoint, "%s",
+            last_action (RT_ACT_CALL, 1)->endpoint);
   fail_call (1, EL_NOT_RUN, RT_FAIL_LEAVING);
   for (stream = 2; stream < 7; stream++)
     {
       request (stream, RT_CHAT, 1);
-      ck_assert_str_ne (last (RT_ACT_CALL, stream)->endpoint, left);
+      ck_assert_str_ne (last_action (RT_ACT_CALL, stream)->endpoint,
+                        leaving_endpoint);
     }
 }
 END_TEST
@@ -437,14 +456,14 @@
   fail_call (1, EL_NOT_RUN, RT_FAIL_CONNECT);
   fail_call (1, EL_NOT_RUN, RT_FAIL_CONNECT);
   tick (now + 20 * EL_MSEC);
-  ck_assert_ptr_null (last (RT_ACT_END, 1));
+  ck_assert_ptr_null (last_action (RT_ACT_END, 1));
   request (2, RT_CALL, 1);
-  ck_assert_ptr_nonnull (last (RT_ACT_CALL, 2));
+  ck_assert_ptr_nonnull (last_action (RT_ACT_CALL, 2));
 }
 END_TEST
 
-/* Both workers are set aside, and one of them is back: a request that meets
-   the dead one goes to the other next, not to the dead one again. */
+/* Both workers are ejected, and one of them works again: a request that fails
+   at the dead one is retried at the other, not at the dead one again. */
 START_TEST (test_retry_avoids_the_endpoint_that_just_failed)
 {
   uint64_t stream;
@@ -454,11 +473,11 @@
     {
       request (stream, RT_CALL, 1);
       snprintf (first, sizeof first, "%s",
-                last (RT_ACT_CALL, stream)->endpoint);
+                last_action (RT_ACT_CALL, stream)->endpoint);
       fail_call (stream, EL_NOT_RUN, RT_FAIL_CONNECT);
-      if (last (RT_ACT_END, stream))
-        break; /* the budget is used up */
-      ck_assert_str_ne (last (RT_ACT_CALL, stream)->endpoint, first);
+      if (last_action (RT_ACT_END, stream))
+        break; /* the retry budget is exhausted */
+      ck_assert_str_ne (last_action (RT_ACT_CALL, stream)->endpoint, first);
       fail_call (stream, EL_NOT_RUN, RT_FAIL_REFUSED);
     }
   ck_assert_uint_gt (stream, 10);
@@ -470,24 +489,26 @@
   uint64_t stream;
 
   teardown ();
-  router_open (2, 2);
-  config (CO_ENDPOINT, "w1",
-          "{\"address\":\"10.0.0.9:1\",\"hall\":\"h\",\"role\":\"worker\"}");
-  config (CO_SERVICE, "s", "{\"endpoints\":[\"w1\"]}");
-  config (CO_CUSTOMER, "c",
-          "{\"keyHash\":"
-          "\"0000000000000000000000000000000000000000000000000000000000000000"
-          "\",\"maxInFlight\":100}");
+  open_router (2, 2);
+  apply_config (
+      CO_ENDPOINT, "w1",
+      "{\"address\":\"10.0.0.9:1\",\"hall\":\"h\",\"role\":\"worker\"}");
+  apply_config (CO_SERVICE, "s", "{\"endpoints\":[\"w1\"]}");
+  apply_config (
+      CO_CUSTOMER, "c",
+      "{\"keyHash\":"
+      "\"0000000000000000000000000000000000000000000000000000000000000000"
+      "\",\"maxInFlight\":100}");
   for (stream = 1; stream <= 5; stream++)
     request (stream, RT_CALL, 1);
   ck_assert_uint_eq (rt_router_active (router), 2);
   ck_assert_uint_eq (rt_router_queued (router), 2);
-  ck_assert_int_eq (last (RT_ACT_END, 5)->a.reason, RT_QUEUE_FULL);
-  ck_assert_int_eq (last (RT_ACT_END, 5)->a.verdict, EL_NOT_RUN);
-  ck_assert_uint_gt (last (RT_ACT_END, 5)->a.retry_after_ms, 0);
-  reply_place (&last (RT_ACT_CALL, 1)->a.call, &last (RT_ACT_CALL, 1)->a.call,
-               1, 0);
-  ck_assert_ptr_nonnull (last (RT_ACT_CALL, 3));
+  ck_assert_int_eq (last_action (RT_ACT_END, 5)->action.reason, RT_QUEUE_FULL);
+  ck_assert_int_eq (last_action (RT_ACT_END, 5)->action.verdict, EL_NOT_RUN);
+  ck_assert_uint_gt (last_action (RT_ACT_END, 5)->action.retry_after_ms, 0);
+  reply_to_call (&last_action (RT_ACT_CALL, 1)->action.call,
+                 &last_action (RT_ACT_CALL, 1)->action.call, 1, 0);
+  ck_assert_ptr_nonnull (last_action (RT_ACT_CALL, 3));
 }
 END_TEST
 
@@ -499,8 +520,9 @@
   rt_router_handle_event (router, now, &hosts);
   for (stream = 1; stream <= 3; stream++)
     request (stream, RT_CHAT, 1);
-  ck_assert_ptr_null (last (RT_ACT_END, 2));
-  ck_assert_int_eq (last (RT_ACT_END, 3)->a.reason, RT_CUSTOMER_LIMIT);
+  ck_assert_ptr_null (last_action (RT_ACT_END, 2));
+  ck_assert_int_eq (last_action (RT_ACT_END, 3)->action.reason,
+                    RT_CUSTOMER_LIMIT);
 }
 END_TEST
 
@@ -511,18 +533,21 @@
   size_t i;
 
   teardown ();
-  router_open (1, 1000);
-  config (CO_ENDPOINT, "w1",
-          "{\"address\":\"10.0.0.9:1\",\"hall\":\"h\",\"role\":\"worker\"}");
-  config (CO_SERVICE, "s", "{\"endpoints\":[\"w1\"]}");
-  config (CO_CUSTOMER, "big",
-          "{\"keyHash\":"
-          "\"0000000000000000000000000000000000000000000000000000000000000000"
-          "\",\"maxInFlight\":1000,\"weight\":3}");
-  config (CO_CUSTOMER, "small",
-          "{\"keyHash\":"
-          "\"1000000000000000000000000000000000000000000000000000000000000000"
-          "\",\"maxInFlight\":1000,\"weight\":1}");
+  open_router (1, 1000);
+  apply_config (
+      CO_ENDPOINT, "w1",
+      "{\"address\":\"10.0.0.9:1\",\"hall\":\"h\",\"role\":\"worker\"}");
+  apply_config (CO_SERVICE, "s", "{\"endpoints\":[\"w1\"]}");
+  apply_config (
+      CO_CUSTOMER, "big",
+      "{\"keyHash\":"
+      "\"0000000000000000000000000000000000000000000000000000000000000000"
+      "\",\"maxInFlight\":1000,\"weight\":3}");
+  apply_config (
+      CO_CUSTOMER, "small",
+      "{\"keyHash\":"
+      "\"1000000000000000000000000000000000000000000000000000000000000000"
+      "\",\"maxInFlight\":1000,\"weight\":1}");
   for (stream = 1; stream <= 200; stream++)
     {
       rt_event_t event
@@ -538,12 +563,12 @@
     }
   for (i = 0; i < 80; i++)
     {
-      act_t *call = &acts[nacts - 1];
+      recorded_action_t *call = &recorded_actions[nactions - 1];
 
-      while (call->a.kind != RT_ACT_CALL)
+      while (call->action.kind != RT_ACT_CALL)
         call--;
-      served[call->a.stream % 2 == 0]++;
-      reply_place (&call->a.call, &call->a.call, 1, 0);
+      served[call->action.stream % 2 == 0]++;
+      reply_to_call (&call->action.call, &call->action.call, 1, 0);
     }
   ck_assert_uint_ge (served[0], 58);
   ck_assert_uint_le (served[0], 62);
@@ -558,20 +583,21 @@
   request (1, RT_CHAT, 1);
   rt_router_handle_event (router, now, &stop);
   request (2, RT_CHAT, 1);
-  ck_assert_int_eq (last (RT_ACT_END, 2)->a.reason, RT_STOPPING);
-  ck_assert_int_eq (last (RT_ACT_END, 2)->a.verdict, EL_NOT_RUN);
-  reply (1, 0);
-  reply (1, 1);
-  ck_assert_uint_eq (count (RT_ACT_TOKEN, 1), 1);
+  ck_assert_int_eq (last_action (RT_ACT_END, 2)->action.reason, RT_STOPPING);
+  ck_assert_int_eq (last_action (RT_ACT_END, 2)->action.verdict, EL_NOT_RUN);
+  reply_to_last_call (1, 0);
+  reply_to_last_call (1, 1);
+  ck_assert_uint_eq (count_actions (RT_ACT_TOKEN, 1), 1);
 }
 END_TEST
 
 START_TEST (test_route_refuses_what_does_not_cover_the_layers)
 {
-  config (CO_DEPLOYMENT, "d2", "{\"model\":\"m2\",\"layers\":5}");
-  config (CO_PIPELINE, "p2",
-          "{\"deployment\":\"d2\",\"stages\":[{\"endpoint\":\"a1\",\"first\":"
-          "0,\"last\":3}]}");
+  apply_config (CO_DEPLOYMENT, "d2", "{\"model\":\"m2\",\"layers\":5}");
+  apply_config (
+      CO_PIPELINE, "p2",
+      "{\"deployment\":\"d2\",\"stages\":[{\"endpoint\":\"a1\",\"first\":"
+      "0,\"last\":3}]}");
   rt_event_t event = { .kind = RT_EV_REQUEST,
                        .stream = 1,
                        .customer = EL_STR ("c"),
@@ -579,8 +605,8 @@
                        .deadline = now + DEADLINE };
 
   rt_router_handle_event (router, now, &event);
-  ck_assert_uint_eq (count (RT_ACT_CALL, 1), 0);
-  ck_assert_int_eq (last (RT_ACT_END, 1)->a.verdict, EL_NOT_RUN);
+  ck_assert_uint_eq (count_actions (RT_ACT_CALL, 1), 0);
+  ck_assert_int_eq (last_action (RT_ACT_END, 1)->action.verdict, EL_NOT_RUN);
 }
 END_TEST
 
@@ -589,10 +615,10 @@
   rt_event_t cancel = { .kind = RT_EV_CANCEL, .stream = 1 };
 
   request (1, RT_CHAT, 1);
-  reply (1, 0);
+  reply_to_last_call (1, 0);
   rt_router_handle_event (router, now, &cancel);
-  ck_assert_uint_eq (count (RT_ACT_ABANDON, 1), 2);
-  ck_assert_int_eq (last (RT_ACT_END, 1)->a.reason, RT_CANCELLED);
+  ck_assert_uint_eq (count_actions (RT_ACT_ABANDON, 1), 2);
+  ck_assert_int_eq (last_action (RT_ACT_END, 1)->action.reason, RT_CANCELLED);
   ck_assert_uint_eq (rt_router_active (router), 0);
 }
 END_TEST
