--- a/tests/t_coord.c
+++ b/tests/t_coord.c
@@ -183,8 +183,7 @@
   ck_assert_int_eq (begin_request (ledger, session, 1), CO_LED_FORGOTTEN);
   co_ledger_open (ledger, 1, EL_STR ("c"), &session, NULL);
   begin_request (ledger, session, 1);
-  co_ledger_expire (ledger,
-                    500); /* a running request keeps its session open */
+  co_ledger_expire (ledger, 500); /* a running request keeps its session */
   ck_assert_int_eq (begin_request (ledger, session, 1), CO_LED_JOIN);
   ck_assert_int_eq (co_ledger_close (ledger, session_key (session)),
                     EL_CONFLICT);
--- a/tests/t_net.c
+++ b/tests/t_net.c
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Tests of the HTTP client and server against an endpoint that answers with
- * raw bytes.
+ * Tests of the HTTP client, against an endpoint that sends scripted bytes, of
+ * the HTTP server, and of the parser of event streams.
  */
 #include <arpa/inet.h>
 #include <netinet/in.h>
@@ -19,102 +19,103 @@
 #include "script.h"
 #include "test.h"
 
-#define TURNS_MAX 20000
+#define MAX_ITERATIONS 20000
 
-/* What came of an exchange. */
-typedef struct seen
+/* The response to a request, or how the request failed. */
+typedef struct response
 {
   int done;
   net_outcome_t net;
   el_verdict_t verdict;
   int status;
   el_buf_t body;
-} seen_t;
+} response_t;
 
 static void
-seen_done (void *arg, const net_result_t *result)
+store_response (void *arg, const net_result_t *result)
 {
-  seen_t *seen = arg;
+  response_t *response = arg;
 
-  seen->done = 1;
-  seen->net = result->net;
-  seen->verdict = result->verdict;
-  seen->status = result->status;
-  el_buf_add (&seen->body, result->body);
+  response->done = 1;
+  response->net = result->net;
+  response->verdict = result->verdict;
+  response->status = result->status;
+  el_buf_add (&response->body, result->body);
 }
 
 static void
-ask (seen_t *seen)
+send_request (response_t *response)
 {
   const net_send_t send = { .address = el_str (script.address),
                             .method = EL_STR ("GET"),
                             .path = EL_STR ("/x"),
                             .timeout = 20 * EL_SEC,
-                            .done = seen_done,
-                            .arg = seen };
+                            .done = store_response,
+                            .arg = response };
 
-  memset (seen, 0, sizeof *seen);
+  memset (response, 0, sizeof *response);
   net_client_send (client, &send);
-  while (!seen->done)
+  while (!response->done)
     uv_run (&loop, UV_RUN_ONCE);
-  el_buf_free (&seen->body);
+  el_buf_free (&response->body);
 }
 
-/* Let what is under way on the loop happen, until *FLAG or for a while. */
+/* Runs the event loop until *FLAG is set, or for MAX_ITERATIONS. */
 static void
-turn (const int *flag)
+run_loop_until (const int *flag)
 {
   int i;
 
-  for (i = 0; i < TURNS_MAX && !*flag; i++)
+  for (i = 0; i < MAX_ITERATIONS && !*flag; i++)
     {
       uv_run (&loop, UV_RUN_NOWAIT);
       usleep (100);
     }
 }
 
-/* Send on the kept connection, and let the endpoint answer and end before
-   anything is read: data and reset arrive together. */
+/* Sends a request on the connection that was kept alive, and reads nothing
+   until the endpoint has answered and closed it: data and reset arrive
+   together. */
 static void
-ask_late (seen_t *seen)
+send_request_read_late (response_t *response)
 {
   const net_send_t send = { .address = el_str (script.address),
                             .method = EL_STR ("GET"),
                             .path = EL_STR ("/x"),
-                            .done = seen_done,
-                            .arg = seen };
+                            .done = store_response,
+                            .arg = response };
 
-  memset (seen, 0, sizeof *seen);
+  memset (response, 0, sizeof *response);
   net_client_send (client, &send);
   pthread_join (script.thread, NULL);
-  while (!seen->done)
+  while (!response->done)
     uv_run (&loop, UV_RUN_ONCE);
-  el_buf_free (&seen->body);
+  el_buf_free (&response->body);
 }
 
-#define KEPT_ANSWER                                                           \
+#define KEEP_ALIVE_ANSWER                                                     \
   "HTTP/1.1 200 OK\r\nkeep-alive: timeout=9\r\ncontent-length: 1\r\n\r\na"
-#define ANSWER_TO_THE_END "HTTP/1.1 200 OK\r\nconnection: close\r\n\r\npart"
+#define ANSWER_UNTIL_CLOSE "HTTP/1.1 200 OK\r\nconnection: close\r\n\r\npart"
 
 START_TEST (test_client_tells_a_reset_from_an_end)
 {
-  seen_t seen;
-
-  SCRIPT ({ KEPT_ANSWER, KEEP }, { ANSWER_TO_THE_END, END });
-  ask (&seen);
-  ask_late (&seen);
-  ck_assert_int_eq (seen.net, NET_OK);
-  SCRIPT ({ KEPT_ANSWER, KEEP }, { ANSWER_TO_THE_END, RESET });
-  ask (&seen);
-  ask_late (&seen);
-  ck_assert_int_eq (seen.net, NET_BROKEN);
-  ck_assert_int_eq (seen.verdict, EL_MAY_HAVE_RUN);
+  response_t response;
+
+  SCRIPT ({ KEEP_ALIVE_ANSWER, KEEP }, { ANSWER_UNTIL_CLOSE, END });
+  send_request (&response);
+  send_request_read_late (&response);
+  ck_assert_int_eq (response.net, NET_OK);
+  SCRIPT ({ KEEP_ALIVE_ANSWER, KEEP }, { ANSWER_UNTIL_CLOSE, RESET });
+  send_request (&response);
+  send_request_read_late (&response);
+  ck_assert_int_eq (response.net, NET_BROKEN);
+  ck_assert_int_eq (response.verdict, EL_MAY_HAVE_RUN);
 }
 END_TEST
 
 START_TEST (test_client_answer_cut_short_is_broken)
 {
-  seen_t seen;
+  response_t response;
 
   SCRIPT ({ "HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\npart", END },
           { "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n"
@@ -122,35 +123,35 @@
             END },
           { "garbage that is no answer\r\n\r\n", END },
           { "HTTP/1.1 200 OK\r\ncontent-le", END });
-  ask (&seen);
-  ck_assert_int_eq (seen.net, NET_BROKEN);
-  ask (&seen);
-  ck_assert_int_eq (seen.net, NET_BROKEN);
-  ask (&seen);
-  ck_assert_int_eq (seen.net, NET_BROKEN);
-  ask (&seen);
-  ck_assert_int_eq (seen.net, NET_BROKEN);
+  send_request (&response);
+  ck_assert_int_eq (response.net, NET_BROKEN);
+  send_request (&response);
+  ck_assert_int_eq (response.net, NET_BROKEN);
+  send_request (&response);
+  ck_assert_int_eq (response.net, NET_BROKEN);
+  send_request (&response);
+  ck_assert_int_eq (response.net, NET_BROKEN);
 }
 END_TEST
 
 START_TEST (test_client_keeps_a_connection)
 {
-  seen_t seen;
+  response_t response;
 
   SCRIPT ({ "HTTP/1.1 200 OK\r\nkeep-alive: timeout=9\r\ncontent-length: "
             "1\r\n\r\na",
             KEEP },
           { "HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\nb", KEEP });
-  ask (&seen);
-  ask (&seen);
-  ck_assert_int_eq (seen.net, NET_OK);
+  send_request (&response);
+  send_request (&response);
+  ck_assert_int_eq (response.net, NET_OK);
   pthread_join (script.thread, NULL);
   ck_assert_uint_eq (script.connections, 1);
 }
 END_TEST
 
-/* An endpoint that says it closes the connection, or keeps it for no longer,
-   is not sent anything more on it. */
+/* After "connection: close" or a keep-alive timeout of 0, the client sends
+   nothing more on the connection. */
 START_TEST (test_client_leaves_a_connection_that_is_to_close)
 {
   static const char *const first[]
@@ -162,13 +163,13 @@
     { NULL, KEEP },
     { "HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\nb", KEEP },
   };
-  seen_t seen;
+  response_t response;
 
   answers[0].bytes = first[_i];
   script_open (answers, 2);
-  ask (&seen);
-  ask (&seen);
-  ck_assert_int_eq (seen.net, NET_OK);
+  send_request (&response);
+  send_request (&response);
+  ck_assert_int_eq (response.net, NET_OK);
   pthread_join (script.thread, NULL);
   ck_assert_uint_eq (script.connections, 2);
 }
@@ -176,113 +177,113 @@
 
 START_TEST (test_client_surplus_bytes_end_the_connection)
 {
-  seen_t seen;
+  response_t response;
 
   SCRIPT ({ "HTTP/1.1 200 OK\r\nkeep-alive: timeout=9\r\ncontent-length: "
             "1\r\n\r\na"
             "HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\nz",
             KEEP },
           { "HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\nb", KEEP });
-  ask (&seen);
-  ck_assert_int_eq (seen.net, NET_OK);
-  ask (&seen);
-  ck_assert_int_eq (seen.net, NET_OK);
+  send_request (&response);
+  ck_assert_int_eq (response.net, NET_OK);
+  send_request (&response);
+  ck_assert_int_eq (response.net, NET_OK);
   pthread_join (script.thread, NULL);
   ck_assert_uint_eq (script.connections, 2);
   ck_assert_uint_eq (net_client_counts (client)->surplus, 1);
 }
 END_TEST
 
-/* The process is held up past the time limit while the answer waits to be
-   read: that is no silence of the endpoint. */
+/* The process stalls past the time limit while the answer waits to be read:
+   the request must not time out. */
 START_TEST (test_client_held_up_reads_what_came_first)
 {
-  seen_t seen = { .done = 0 };
+  response_t response = { .done = 0 };
   net_send_t send = { .method = EL_STR ("GET"),
                       .path = EL_STR ("/x"),
                       .timeout = 20 * EL_MSEC,
-                      .done = seen_done,
-                      .arg = &seen };
+                      .done = store_response,
+                      .arg = &response };
   int i;
 
   SCRIPT ({ "HTTP/1.1 200 OK\r\nkeep-alive: timeout=9\r\ncontent-length: "
             "1\r\n\r\na",
             KEEP },
           { "HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\nb", KEEP });
-  ask (&seen);
-  memset (&seen, 0, sizeof seen);
+  send_request (&response);
+  memset (&response, 0, sizeof response);
   send.address = el_str (script.address);
   net_client_send (client, &send);
-  pthread_join (script.thread, NULL); /* the answer was written */
+  pthread_join (script.thread, NULL); /* the answer has been written */
   for (i = 0; i < 40; i++)
     usleep (1000);
-  while (!seen.done)
+  while (!response.done)
     uv_run (&loop, UV_RUN_ONCE);
-  ck_assert_int_eq (seen.net, NET_OK);
-  el_buf_free (&seen.body);
+  ck_assert_int_eq (response.net, NET_OK);
+  el_buf_free (&response.body);
 }
 END_TEST
 
 START_TEST (test_client_no_connection_is_not_run)
 {
-  seen_t seen;
+  response_t response;
 
   SCRIPT ({ "", END });
   close (script.listener);
   shutdown (script.listener, SHUT_RDWR);
   snprintf (script.address, sizeof script.address, "127.0.0.1:1");
-  ask (&seen);
-  ck_assert_int_eq (seen.net, NET_REFUSED);
-  ck_assert_int_eq (seen.verdict, EL_NOT_RUN);
+  send_request (&response);
+  ck_assert_int_eq (response.net, NET_REFUSED);
+  ck_assert_int_eq (response.verdict, EL_NOT_RUN);
 }
 END_TEST
 
-/* The server: callers that leave, and those that send ahead. */
+/* Server: callers that disconnect, and pipelined requests. */
 
-typedef struct server_seen
+typedef struct server_record
 {
-  int gone;
+  int gone; /* the caller has disconnected */
   int freed;
-  int asked;
+  int nrequests;
   h2o_req_t *req;
-} server_seen_t;
+} server_record_t;
 
 static void
-server_gone (void *arg, int freed)
+request_gone (void *arg, int freed)
 {
-  server_seen_t *seen = arg;
+  server_record_t *record = arg;
 
   if (freed)
-    seen->freed = 1;
+    record->freed = 1;
   else
-    seen->gone = 1;
+    record->gone = 1;
 }
 
 static void
-server_handle (void *arg, h2o_req_t *req)
+record_request (void *arg, h2o_req_t *req)
 {
-  server_seen_t *seen = arg;
+  server_record_t *record = arg;
 
-  seen->asked++;
-  seen->req = req;
-  net_req_watch (req, server_gone, seen);
+  record->nrequests++;
+  record->req = req;
+  net_req_watch (req, request_gone, record);
 }
 
 static int
-server_connect (server_seen_t *seen)
+connect_to_server (server_record_t *record)
 {
   const net_server_options_t options = { .loop = &loop,
                                          .address = EL_STR ("127.0.0.1:0"),
                                          .max_body = 65536,
-                                         .handle = server_handle,
-                                         .arg = seen };
+                                         .handle = record_request,
+                                         .arg = record };
   struct sockaddr_in addr
       = { .sin_family = AF_INET, .sin_addr.s_addr = htonl (INADDR_LOOPBACK) };
   net_server_t *server;
   el_err_t err;
   int fd;
 
-  memset (seen, 0, sizeof *seen);
+  memset (record, 0, sizeof *record);
   server = net_server_new (&options, &err);
   ck_assert_ptr_nonnull (server);
   addr.sin_port = htons ((uint16_t)net_server_port (server));
@@ -299,25 +300,25 @@
 
 START_TEST (test_server_notices_a_caller_that_leaves)
 {
-  server_seen_t seen;
-  int fd = server_connect (&seen);
+  server_record_t record;
+  int fd = connect_to_server (&record);
 
   send_text (fd, "POST /x HTTP/1.1\r\nhost: a\r\ncontent-length: 2\r\n\r\nab");
-  turn (&seen.asked);
-  ck_assert_int_eq (seen.asked, 1);
+  run_loop_until (&record.nrequests);
+  ck_assert_int_eq (record.nrequests, 1);
   close (fd);
-  turn (&seen.gone);
-  ck_assert_int_eq (seen.gone, 1);
-  net_req_reply (seen.req, 503, EL_STR (""), EL_STR (""));
-  turn (&seen.freed);
-  ck_assert_int_eq (seen.freed, 1);
+  run_loop_until (&record.gone);
+  ck_assert_int_eq (record.gone, 1);
+  net_req_reply (record.req, 503, EL_STR (""), EL_STR (""));
+  run_loop_until (&record.freed);
+  ck_assert_int_eq (record.freed, 1);
 }
 END_TEST
 
-/* Whether a string lies in the buffer that the connection reads into, which
-   moves when more comes. */
+/* Whether a string points into the input buffer of the connection, which is
+   moved when more data arrives. */
 static int
-in_input (h2o_req_t *req, el_str_t s)
+is_in_input_buffer (h2o_req_t *req, el_str_t s)
 {
   const h2o_socket_t *sock = req->conn->callbacks->get_socket (req->conn);
   const h2o_buffer_t *input = sock->input;
@@ -325,36 +326,39 @@
   return s.ptr >= input->bytes && s.ptr < input->bytes + input->capacity;
 }
 
-/* Much is sent ahead while the first request waits: its strings stay, and the
-   next one is served after it. */
+/* A large request is pipelined while the first one waits: the strings of the
+   first stay valid, and the second is served after it. */
 START_TEST (test_server_serves_what_was_sent_ahead)
 {
-  server_seen_t seen;
-  int fd = server_connect (&seen);
+  server_record_t record;
+  int fd = connect_to_server (&record);
   static char big[20000];
   char buf[512];
 
   memset (big, 'x', sizeof big - 1);
   send_text (fd, "GET /first HTTP/1.1\r\nhost: a\r\nx-mark: one\r\n\r\n");
-  turn (&seen.asked);
-  ck_assert_int_eq (in_input (seen.req, net_req_path (seen.req)), 0);
-  ck_assert_int_eq (in_input (seen.req, net_req_header (seen.req, "x-mark")),
+  run_loop_until (&record.nrequests);
+  ck_assert_int_eq (is_in_input_buffer (record.req, net_req_path (record.req)),
                     0);
+  ck_assert_int_eq (
+      is_in_input_buffer (record.req, net_req_header (record.req, "x-mark")),
+      0);
   send_text (fd, "POST /second HTTP/1.1\r\nhost: a\r\n"
                  "content-length: 19999\r\n\r\n");
   send_text (fd, big);
-  turn (&seen.gone);
-  ck_assert_int_eq (seen.gone, 0);
-  ck_assert (el_str_eq (net_req_path (seen.req), EL_STR ("/first")));
-  ck_assert (el_str_eq (net_req_header (seen.req, "x-mark"), EL_STR ("one")));
-  seen.asked = 0;
-  net_req_reply (seen.req, 200, EL_STR (""), EL_STR ("1"));
-  turn (&seen.asked);
-  ck_assert (el_str_eq (net_req_path (seen.req), EL_STR ("/second")));
-  ck_assert_uint_eq (net_req_body (seen.req).len, 19999);
-  net_req_reply (seen.req, 200, EL_STR (""), EL_STR ("2"));
-  seen.freed = 0;
-  turn (&seen.freed);
+  run_loop_until (&record.gone);
+  ck_assert_int_eq (record.gone, 0);
+  ck_assert (el_str_eq (net_req_path (record.req), EL_STR ("/first")));
+  ck_assert (
+      el_str_eq (net_req_header (record.req, "x-mark"), EL_STR ("one")));
+  record.nrequests = 0;
+  net_req_reply (record.req, 200, EL_STR (""), EL_STR ("1"));
+  run_loop_until (&record.nrequests);
+  ck_assert (el_str_eq (net_req_path (record.req), EL_STR ("/second")));
+  ck_assert_uint_eq (net_req_body (record.req).len, 19999);
+  net_req_reply (record.req, 200, EL_STR (""), EL_STR ("2"));
+  record.freed = 0;
+  run_loop_until (&record.freed);
   ck_assert_int_gt (read (fd, buf, sizeof buf), 0);
   close (fd);
 }
@@ -363,12 +367,12 @@
 /* Event streams. */
 
 static void
-event_note (void *arg, el_str_t event, int has_id, uint64_t id)
+note_event (void *arg, el_str_t event, int has_id, uint64_t id)
 {
   el_buf_printf (arg, "[%zu:%d:%lu]", event.len, has_id, (unsigned long)id);
 }
 
-/* Cut at every place, the same events come out. */
+/* Wherever the input is split, the parser gives the same events. */
 START_TEST (test_events_any_cut_gives_the_same_events)
 {
   const el_str_t text = EL_STR ("id: 7\ndata: a\n\nid:8\r\ndata: b\r\n\r\n"
@@ -380,9 +384,9 @@
   for (cut = 0; cut <= text.len; cut++)
     {
       el_buf_reset (&out);
-      relay_events_add (&events, (el_str_t){ text.ptr, cut }, event_note,
+      relay_events_add (&events, (el_str_t){ text.ptr, cut }, note_event,
                         &out);
-      relay_events_add (&events, el_str_after (text, cut), event_note, &out);
+      relay_events_add (&events, el_str_after (text, cut), note_event, &out);
       ck_assert_str_eq (out.ptr, "[15:1:7][17:1:8][9:0:0]");
       ck_assert_uint_eq (events.part.len, 8);
       relay_events_reset (&events);
--- a/tests/t_store.c
+++ b/tests/t_store.c
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Tests of following a store and of a duty that is leased there, against an
- * endpoint that answers with raw bytes.
+ * Tests of following the keys of a store and of a duty that is leased there,
+ * against an endpoint that sends scripted bytes.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -14,115 +14,117 @@
 #include "store.h"
 #include "test.h"
 
-/* Following a store. */
+/* Following the keys of a store. */
 
-typedef struct followed
+typedef struct record
 {
-  el_buf_t text;
-  int known;
-  int enough;
-} followed_t;
+  el_buf_t text; /* the changes, in order: "+KEY " or "-KEY " */
+  int nknown;    /* reads and watches that were completed */
+  int wanted;    /* nknown to wait for; 0 once reached */
+} record_t;
 
 static int
-followed_item (void *arg, const pr_item_t *item)
+record_item (void *arg, const pr_item_t *item)
 {
-  followed_t *seen = arg;
+  record_t *record = arg;
 
-  el_buf_printf (&seen->text, "%s%.*s ", item->gone ? "-" : "+",
+  el_buf_printf (&record->text, "%s%.*s ", item->gone ? "-" : "+",
                  (int)item->key.len, item->key.ptr);
   return 1;
 }
 
 static void
-followed_known (void *arg, el_time_t as_of)
+record_known (void *arg, el_time_t as_of)
 {
-  followed_t *seen = arg;
+  record_t *record = arg;
 
   (void)as_of;
-  if (++seen->known == seen->enough)
-    seen->enough = 0;
+  if (++record->nknown == record->wanted)
+    record->wanted = 0;
 }
 
-#define JSON() "HTTP/1.1 200 OK\r\nconnection: close\r\n\r\n"
+#define HTTP_OK() "HTTP/1.1 200 OK\r\nconnection: close\r\n\r\n"
 
-/* A key that a watch showed and that vanished while history was lost is gone
-   after the next whole reading. */
+/* A key that a watch showed, and that was deleted in a part of the history
+   that the store no longer has, is reported as deleted after the next full
+   read. */
 START_TEST (test_follow_key_that_vanished_unseen_is_gone)
 {
-  followed_t seen = { .enough = 3 };
+  record_t record = { .wanted = 3 };
   gt_store_t store = {
     .clock = &test_clock, .client = client, .dialect = &pf_store, .random = 1
   };
   gt_follow_options_t options = { .store = &store,
                                   .prefix = EL_STR ("p/"),
                                   .wait_ms = 100,
-                                  .item = followed_item,
-                                  .known = followed_known,
-                                  .arg = &seen };
+                                  .item = record_item,
+                                  .known = record_known,
+                                  .arg = &record };
   gt_follow_t *follow;
 
-  SCRIPT ({ JSON () "{\"Items\":[{\"Key\":\"p/a\",\"Value\":\"\","
-                    "\"Revision\":1},{\"Key\":\"p/b\",\"Value\":\"\","
-                    "\"Revision\":2}],\"more\":false,\"at\":2}",
+  SCRIPT ({ HTTP_OK () "{\"Items\":[{\"Key\":\"p/a\",\"Value\":\"\","
+                       "\"Revision\":1},{\"Key\":\"p/b\",\"Value\":\"\","
+                       "\"Revision\":2}],\"more\":false,\"at\":2}",
             END },
-          { JSON () "{\"events\":[{\"Key\":\"p/a\",\"Value\":\"\","
-                    "\"Revision\":3}],\"at\":3}",
+          { HTTP_OK () "{\"events\":[{\"Key\":\"p/a\",\"Value\":\"\","
+                       "\"Revision\":3}],\"at\":3}",
             END },
           { "HTTP/1.1 410 Gone\r\nconnection: close\r\n\r\n", END },
-          { JSON () "{\"Items\":[{\"Key\":\"p/b\",\"Value\":\"\","
-                    "\"Revision\":2}],\"more\":false,\"at\":9}",
+          { HTTP_OK () "{\"Items\":[{\"Key\":\"p/b\",\"Value\":\"\","
+                       "\"Revision\":2}],\"more\":false,\"at\":9}",
             END });
   store.address = el_str (script.address);
   follow = gt_follow_new (&options);
-  while (seen.enough)
+  while (record.wanted)
     uv_run (&loop, UV_RUN_ONCE);
   gt_follow_free (follow);
-  ck_assert_str_eq (seen.text.ptr, "+p/a +p/b +p/a -p/a ");
-  el_buf_free (&seen.text);
+  ck_assert_str_eq (record.text.ptr, "+p/a +p/b +p/a -p/a ");
+  el_buf_free (&record.text);
 }
 END_TEST
 
-/* Pages are no snapshot: the next one begins after the last key, and an event
-   that is older than what is known changes nothing. */
+/* The pages of a read are not one snapshot: each page begins after the last
+   key of the one before, and an event older than the known change of its key
+   has no effect. */
 START_TEST (test_follow_reads_pages_and_ignores_older_events)
 {
-  followed_t seen = { .enough = 2 };
+  record_t record = { .wanted = 2 };
   gt_store_t store = {
     .clock = &test_clock, .client = client, .dialect = &pf_store, .random = 1
   };
   gt_follow_options_t options = { .store = &store,
                                   .prefix = EL_STR ("p/"),
                                   .wait_ms = 100,
-                                  .item = followed_item,
-                                  .known = followed_known,
-                                  .arg = &seen };
+                                  .item = record_item,
+                                  .known = record_known,
+                                  .arg = &record };
   gt_follow_t *follow;
 
-  SCRIPT ({ JSON () "{\"Items\":[{\"Key\":\"p/a\",\"Value\":\"\","
-                    "\"Revision\":1}],\"more\":true,\"at\":5}",
+  SCRIPT ({ HTTP_OK () "{\"Items\":[{\"Key\":\"p/a\",\"Value\":\"\","
+                       "\"Revision\":1}],\"more\":true,\"at\":5}",
             END },
-          { JSON () "{\"Items\":[{\"Key\":\"p/b\",\"Value\":\"\","
-                    "\"Revision\":8}],\"more\":false,\"at\":8}",
+          { HTTP_OK () "{\"Items\":[{\"Key\":\"p/b\",\"Value\":\"\","
+                       "\"Revision\":8}],\"more\":false,\"at\":8}",
             END },
-          { JSON () "{\"events\":[{\"Key\":\"p/b\",\"Revision\":7,"
-                    "\"gone\":true},{\"Key\":\"p/b\",\"Value\":\"\","
-                    "\"Revision\":8}],\"at\":8}",
+          { HTTP_OK () "{\"events\":[{\"Key\":\"p/b\",\"Revision\":7,"
+                       "\"gone\":true},{\"Key\":\"p/b\",\"Value\":\"\","
+                       "\"Revision\":8}],\"at\":8}",
             END });
   store.address = el_str (script.address);
   follow = gt_follow_new (&options);
-  while (seen.enough)
+  while (record.wanted)
     uv_run (&loop, UV_RUN_ONCE);
   gt_follow_free (follow);
-  ck_assert_str_eq (seen.text.ptr, "+p/a +p/b ");
+  ck_assert_str_eq (record.text.ptr, "+p/a +p/b ");
   ck_assert_ptr_nonnull (strstr (script.requests.ptr, "SinceRev=p/a"));
   ck_assert_ptr_nonnull (strstr (script.requests.ptr, "SinceRev=5&"));
-  el_buf_free (&seen.text);
+  el_buf_free (&record.text);
 }
 END_TEST
 
 static int
-ask_old (void *arg, pr_position_t after, unsigned old, pr_news_cb done,
-         void *done_arg)
+answer_old_news (void *arg, pr_position_t after, unsigned old, pr_news_cb done,
+                 void *done_arg)
 {
   const pr_news_t news
       = { .at = after, .as_of = net_clock_now (&test_clock) - 1700 * EL_MSEC };
@@ -134,89 +136,91 @@
 }
 
 static void
-blame_none (void *arg)
+ignore_blame (void *arg)
 {
   (void)arg;
 }
 
-/* A host whose news are too old for a configuration to be in force in time is
-   passed by: the store is asked. */
+/* Where the news of another host are too old for a configuration to take
+   effect in time, the store is asked instead. */
 START_TEST (test_follow_news_too_old_have_the_store_asked)
 {
-  followed_t seen = { .enough = 2 };
+  record_t record = { .wanted = 2 };
   gt_store_t store = {
     .clock = &test_clock, .client = client, .dialect = &pf_store, .random = 1
   };
   gt_follow_options_t options = { .store = &store,
                                   .prefix = EL_STR ("p/"),
                                   .wait_ms = 100,
-                                  .item = followed_item,
+                                  .item = record_item,
                                   .news_old = 1500 * EL_MSEC,
-                                  .ask = ask_old,
-                                  .blame = blame_none,
-                                  .known = followed_known,
-                                  .arg = &seen };
+                                  .ask = answer_old_news,
+                                  .blame = ignore_blame,
+                                  .known = record_known,
+                                  .arg = &record };
   gt_follow_t *follow;
 
-  SCRIPT ({ JSON () "{\"Items\":[{\"Key\":\"p/a\",\"Value\":\"\","
-                    "\"Revision\":1}],\"more\":false,\"at\":1}",
+  SCRIPT ({ HTTP_OK () "{\"Items\":[{\"Key\":\"p/a\",\"Value\":\"\","
+                       "\"Revision\":1}],\"more\":false,\"at\":1}",
             END },
-          { JSON () "{\"events\":[{\"Key\":\"p/b\",\"Value\":\"\","
-                    "\"Revision\":2}],\"at\":2}",
+          { HTTP_OK () "{\"events\":[{\"Key\":\"p/b\",\"Value\":\"\","
+                       "\"Revision\":2}],\"at\":2}",
             END });
   store.address = el_str (script.address);
   follow = gt_follow_new (&options);
-  while (seen.enough)
+  while (record.wanted)
     uv_run (&loop, UV_RUN_ONCE);
   gt_follow_free (follow);
-  ck_assert_str_eq (seen.text.ptr, "+p/a +p/b ");
-  el_buf_free (&seen.text);
+  ck_assert_str_eq (record.text.ptr, "+p/a +p/b ");
+  el_buf_free (&record.text);
 }
 END_TEST
 
-#define BUSY() "HTTP/1.1 503 Busy\r\nconnection: close\r\n\r\n"
+#define HTTP_UNAVAILABLE() "HTTP/1.1 503 Busy\r\nconnection: close\r\n\r\n"
 
-/* Another host that always tells old news. */
-typedef struct old_host
+/* Another host that always answers with old news. */
+typedef struct stale_host
 {
-  followed_t seen;
-  unsigned asked;
-} old_host_t;
+  record_t record; /* first, as the callbacks take it for a record_t */
+  unsigned nasked;
+} stale_host_t;
 
 static int
-ask_old_later (void *arg, pr_position_t after, unsigned old, pr_news_cb done,
-               void *done_arg)
+count_and_answer_old_news (void *arg, pr_position_t after, unsigned old,
+                           pr_news_cb done, void *done_arg)
 {
-  old_host_t *host = arg;
+  stale_host_t *host = arg;
 
-  host->asked++;
-  return ask_old (&host->seen, after, old, done, done_arg);
+  host->nasked++;
+  return answer_old_news (&host->record, after, old, done, done_arg);
 }
 
-/* While the store is away a host asks the others again and again, and itself
-   seldom: a fleet would else ask all at once as long as it lasts. */
+/* While the store is unavailable, a host goes on asking other hosts and asks
+   the store itself only rarely; else all hosts of a fleet would ask it at once
+   as long as the outage lasts. */
 START_TEST (test_follow_store_away_is_asked_seldom)
 {
-  old_host_t host = { .asked = 0 };
+  stale_host_t host = { .nasked = 0 };
   gt_store_t store = {
     .clock = &test_clock, .client = client, .dialect = &pf_store, .random = 1
   };
   gt_follow_options_t options = { .store = &store,
                                   .prefix = EL_STR ("p/"),
                                   .wait_ms = 100,
-                                  .item = followed_item,
+                                  .item = record_item,
                                   .news_old = 1500 * EL_MSEC,
-                                  .ask = ask_old_later,
-                                  .blame = blame_none,
-                                  .known = followed_known,
+                                  .ask = count_and_answer_old_news,
+                                  .blame = ignore_blame,
+                                  .known = record_known,
                                   .arg = &host };
   gt_follow_t *follow;
 
-  SCRIPT ({ JSON () "{\"Items\":[],\"more\":false,\"at\":1}", END },
-          { BUSY (), END }, { BUSY (), END }, { BUSY (), END });
+  SCRIPT ({ HTTP_OK () "{\"Items\":[],\"more\":false,\"at\":1}", END },
+          { HTTP_UNAVAILABLE (), END }, { HTTP_UNAVAILABLE (), END },
+          { HTTP_UNAVAILABLE (), END });
   store.address = el_str (script.address);
   follow = gt_follow_new (&options);
-  while (host.asked < 5)
+  while (host.nasked < 5)
     uv_run (&loop, UV_RUN_ONCE);
   gt_follow_free (follow);
   ck_assert_uint_eq (store.counts.calls, 2);
@@ -224,32 +228,32 @@
 END_TEST
 
 static int
-duty_vacant (void *arg)
+read_vacant (void *arg)
 {
   return *(int *)arg;
 }
 
-/* The store refuses a call and asks for half a second without calls: neither
-   the part that made it nor another one of this host makes one in it. A time
-   of an hour is not kept to. */
+/* The store refuses a call with a retry-after of 0.5 s: no component of this
+   host calls it in that time, neither the one that was refused nor another. A
+   retry-after of one hour is not honoured in full. */
 START_TEST (test_store_that_asks_for_rest_gets_no_calls_in_it)
 {
   static int vacant = 1;
-  old_host_t host = { .asked = 0 };
+  stale_host_t host = { .nasked = 0 };
   gt_store_t store = {
     .clock = &test_clock, .client = client, .dialect = &pf_store, .random = 1
   };
   const gt_follow_options_t follow_options = { .store = &store,
                                                .prefix = EL_STR ("p/"),
                                                .wait_ms = 100,
-                                               .item = followed_item,
-                                               .known = followed_known,
+                                               .item = record_item,
+                                               .known = record_known,
                                                .arg = &host };
   const gt_duty_options_t duty_options = { .store = &store,
                                            .key = EL_STR ("duty"),
                                            .holder = EL_STR ("a"),
                                            .ttl_ms = 2000,
-                                           .vacant = duty_vacant,
+                                           .vacant = read_vacant,
                                            .arg = &vacant };
   gt_follow_t *follow;
   gt_duty_t *duty;
@@ -277,7 +281,7 @@
 }
 END_TEST
 
-/* A duty that another host has is not asked for. */
+/* A duty that another host holds is not requested. */
 START_TEST (test_duty_is_asked_for_when_it_is_vacant)
 {
   int vacant = 0;
@@ -288,11 +292,11 @@
                                 .key = EL_STR ("duty"),
                                 .holder = EL_STR ("a"),
                                 .ttl_ms = 2000,
-                                .vacant = duty_vacant,
+                                .vacant = read_vacant,
                                 .arg = &vacant };
   gt_duty_t *duty;
 
-  /* What was sent of a body is read with the next request. */
+  /* The endpoint reads the body of a request with the next request. */
   SCRIPT ({ "HTTP/1.1 200 OK\r\ncontent-length: 25\r\n\r\n"
             "{\"lease\":7,\"ttl_ms\":2000}",
             KEEP },
