--- a/tests/red.sh
+++ b/tests/red.sh
@@ -1,9 +1,10 @@
 #!/bin/sh
-# Show that each test fails without its mechanism: tests/red.list names the
-# test and the edit that takes the mechanism out of a scratch copy. An argument
-# takes only the tests whose line it matches.
+# Mutation check: shows that each test fails without the code that it covers.
+# Each line of tests/red.list names a test and a sed script that removes that
+# code. The script is applied to a scratch copy of the tree, where the test must
+# fail. With an argument, only the lines that match it are run.
 set -u
-only=${1:-.}
+pattern=${1:-.}
 dir=$(mktemp -d)
 jobs=${JOBS:-6}
 trap 'rm -rf "$dir"' EXIT
@@ -13,13 +14,13 @@
 { git ls-files -co --exclude-standard; find build -path build/san -prune -o -type f -print; } |
   tar -cf "$dir/tree.tar" -T -
 
-lines() {
-  grep -v '^#' tests/red.list | grep -e "$only"
+matching_lines() {
+  grep -v '^#' tests/red.list | grep -e "$pattern"
 }
 
-one() {
+run_line() {
   n=$1
-  line=$(lines | sed -n "${n}p")
+  line=$(matching_lines | sed -n "${n}p")
   name=$(echo "$line" | cut -d'|' -f1)
   bin=$(echo "$line" | cut -d'|' -f2)
   file=$(echo "$line" | cut -d'|' -f3)
@@ -38,24 +39,24 @@
   fi
   if ELMARCH_TEST_BIN=build/bin ELMARCH_TEST=$name CK_DEFAULT_TIMEOUT=20 \
     timeout 200 "build/bin/$bin" >run.log 2>&1; then
-    echo "GREEN $name: passes without its mechanism"
+    echo "GREEN $name: passes without the code that it covers"
   elif [ -n "$name" ] && grep -q 'Checks: [1-9]' run.log; then
     echo "red $name"
   else
-    echo "NOT RUN $name: see the list and the program"
+    echo "NOT RUN $name: build/bin/$bin ran no check of this name"
   fi
   cd / && rm -rf "${dir:?}/$n"
 }
 
-total=$(lines | wc -l)
+total=$(matching_lines | wc -l)
 [ "$total" -gt 0 ] || exit 1
 n=1
 while [ $n -le "$total" ]; do
-  i=0
-  while [ $i -lt "$jobs" ] && [ $n -le "$total" ]; do
-    (one $n) &
+  started=0
+  while [ $started -lt "$jobs" ] && [ $n -le "$total" ]; do
+    (run_line $n) &
     n=$((n + 1))
-    i=$((i + 1))
+    started=$((started + 1))
   done
   wait
 done >"$dir/result"
--- a/tests/settings.sh
+++ b/tests/settings.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# The programs' command lines: each case is an input and the output and exit
-# status that it must have; tests/settings holds them side by side.
+# Tests the command lines of the programs. Each tests/settings/*.in holds
+# commands; their output and exit status must match the .out file beside it.
 set -u
 bin=$1
 dir=$(mktemp -d)
@@ -9,18 +9,18 @@
 failed=0
 unset ELMARCHD_CLUSTER_KEY ELMARCHD_OPERATOR_KEY ELMARCHCTL_OPERATOR_KEY
 for input in tests/settings/*.in; do
-  golden=${input%.in}.out
+  expected=${input%.in}.out
   {
-    # A line of the input is a command; variables stand before it.
+    # Each line of the input is a command, preceded by its environment variables.
     (PATH=$bin:$PATH sh "$input") 2>&1
     echo "exit $?"
   } >"$dir/out"
-  if cmp -s "$dir/out" "$golden"; then
+  if cmp -s "$dir/out" "$expected"; then
     passed=$((passed + 1))
   else
     failed=$((failed + 1))
     echo "$input differs:"
-    diff "$golden" "$dir/out"
+    diff "$expected" "$dir/out"
   fi
 done
 echo "$passed passed, $failed failed"
--- a/tests/t_epoch.c
+++ b/tests/t_epoch.c
@@ -3,8 +3,10 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Tests of positions in a store that goes on from an older copy: the keys that
- * are known, and a follower against an endpoint that answers with raw bytes.
+ * Tests of store epochs. A store that goes on from an older copy of its data
+ * begins a new epoch, in which revisions of the former one may occur again.
+ * Tests the table of known keys, and a follower and a duty against an endpoint
+ * that sends scripted bytes.
  */
 #include <string.h>
 
@@ -14,44 +16,43 @@
 #include "store_keys.h"
 #include "test.h"
 
-/* The keys. */
+/* The table of known keys. */
 
-typedef struct seen
+typedef struct record
 {
-  el_buf_t text;
-  int refuse;
-  int known;
-  int enough;
-} seen_t;
+  el_buf_t text; /* the changes, in order: "+KEY=VALUE " or "-KEY= " */
+  int refuse;    /* refuse changes as older */
+  int nknown;    /* reads and watches that were completed */
+  int wanted;    /* nknown to wait for; 0 once reached */
+} record_t;
 
 static int
-seen_item (void *arg, const pr_item_t *item)
+record_item (void *arg, const pr_item_t *item)
 {
-  seen_t *seen = arg;
+  record_t *record = arg;
 
-  el_buf_printf (&seen->text, "%s%.*s=%.*s ", item->gone ? "-" : "+",
+  el_buf_printf (&record->text, "%s%.*s=%.*s ", item->gone ? "-" : "+",
                  (int)item->key.len, item->key.ptr, (int)item->value.len,
                  item->value.ptr);
-  return !seen->refuse;
+  return !record->refuse;
 }
 
 static void
-seen_is (const seen_t *seen, const char *want)
+check_record (const record_t *record, const char *expected)
 {
-  ck_assert_str_eq (seen->text.ptr ? seen->text.ptr : "", want);
+  ck_assert_str_eq (record->text.ptr ? record->text.ptr : "", expected);
 }
 
 static gt_keys_t *
-keys_open (seen_t *seen)
+open_keys (record_t *record)
 {
-  const gt_keys_options_t options = { .item = seen_item, .arg = seen };
+  const gt_keys_options_t options = { .item = record_item, .arg = record };
 
   return gt_keys_new (&options);
 }
 
 static void
-keys_put (gt_keys_t *keys, uint64_t epoch, uint64_t revision,
-          const char *value)
+put_key (gt_keys_t *keys, uint64_t epoch, uint64_t revision, const char *value)
 {
   const pr_item_t item = { .key = EL_STR ("k"),
                            .value = el_str (value ? value : ""),
@@ -61,53 +62,53 @@
   gt_keys_item (keys, epoch, &item);
 }
 
-/* Guards against a change that is dropped as its revision is not above the one
-   that a former epoch gave. */
+/* Guards against a change that is dropped because its revision is not above
+   the one that the key had in a former epoch. */
 START_TEST (test_keys_change_of_a_newer_epoch_counts_at_any_revision)
 {
   static const uint64_t revisions[] = { 4, 5, 6 };
-  seen_t seen = { .refuse = 0 };
-  gt_keys_t *keys = keys_open (&seen);
+  record_t record = { .refuse = 0 };
+  gt_keys_t *keys = open_keys (&record);
 
-  keys_put (keys, 1, 5, "ready");
-  keys_put (keys, 2, revisions[_i], "leaves");
-  seen_is (&seen, "+k=ready +k=leaves ");
+  put_key (keys, 1, 5, "ready");
+  put_key (keys, 2, revisions[_i], "leaves");
+  check_record (&record, "+k=ready +k=leaves ");
   gt_keys_free (keys);
-  el_buf_free (&seen.text);
+  el_buf_free (&record.text);
 }
 END_TEST
 
 START_TEST (test_keys_change_of_a_former_epoch_counts_for_nothing)
 {
-  seen_t seen = { .refuse = 0 };
-  gt_keys_t *keys = keys_open (&seen);
+  record_t record = { .refuse = 0 };
+  gt_keys_t *keys = open_keys (&record);
 
-  keys_put (keys, 2, 5, "leaves");
-  keys_put (keys, 1, 9, "ready");
-  keys_put (keys, 1, 10, NULL);
-  seen_is (&seen, "+k=leaves ");
+  put_key (keys, 2, 5, "leaves");
+  put_key (keys, 1, 9, "ready");
+  put_key (keys, 1, 10, NULL);
+  check_record (&record, "+k=leaves ");
   gt_keys_free (keys);
-  el_buf_free (&seen.text);
+  el_buf_free (&record.text);
 }
 END_TEST
 
-/* A reading of a new epoch hands on what differs, and has a host that lags
-   behind that epoch told all. */
+/* A read in a new epoch passes on only what differs; a host that is still in
+   the former epoch is told all keys. */
 START_TEST (test_keys_new_epoch_hands_on_what_differs)
 {
   const pr_item_t other
       = { .key = EL_STR ("o"), .value = EL_STR ("x"), .revision = 3 };
-  seen_t seen = { .refuse = 0 };
-  gt_keys_t *keys = keys_open (&seen);
+  record_t record = { .refuse = 0 };
+  gt_keys_t *keys = open_keys (&record);
   pr_news_t news = { 0 };
 
-  keys_put (keys, 1, 5, "a");
+  put_key (keys, 1, 5, "a");
   gt_keys_item (keys, 1, &other);
   gt_keys_begin (keys);
   gt_keys_item (keys, 2, &other);
-  keys_put (keys, 2, 4, "b");
+  put_key (keys, 2, 4, "b");
   gt_keys_end (keys, (pr_position_t){ 2, 4 });
-  seen_is (&seen, "+k=a +o=x +k=b ");
+  check_record (&record, "+k=a +o=x +k=b ");
   gt_keys_tell (keys, (pr_position_t){ 1, 9 }, &news);
   ck_assert_int_eq (news.whole, 1);
   ck_assert_uint_eq (news.n, 2);
@@ -116,219 +117,222 @@
   ck_assert_int_eq (news.whole, 0);
   free (news.items);
   gt_keys_free (keys);
-  el_buf_free (&seen.text);
+  el_buf_free (&record.text);
 }
 END_TEST
 
-/* A value that is refused as older, by a count of its own, is not what other
-   hosts are told. */
+/* A value that is refused as older, by a version of its own, is not passed to
+   other hosts. */
 START_TEST (test_keys_refused_value_is_not_told_on)
 {
-  seen_t seen = { .refuse = 0 };
-  gt_keys_t *keys = keys_open (&seen);
+  record_t record = { .refuse = 0 };
+  gt_keys_t *keys = open_keys (&record);
   pr_news_t news = { 0 };
 
-  keys_put (keys, 1, 5, "v66");
-  seen.refuse = 1;
-  keys_put (keys, 2, 3, "v59");
+  put_key (keys, 1, 5, "v66");
+  record.refuse = 1;
+  put_key (keys, 2, 3, "v59");
   gt_keys_tell (keys, (pr_position_t){ 1, 0 }, &news);
   ck_assert (el_str_eq (news.items[0].value, EL_STR ("v66")));
   free (news.items);
   gt_keys_free (keys);
-  el_buf_free (&seen.text);
+  el_buf_free (&record.text);
 }
 END_TEST
 
-/* A key that the first reading of an epoch lacks counts on, one that was gone
-   and is there again does not count, until it settles or a change is told. */
+/* A key that the first read of an epoch lacks stays valid, and one that had
+   been deleted and is back stays deleted, until gt_keys_settle or the next
+   change of the key. */
 START_TEST (test_keys_what_an_epoch_lacks_or_has_again_waits)
 {
   static const pr_item_t gone[]
       = { { .key = EL_STR ("g"), .value = EL_STR ("1"), .revision = 3 },
           { .key = EL_STR ("g"), .revision = 6, .gone = 1 } };
-  seen_t seen = { .refuse = 0 };
-  gt_keys_t *keys = keys_open (&seen);
+  record_t record = { .refuse = 0 };
+  gt_keys_t *keys = open_keys (&record);
   int changed = _i;
 
-  keys_put (keys, 1, 5, "a");
+  put_key (keys, 1, 5, "a");
   gt_keys_item (keys, 1, &gone[0]);
   gt_keys_item (keys, 1, &gone[1]);
   gt_keys_begin (keys);
   gt_keys_item (keys, 2, &gone[0]);
   gt_keys_end (keys, (pr_position_t){ 2, 4 });
-  seen_is (&seen, "+k=a +g=1 -g= ");
+  check_record (&record, "+k=a +g=1 -g= ");
   if (changed)
-    keys_put (keys, 2, 5, "a");
+    put_key (keys, 2, 5, "a");
   gt_keys_settle (keys);
-  seen_is (&seen,
-           changed ? "+k=a +g=1 -g= +k=a +g=1 " : "+k=a +g=1 -g= -k=a +g=1 ");
+  check_record (&record, changed ? "+k=a +g=1 -g= +k=a +g=1 "
+                                 : "+k=a +g=1 -g= -k=a +g=1 ");
   gt_keys_free (keys);
-  el_buf_free (&seen.text);
+  el_buf_free (&record.text);
 }
 END_TEST
 
 /* The follower. */
 
 static void
-seen_known (void *arg, el_time_t as_of)
+record_known (void *arg, el_time_t as_of)
 {
-  seen_t *seen = arg;
+  record_t *record = arg;
 
   (void)as_of;
-  if (++seen->known == seen->enough)
-    seen->enough = 0;
+  if (++record->nknown == record->wanted)
+    record->wanted = 0;
 }
 
-#define ERA(era)                                                              \
-  "HTTP/1.1 200 OK\r\nstore-era: " era "\r\nconnection: close\r\n\r\n"
+#define HTTP_OK(epoch)                                                        \
+  "HTTP/1.1 200 OK\r\nstore-era: " epoch "\r\nconnection: close\r\n\r\n"
 #define ITEM(key, value, revision)                                            \
   "{\"Key\":\"" key "\",\"Value\":\"" value "\",\"Revision\":" revision "}"
 #define RANGE(items, at) "{\"Items\":[" items "],\"more\":false,\"at\":" at "}"
 #define PAGE(items, at) "{\"Items\":[" items "],\"more\":true,\"at\":" at "}"
 #define EVENTS(items, at) "{\"events\":[" items "],\"at\":" at "}"
 
-/* Follow the script until so many readings and watches have counted; base64
-   values "YQ==" and "Yg==" are "a" and "b". */
+/* Follows the scripted store until the given number of reads and watches have
+   been accepted. The base64 values "YQ==" and "Yg==" are "a" and "b". */
 static void
-follow_script (seen_t *seen, gt_store_t *store, int enough)
+run_follower (record_t *record, gt_store_t *store, int wanted)
 {
   gt_follow_options_t options = { .store = store,
                                   .prefix = EL_STR ("p/"),
                                   .wait_ms = 100,
-                                  .item = seen_item,
-                                  .known = seen_known,
-                                  .arg = seen };
+                                  .item = record_item,
+                                  .known = record_known,
+                                  .arg = record };
   gt_follow_t *follow;
 
-  seen->enough = enough;
+  record->wanted = wanted;
   *store = (gt_store_t){ .clock = &test_clock,
                          .client = client,
                          .dialect = &pf_store,
                          .address = el_str (script.address),
                          .random = 1 };
   follow = gt_follow_new (&options);
-  while (seen->enough)
+  while (record->wanted)
     uv_run (&loop, UV_RUN_ONCE);
   gt_follow_free (follow);
 }
 
-/* Guards against events of a watch that a store answers without 410, as the
-   revision that it was asked for exists again. */
+/* Guards against the events of a watch that spans two epochs: the store does
+   not answer 410, as the requested revision exists again. */
 START_TEST (test_follow_watch_across_an_epoch_is_not_believed)
 {
-  seen_t seen = { .refuse = 0 };
+  record_t record = { .refuse = 0 };
   gt_store_t store;
 
   SCRIPT (
-      { ERA ("1") RANGE (ITEM ("p/a", "YQ==", "9"), "9"), END },
-      { ERA ("2") EVENTS (ITEM ("p/c", "YQ==", "10"), "10"), END },
-      { ERA ("2") RANGE (
+      { HTTP_OK ("1") RANGE (ITEM ("p/a", "YQ==", "9"), "9"), END },
+      { HTTP_OK ("2") EVENTS (ITEM ("p/c", "YQ==", "10"), "10"), END },
+      { HTTP_OK ("2") RANGE (
             ITEM ("p/a", "Yg==", "8") "," ITEM ("p/c", "YQ==", "10"), "10"),
         END });
-  follow_script (&seen, &store, 2);
-  seen_is (&seen, "+p/a=a +p/a=b +p/c=a ");
+  run_follower (&record, &store, 2);
+  check_record (&record, "+p/a=a +p/a=b +p/c=a ");
   ck_assert_uint_eq (store.counts.reads[GT_STORE_READ_EPOCH], 1);
-  el_buf_free (&seen.text);
+  el_buf_free (&record.text);
 }
 END_TEST
 
 START_TEST (test_follow_epoch_that_begins_between_pages_reads_anew)
 {
-  seen_t seen = { .refuse = 0 };
+  record_t record = { .refuse = 0 };
   gt_store_t store;
 
-  SCRIPT ({ ERA ("1") PAGE (ITEM ("p/a", "YQ==", "9"), "9"), END },
-          { ERA ("2") RANGE (ITEM ("p/b", "YQ==", "9"), "9"), END },
-          { ERA ("2") RANGE (ITEM ("p/a", "Yg==", "7"), "8"), END });
-  follow_script (&seen, &store, 1);
-  seen_is (&seen, "+p/a=a +p/a=b ");
+  SCRIPT ({ HTTP_OK ("1") PAGE (ITEM ("p/a", "YQ==", "9"), "9"), END },
+          { HTTP_OK ("2") RANGE (ITEM ("p/b", "YQ==", "9"), "9"), END },
+          { HTTP_OK ("2") RANGE (ITEM ("p/a", "Yg==", "7"), "8"), END });
+  run_follower (&record, &store, 1);
+  check_record (&record, "+p/a=a +p/a=b ");
   ck_assert_ptr_nonnull (strstr (script.requests.ptr, "SinceRev=p/a"));
-  el_buf_free (&seen.text);
+  el_buf_free (&record.text);
 }
 END_TEST
 
 START_TEST (test_follow_two_epochs_within_a_moment)
 {
-  seen_t seen = { .refuse = 0 };
+  record_t record = { .refuse = 0 };
   gt_store_t store;
 
-  SCRIPT ({ ERA ("1") RANGE (ITEM ("p/a", "YQ==", "9"), "9"), END },
+  SCRIPT ({ HTTP_OK ("1") RANGE (ITEM ("p/a", "YQ==", "9"), "9"), END },
           { "HTTP/1.1 410 Gone\r\nstore-era: 2\r\nconnection: close\r\n\r\n",
             END },
           { "HTTP/1.1 503 Busy\r\nstore-era: 3\r\nconnection: close\r\n\r\n",
             END },
-          { ERA ("3") RANGE (ITEM ("p/a", "Yg==", "9"), "9"), END });
-  follow_script (&seen, &store, 2);
-  seen_is (&seen, "+p/a=a +p/a=b ");
+          { HTTP_OK ("3") RANGE (ITEM ("p/a", "Yg==", "9"), "9"), END });
+  run_follower (&record, &store, 2);
+  check_record (&record, "+p/a=a +p/a=b ");
   ck_assert_uint_eq (store.epoch, 3);
-  el_buf_free (&seen.text);
+  el_buf_free (&record.text);
 }
 END_TEST
 
-/* An answer that took long is of the copy's past. */
+/* A delayed answer was given in the former epoch. */
 START_TEST (test_follow_answer_of_a_former_epoch_is_not_applied)
 {
-  seen_t seen = { .refuse = 0 };
+  record_t record = { .refuse = 0 };
   gt_store_t store;
 
-  SCRIPT ({ ERA ("2") RANGE (ITEM ("p/a", "YQ==", "3"), "3"), END },
-          { ERA ("1") EVENTS (ITEM ("p/a", "Yg==", "9"), "9"), END },
-          { ERA ("2") EVENTS ("", "3"), END });
-  follow_script (&seen, &store, 2);
-  seen_is (&seen, "+p/a=a ");
+  SCRIPT ({ HTTP_OK ("2") RANGE (ITEM ("p/a", "YQ==", "3"), "3"), END },
+          { HTTP_OK ("1") EVENTS (ITEM ("p/a", "Yg==", "9"), "9"), END },
+          { HTTP_OK ("2") EVENTS ("", "3"), END });
+  run_follower (&record, &store, 2);
+  check_record (&record, "+p/a=a ");
   ck_assert_uint_eq (store.counts.former, 1);
-  el_buf_free (&seen.text);
+  el_buf_free (&record.text);
 }
 END_TEST
 
-/* What is no epoch, or none, leaves what is known. */
+/* An answer with a missing, invalid or repeated epoch is applied, and leaves
+   the known epoch unchanged. */
 START_TEST (test_follow_epoch_that_cannot_be_read_leaves_what_is_known)
 {
-  static const char *const heads[]
+  static const char *const headers[]
       = { "", "store-era: two\r\n", "store-era: -2\r\n",
           "store-era: 18446744073709551616\r\n",
           "store-era: 2\r\nstore-era: 2\r\n" };
   static char bytes[256];
   static answer_t answers[]
-      = { { ERA ("1") RANGE (ITEM ("p/a", "YQ==", "3"), "3"), END },
+      = { { HTTP_OK ("1") RANGE (ITEM ("p/a", "YQ==", "3"), "3"), END },
           { bytes, END } };
-  seen_t seen = { .refuse = 0 };
+  record_t record = { .refuse = 0 };
   gt_store_t store;
 
   snprintf (bytes, sizeof bytes,
-            "HTTP/1.1 200 OK\r\n%sconnection: close\r\n\r\n%s", heads[_i],
+            "HTTP/1.1 200 OK\r\n%sconnection: close\r\n\r\n%s", headers[_i],
             EVENTS (ITEM ("p/a", "Yg==", "4"), "4"));
   script_open (answers, 2);
-  follow_script (&seen, &store, 2);
-  seen_is (&seen, "+p/a=a +p/a=b ");
+  run_follower (&record, &store, 2);
+  check_record (&record, "+p/a=a +p/a=b ");
   ck_assert_uint_eq (store.epoch, 1);
-  el_buf_free (&seen.text);
+  el_buf_free (&record.text);
 }
 END_TEST
 
 /* The duty. */
 
-#define WHOLE(era, len, body)                                                 \
-  "HTTP/1.1 200 OK\r\nstore-era: " era "\r\ncontent-length: " len             \
+#define HTTP_OK_KEEP_ALIVE(epoch, len, body)                                  \
+  "HTTP/1.1 200 OK\r\nstore-era: " epoch "\r\ncontent-length: " len           \
   "\r\n\r\n" body
-#define GRANTED(era) WHOLE (era, "25", "{\"lease\":7,\"ttl_ms\":2000}")
-#define CLAIMED(era) WHOLE (era, "14", "{\"Revision\":3}")
+#define LEASE_GRANTED(epoch)                                                  \
+  HTTP_OK_KEEP_ALIVE (epoch, "25", "{\"lease\":7,\"ttl_ms\":2000}")
+#define KEY_CLAIMED(epoch) HTTP_OK_KEEP_ALIVE (epoch, "14", "{\"Revision\":3}")
 
 static int
-vacant_always (void *arg)
+always_vacant (void *arg)
 {
   (void)arg;
   return 1;
 }
 
 static gt_duty_t *
-duty_script (gt_store_t *store)
+acquire_duty (gt_store_t *store)
 {
   const gt_duty_options_t options = { .store = store,
                                       .key = EL_STR ("duty"),
                                       .holder = EL_STR ("a"),
                                       .ttl_ms = 900,
-                                      .vacant = vacant_always };
+                                      .vacant = always_vacant };
   gt_duty_t *duty;
 
   *store = (gt_store_t){ .clock = &test_clock,
@@ -343,16 +347,16 @@
   return duty;
 }
 
-/* Guards against a renewal that goes well as the number of the lease was given
-   to somebody else. */
+/* Guards against a renewal that succeeds because the store has given the
+   number of the lease to another holder. */
 START_TEST (test_duty_renewed_in_another_epoch_is_lost)
 {
   gt_store_t store;
   gt_duty_t *duty;
 
-  SCRIPT ({ GRANTED ("1"), KEEP }, { CLAIMED ("1"), KEEP },
-          { WHOLE ("2", "2", "{}"), KEEP });
-  duty = duty_script (&store);
+  SCRIPT ({ LEASE_GRANTED ("1"), KEEP }, { KEY_CLAIMED ("1"), KEEP },
+          { HTTP_OK_KEEP_ALIVE ("2", "2", "{}"), KEEP });
+  duty = acquire_duty (&store);
   while (store.epoch == 1)
     uv_run (&loop, UV_RUN_ONCE);
   ck_assert (!gt_duty_held (duty, net_clock_now (&test_clock)));
@@ -364,15 +368,15 @@
   gt_store_t store;
   gt_duty_t *duty;
 
-  SCRIPT ({ GRANTED ("1"), KEEP }, { CLAIMED ("1"), KEEP });
-  duty = duty_script (&store);
+  SCRIPT ({ LEASE_GRANTED ("1"), KEEP }, { KEY_CLAIMED ("1"), KEEP });
+  duty = acquire_duty (&store);
   gt_store_epoch (&store, 2, "host");
   ck_assert (!gt_duty_held (duty, net_clock_now (&test_clock)));
 }
 END_TEST
 
-/* Guards against two holders: one that has not heard of the epoch may go on
-   until its lease runs out. */
+/* Guards against two holders: a holder that does not know of the new epoch may
+   go on until its lease runs out. */
 START_TEST (test_duty_is_not_asked_for_before_leases_of_a_former_epoch_end)
 {
   gt_store_t store = { .clock = &test_clock,
@@ -384,10 +388,10 @@
                                       .key = EL_STR ("duty"),
                                       .holder = EL_STR ("a"),
                                       .ttl_ms = 900,
-                                      .vacant = vacant_always };
+                                      .vacant = always_vacant };
   gt_duty_t *duty;
 
-  SCRIPT ({ GRANTED ("2"), KEEP }, { CLAIMED ("2"), KEEP });
+  SCRIPT ({ LEASE_GRANTED ("2"), KEEP }, { KEY_CLAIMED ("2"), KEEP });
   store.address = el_str (script.address);
   duty = gt_duty_new (&options);
   gt_store_epoch (&store, 2, "host");
@@ -400,17 +404,18 @@
 }
 END_TEST
 
-/* Guards against the end of a lease whose number may be somebody else's. */
+/* Guards against revoking a lease whose number may belong to another holder by
+   now. */
 START_TEST (test_duty_that_the_store_did_not_renew_is_left_to_run_out)
 {
   gt_store_t store;
   gt_duty_t *duty;
 
-  SCRIPT ({ GRANTED ("1"), KEEP }, { CLAIMED ("1"), KEEP },
+  SCRIPT ({ LEASE_GRANTED ("1"), KEEP }, { KEY_CLAIMED ("1"), KEEP },
           { "HTTP/1.1 503 Busy\r\nstore-era: 1\r\n"
             "content-length: 0\r\n\r\n",
             KEEP });
-  duty = duty_script (&store);
+  duty = acquire_duty (&store);
   while (!store.counts.failures)
     uv_run (&loop, UV_RUN_ONCE);
   gt_duty_want (duty, 0);
--- a/tests/t_starts.c
+++ b/tests/t_starts.c
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Tests of endpoints that start again under their ids, and of entries that
- * other writers leave in the store.
+ * Tests of endpoints that restart under the same id, and of endpoint entries
+ * that other programs write to the store.
  */
 #include <stdio.h>
 #include <string.h>
@@ -13,10 +13,10 @@
 #include "seeds.h"
 #include "test.h"
 
-#define NOW (100 * EL_SEC)
-#define KEY EL_STR ("servers/e1")
+#define TEST_TIME (100 * EL_SEC)
+#define ENTRY_KEY EL_STR ("servers/e1")
 
-/* An entry as an engine writes it. */
+/* A valid entry, as an engine writes it. */
 static const char entry_text[]
     = "{\"Service\":\"pool\",\"Address\":\"10.0.0.1:80\",\"Zone\":\"h\","
       "\"Version\":\"v1\",\"Slots\":192,\"State\":\"ready\","
@@ -24,35 +24,36 @@
       "\"RouteType\":\"large\","
       "\"layers\":{\"Source\":0,\"TargetVersion\":16,\"Version\":1}}";
 
-/* What may stand in place of a field's value. */
-static const char *const others[] = { "null",
-                                      "true",
-                                      "-1",
-                                      "1.5",
-                                      "1e300",
-                                      "99999999999999999999",
-                                      "\"\"",
-                                      "\"none\"",
-                                      "[]",
-                                      "{}",
-                                      "[[1]]",
-                                      "{\"a\":{}}",
-                                      "0",
-                                      "4294967296",
-                                      "\"10.0.0.1\"",
-                                      "\"10.0.0.1:99999\"" };
+/* JSON values that replace the value of a field. */
+static const char *const other_values[] = { "null",
+                                            "true",
+                                            "-1",
+                                            "1.5",
+                                            "1e300",
+                                            "99999999999999999999",
+                                            "\"\"",
+                                            "\"none\"",
+                                            "[]",
+                                            "{}",
+                                            "[[1]]",
+                                            "{\"a\":{}}",
+                                            "0",
+                                            "4294967296",
+                                            "\"10.0.0.1\"",
+                                            "\"10.0.0.1:99999\"" };
 
 static int
-entry_read (const char *text, rt_facts_t *facts, json_t **keep)
+read_entry (const char *text, rt_facts_t *facts, json_t **entry_json)
 {
   el_err_t err;
 
-  return pf_facts_read (KEY, el_str (text), facts, keep, &err);
+  return pf_facts_read (ENTRY_KEY, el_str (text), facts, entry_json, &err);
 }
 
-/* A copy of the entry with a field that holds something else, or lacks it. */
+/* Returns a copy of the entry in which a field has another value, or is
+   missing if VALUE is NULL. */
 static char *
-entry_with (const char *name, const char *value)
+entry_with_field (const char *name, const char *value)
 {
   json_t *json = json_loads (entry_text, 0, NULL);
   char *text;
@@ -67,14 +68,15 @@
   return text;
 }
 
-/* One field of another type, unknown, or missing: it names no endpoint. */
+/* An entry with one field missing, of the wrong type, or with an invalid value
+   is rejected. */
 START_TEST (test_foreign_entry_names_no_endpoint)
 {
   static const struct
   {
     const char *field;
-    const char *value; /* NULL: it is missing */
-  } faults[] = {
+    const char *value; /* NULL: the field is missing */
+  } invalid_fields[] = {
     { "Service", NULL },
     { "Service", "7" },
     { "Service", "\"\"" },
@@ -100,38 +102,39 @@
     { "layers", "{\"Source\":5,\"TargetVersion\":2}" },
   };
   rt_facts_t facts;
-  json_t *keep;
+  json_t *entry_json;
   char *text;
   size_t i;
 
-  ck_assert_int_eq (entry_read (entry_text, &facts, &keep), 1);
+  ck_assert_int_eq (read_entry (entry_text, &facts, &entry_json), 1);
   ck_assert_uint_eq (facts.born, 1769916658364);
   ck_assert_uint_eq (facts.end, 16);
-  json_decref (keep);
-  for (i = 0; i < sizeof faults / sizeof *faults; i++)
+  json_decref (entry_json);
+  for (i = 0; i < sizeof invalid_fields / sizeof *invalid_fields; i++)
     {
-      text = entry_with (faults[i].field, faults[i].value);
-      ck_assert_msg (entry_read (text, &facts, &keep) == 0, "%s", text);
-      json_decref (keep);
+      text = entry_with_field (invalid_fields[i].field,
+                               invalid_fields[i].value);
+      ck_assert_msg (read_entry (text, &facts, &entry_json) == 0, "%s", text);
+      json_decref (entry_json);
       free (text);
     }
-  text = entry_with ("layers", "null"); /* it holds none */
-  ck_assert_int_eq (entry_read (text, &facts, &keep), 1);
+  text = entry_with_field ("layers", "null"); /* the engine holds no layers */
+  ck_assert_int_eq (read_entry (text, &facts, &entry_json), 1);
   ck_assert_uint_eq (facts.end, 0);
-  json_decref (keep);
+  json_decref (entry_json);
   free (text);
-  ck_assert_int_eq (entry_read ("[1,2]", &facts, &keep), 0);
-  json_decref (keep);
-  ck_assert_int_eq (entry_read ("\xff\xfe not text", &facts, &keep), 0);
-  json_decref (keep);
+  ck_assert_int_eq (read_entry ("[1,2]", &facts, &entry_json), 0);
+  json_decref (entry_json);
+  ck_assert_int_eq (read_entry ("\xff\xfe not text", &facts, &entry_json), 0);
+  json_decref (entry_json);
 }
 END_TEST
 
-/* Entries with fields exchanged, dropped, or bytes spoiled, into a fleet that
-   lines are searched and layers are placed over: what is taken is whole, and
-   the sound engine stays what it was. */
+/* Adds entries with fields replaced or dropped, or with corrupted bytes, to a
+   fleet, then picks a line and plans the placement of layers: entries that are
+   accepted are complete, and the valid engine is unaffected. */
 static void
-foreign_play (uint64_t seed)
+run_foreign_entries (uint64_t seed)
 {
   static const char *const fields[]
       = { "Service", "Address", "Zone",      "Version", "Slots", "State",
@@ -153,48 +156,53 @@
   rt_order_t orders[8];
   rt_facts_t facts;
   rt_line_t line;
-  json_t *keep;
+  json_t *entry_json;
   el_buf_t spoiled;
   el_err_t err;
   char *text;
   unsigned i;
 
-  ck_assert_int_eq (entry_read (entry_text, &facts, &keep), 1);
+  ck_assert_int_eq (read_entry (entry_text, &facts, &entry_json), 1);
   facts.id = EL_STR ("sound");
   rt_fleet_set (fleet, &facts);
-  json_decref (keep);
+  json_decref (entry_json);
   for (i = 0; i < 3; i++)
     {
-      text = entry_with (
+      text = entry_with_field (
           fields[seeds_draw (sizeof fields / sizeof *fields)],
-          seeds_draw (8) ? others[seeds_draw (sizeof others / sizeof *others)]
+          seeds_draw (8) ? other_values[seeds_draw (sizeof other_values
+                                                    / sizeof *other_values)]
                          : NULL);
       spoiled = seeds_draw (2) ? seeds_spoil (text) : (el_buf_t){ NULL, 0, 0 };
-      if (pf_facts_read (seeds_draw (2) ? KEY : EL_STR ("servers/e2"),
+      if (pf_facts_read (seeds_draw (2) ? ENTRY_KEY : EL_STR ("servers/e2"),
                          spoiled.ptr ? el_buf_str (&spoiled) : el_str (text),
-                         &facts, &keep, &err))
+                         &facts, &entry_json, &err))
         {
           ck_assert (facts.service.len && facts.hall.len && facts.slots);
           ck_assert (net_address_valid (facts.address));
           ck_assert_uint_le (facts.first, facts.end);
           rt_fleet_set (fleet, &facts);
         }
-      json_decref (keep);
+      json_decref (entry_json);
       el_buf_free (&spoiled);
       free (text);
     }
-  ck_assert_int_eq (rt_line_pick (fleet, NOW, &want, &line), 1);
+  ck_assert_int_eq (rt_line_pick (fleet, TEST_TIME, &want, &line), 1);
   rt_layout_next (fleet, &service, NULL, 0, orders, 8);
   rt_layout_repair (fleet, &service, NULL, 0, orders, 8);
   ck_assert_uint_eq (rt_fleet_find (fleet, EL_STR ("sound"))->facts.end, 16);
   rt_fleet_free (fleet);
 }
 
-START_TEST (test_foreign_entries_harm_nothing) { seeds_run (foreign_play); }
+START_TEST (test_foreign_entries_harm_nothing)
+{
+  seeds_run (run_foreign_entries);
+}
 END_TEST
 
-/* Another start under the id: not leaving, nothing held, nothing known of it;
-   the former one is gone, with what still refers to it. */
+/* An endpoint that restarted under its id is a new target: it is not leaving,
+   holds nothing and has no reported load. The former target is marked as gone
+   for those that still refer to it. */
 START_TEST (test_endpoint_that_starts_again_is_another)
 {
   rt_fleet_t *fleet = rt_fleet_new (1);
@@ -211,9 +219,9 @@
   rt_target_t *target;
   rt_load_t load = { .fill = 0.9, .pace = 4, .taken = 1 };
 
-  rt_target_failed (former, NOW);
-  rt_target_failed (former, NOW);
-  rt_target_told (former, &load, NOW);
+  rt_target_failed (former, TEST_TIME);
+  rt_target_failed (former, TEST_TIME);
+  rt_target_told (former, &load, TEST_TIME);
   former->held = 5000;
   facts.born = 2000;
   facts.leaving = 0;
@@ -221,8 +229,8 @@
   target = rt_fleet_set (fleet, &facts);
   ck_assert_ptr_ne (former, target);
   ck_assert_int_eq (former->access.gone, 1);
-  ck_assert_int_eq (rt_target_usable (former, NOW), 0);
-  ck_assert_int_eq (rt_target_usable (target, NOW), 1);
+  ck_assert_int_eq (rt_target_usable (former, TEST_TIME), 0);
+  ck_assert_int_eq (rt_target_usable (target, TEST_TIME), 1);
   ck_assert (target->held < 1 && target->pace < 1 && target->told == 0);
   ck_assert_uint_eq (rt_fleet_count (fleet), 1);
   ck_assert_ptr_eq (rt_fleet_find (fleet, EL_STR ("e1")), target);
