--- a/tests/mbr_net.c
+++ b/tests/mbr_net.c
@@ -21,14 +21,14 @@
 typedef struct net_msg
 {
   el_timer_t timer;
-  net_host_t *from;
-  net_host_t *to;
-  net_host_t *requester; /* host that waits for the answer */
-  net_host_t *proxy;     /* host that probes on the requester's behalf */
+  mbr_net_host_t *from;
+  mbr_net_host_t *to;
+  mbr_net_host_t *requester; /* host that waits for the answer */
+  mbr_net_host_t *proxy;     /* host that probes on the requester's behalf */
   uint64_t id;
   int answer;
   int relay; /* asks TO to probe TARGET */
-  net_host_t *target;
+  mbr_net_host_t *target;
   co_gossip_t gossip;
 } net_msg_t;
 
@@ -36,7 +36,7 @@
 typedef struct net_fetch
 {
   el_timer_t timer;
-  net_host_t *host;
+  mbr_net_host_t *host;
   uint64_t revision;
 } net_fetch_t;
 
@@ -49,7 +49,7 @@
   return net->rng >> 33;
 }
 
-static net_host_t *
+static mbr_net_host_t *
 find_host_by_address (net_t *net, el_str_t address)
 {
   size_t i;
@@ -65,7 +65,7 @@
 static void
 member_use_stable_strings (net_t *net, co_member_t *m)
 {
-  const net_host_t *host;
+  const mbr_net_host_t *host;
 
   HASH_FIND (hh, net->by_incarnation, m->incarnation.byte,
              CO_INCARNATION_BYTES, host);
@@ -89,12 +89,12 @@
 }
 
 static void
-msg_send (const net_msg_t *like, const co_incarnation_t *to_inc)
+msg_send (const net_msg_t *model, const co_incarnation_t *to_inc)
 {
-  net_t *net = like->from->net;
+  net_t *net = model->from->net;
   net_msg_t *msg = malloc (sizeof *msg);
 
-  *msg = *like;
+  *msg = *model;
   msg->from->sent++;
   co_members_speak (msg->from->members, to_inc, &msg->gossip);
   gossip_use_stable_strings (net, &msg->gossip);
@@ -130,7 +130,7 @@
 /* Fetches a newer configuration that gossip has named; this takes a round
    trip. */
 static void
-host_check_revision (net_host_t *host, const co_gossip_t *gossip)
+host_check_revision (mbr_net_host_t *host, const co_gossip_t *gossip)
 {
   net_t *net = host->net;
   net_fetch_t *fetch;
@@ -147,7 +147,7 @@
 
 /** Records that a host has all configuration changes up to REVISION. */
 void
-net_seen (net_host_t *host, uint64_t revision)
+net_seen (mbr_net_host_t *host, uint64_t revision)
 {
   host->revision = revision;
   co_members_seen (host->members, revision);
@@ -215,7 +215,7 @@
 static void
 host_probe (void *arg, uint64_t id, el_str_t address, el_str_t proxy)
 {
-  net_host_t *host = arg;
+  mbr_net_host_t *host = arg;
   net_msg_t msg = { .from = host, .requester = host, .id = id };
 
   msg.target = find_host_by_address (host->net, address);
@@ -228,7 +228,7 @@
 static void
 host_sync (void *arg, el_str_t address)
 {
-  net_host_t *host = arg;
+  mbr_net_host_t *host = arg;
 
   host->sync_peer = find_host_by_address (host->net, address);
 }
@@ -236,7 +236,7 @@
 static void
 sync_visit (void *arg, const co_member_t *member)
 {
-  net_host_t *host = arg;
+  mbr_net_host_t *host = arg;
   const co_change_t change = { .incarnation = member->incarnation,
                                .counter = member->counter,
                                .state = member->state,
@@ -251,9 +251,9 @@
 /* Takes in the member list of the peer that was asked for it, if the peer can
    be reached both ways. */
 static void
-host_run_sync (net_host_t *host)
+host_run_sync (mbr_net_host_t *host)
 {
-  net_host_t *other = host->sync_peer;
+  mbr_net_host_t *other = host->sync_peer;
   const net_t *net = host->net;
 
   host->sync_peer = NULL;
@@ -272,14 +272,15 @@
 static void
 host_endpoint_leaving (void *arg, el_str_t endpoint)
 {
-  net_host_t *host = arg;
+  mbr_net_host_t *host = arg;
 
   (void)endpoint;
   host->leaving_notices++;
 }
 
 static void
-host_open (net_t *net, net_host_t *host, const char *address, const char *hall)
+host_open (net_t *net, mbr_net_host_t *host, const char *address,
+           const char *hall)
 {
   co_members_options_t options = { .period = PROBE_PERIOD,
                                    .timeout = PROBE_TIMEOUT,
@@ -333,10 +334,10 @@
 }
 
 /** Ends a host and starts a new incarnation at its address. */
-net_host_t *
-net_replace_host (net_t *net, size_t host)
+mbr_net_host_t *
+mbr_net_replace_host (net_t *net, size_t host)
 {
-  net_host_t *fresh = &net->hosts[net->n++];
+  mbr_net_host_t *fresh = &net->hosts[net->n++];
 
   net->hosts[host].down = 1;
   host_open (net, fresh, net->hosts[host].address, net->hosts[host].hall);
@@ -408,7 +409,7 @@
 
 /** Whether every running host sees LIVE members alive and none suspect. */
 int
-net_is_converged (net_t *net, size_t live)
+mbr_net_is_converged (net_t *net, size_t live)
 {
   size_t i;
 
@@ -421,7 +422,7 @@
 }
 
 static int
-host_runs (const net_host_t *host)
+host_runs (const mbr_net_host_t *host)
 {
   return !host->down && !host->paused && !host->isolated;
 }
@@ -429,7 +430,7 @@
 /** Returns the number of pairs of a running host and an ended one to which it
     would still send callers. */
 size_t
-net_count_dead_offered (net_t *net)
+mbr_net_count_dead_offered (net_t *net)
 {
   const co_member_t *member;
   size_t n = 0;
@@ -450,7 +451,7 @@
 
 /** Returns how many running hosts would not send callers to HOST. */
 size_t
-net_count_not_offering (net_t *net, size_t host)
+mbr_net_count_not_offering (net_t *net, size_t host)
 {
   const co_member_t *member;
   size_t n = 0;
--- a/tests/mbr_net.h
+++ b/tests/mbr_net.h
@@ -14,13 +14,13 @@
 #include "map.h"
 
 /** Maximum number of incarnations in one run, replaced hosts included. */
-#define NET_HOSTS_MAX 2048
+#define MBR_NET_HOSTS_MAX 2048
 
-typedef struct net net_t;
+typedef struct mbr_net net_t;
 
-typedef struct net_host net_host_t;
+typedef struct mbr_net_host mbr_net_host_t;
 
-struct net_host
+struct mbr_net_host
 {
   net_t *net;
   co_members_t *members;
@@ -35,16 +35,16 @@
   uint64_t bytes;           /* size of the messages sent */
   uint64_t revision; /* of the configuration; fetched when gossip names a newer
                         one */
-  net_host_t *sync_peer; /* peer asked for its full member list; answers at the
-                            next step */
+  mbr_net_host_t *sync_peer; /* peer asked for its full member list; answers at
+                            the next step */
   UT_hash_handle hh;
 };
 
-struct net
+struct mbr_net
 {
-  net_host_t hosts[NET_HOSTS_MAX];
+  mbr_net_host_t hosts[MBR_NET_HOSTS_MAX];
   size_t n;
-  net_host_t *by_incarnation;
+  mbr_net_host_t *by_incarnation;
   size_t seeds; /* number of seed addresses given to a starting host */
   el_time_t now;
   el_timers_t timers;
@@ -52,17 +52,17 @@
   /** Returns the size of a message in bytes; NULL counts nothing. */
   size_t (*size) (const co_gossip_t *gossip);
   /** Whether a message from A reaches B; NULL delivers all. */
-  int (*link) (const net_host_t *a, const net_host_t *b);
+  int (*link) (const mbr_net_host_t *a, const mbr_net_host_t *b);
 };
 
 net_t *net_new (uint64_t seed, size_t hosts, size_t halls);
 void net_free (net_t *net);
-void net_seen (net_host_t *host, uint64_t revision);
+void net_seen (mbr_net_host_t *host, uint64_t revision);
 void net_run (net_t *net, el_time_t until);
-net_host_t *net_replace_host (net_t *net, size_t host);
+mbr_net_host_t *mbr_net_replace_host (net_t *net, size_t host);
 size_t net_sees (net_t *net, size_t host, co_mbr_state_t state);
-int net_is_converged (net_t *net, size_t live);
-size_t net_count_dead_offered (net_t *net);
-size_t net_count_not_offering (net_t *net, size_t host);
+int mbr_net_is_converged (net_t *net, size_t live);
+size_t mbr_net_count_dead_offered (net_t *net);
+size_t mbr_net_count_not_offering (net_t *net, size_t host);
 
 #endif
--- a/tests/settings.sh
+++ b/tests/settings.sh
@@ -11,7 +11,7 @@
 for input in tests/settings/*.in; do
   expected=${input%.in}.out
   {
-    # Each line of the input is a command, preceded by its environment variables.
+    # A line holds a command, preceded by its environment variables.
     (PATH=$bin:$PATH sh "$input") 2>&1
     echo "exit $?"
   } >"$dir/out"
--- a/tests/t_members.c
+++ b/tests/t_members.c
@@ -14,21 +14,22 @@
 #define SEEDS 12
 #define HOSTS 9
 #define SETTLE_TIME (20 * EL_SEC)
-#define CUT_HALL "hall-0"
+#define ISOLATED_HALL "hall-0"
 
 static net_t *
-net_new_converged (int seed)
+new_converged_net (int seed)
 {
   net_t *net = net_new ((uint64_t)seed + 1, HOSTS, 3);
 
   net_run (net, net->now + SETTLE_TIME);
-  ck_assert_msg (net_is_converged (net, HOSTS), "seed %d: not settled", seed);
+  ck_assert_msg (mbr_net_is_converged (net, HOSTS), "seed %d: not settled",
+                 seed);
   return net;
 }
 
 START_TEST (test_members_find_each_other)
 {
-  net_free (net_new_converged (_i));
+  net_free (new_converged_net (_i));
 }
 END_TEST
 
@@ -39,31 +40,31 @@
   net_t *net = net_new ((uint64_t)_i + 1, 64, 3);
 
   net_run (net, net->now + 1500 * EL_MSEC);
-  ck_assert_msg (net_is_converged (net, 64), "seed %d", _i);
+  ck_assert_msg (mbr_net_is_converged (net, 64), "seed %d", _i);
   net_free (net);
 }
 END_TEST
 
 START_TEST (test_members_dead_host_is_found_by_all)
 {
-  net_t *net = net_new_converged (_i);
+  net_t *net = new_converged_net (_i);
 
   net->hosts[4].down = 1;
   net_run (net, net->now + SETTLE_TIME);
-  ck_assert_msg (net_is_converged (net, HOSTS - 1), "seed %d", _i);
+  ck_assert_msg (mbr_net_is_converged (net, HOSTS - 1), "seed %d", _i);
   net_free (net);
 }
 END_TEST
 
 static int
-link_one_way_loss (const net_host_t *a, const net_host_t *b)
+link_one_way_loss (const mbr_net_host_t *a, const mbr_net_host_t *b)
 {
   return !(a == &a->net->hosts[1] && b == &a->net->hosts[2]);
 }
 
 START_TEST (test_members_one_way_loss_kills_nobody)
 {
-  net_t *net = net_new_converged (_i);
+  net_t *net = new_converged_net (_i);
   el_time_t until = net->now + 3 * SETTLE_TIME;
 
   net->link = link_one_way_loss;
@@ -82,38 +83,38 @@
 END_TEST
 
 static int
-link_hall_cut (const net_host_t *a, const net_host_t *b)
+link_hall_isolated (const mbr_net_host_t *a, const mbr_net_host_t *b)
 {
-  return (strcmp (a->hall, CUT_HALL) == 0)
-         == (strcmp (b->hall, CUT_HALL) == 0);
+  return (strcmp (a->hall, ISOLATED_HALL) == 0)
+         == (strcmp (b->hall, ISOLATED_HALL) == 0);
 }
 
 START_TEST (test_members_hall_cut_off_goes_on_and_meets_again)
 {
-  net_t *net = net_new_converged (_i);
+  net_t *net = new_converged_net (_i);
 
-  net->link = link_hall_cut;
+  net->link = link_hall_isolated;
   net_run (net, net->now + 2 * SETTLE_TIME);
   ck_assert_uint_eq (net_sees (net, 0, CO_MBR_ALIVE), HOSTS / 3);
   ck_assert_uint_eq (net_sees (net, 1, CO_MBR_ALIVE), HOSTS - HOSTS / 3);
   net->link = NULL;
   net_run (net, net->now + 2 * SETTLE_TIME);
-  ck_assert_msg (net_is_converged (net, HOSTS), "seed %d", _i);
+  ck_assert_msg (mbr_net_is_converged (net, HOSTS), "seed %d", _i);
   net_free (net);
 }
 END_TEST
 
 START_TEST (test_members_host_paused_for_a_minute_returns)
 {
-  net_t *net = net_new_converged (_i);
+  net_t *net = new_converged_net (_i);
   size_t i;
 
   net->hosts[3].paused = 1;
   net_run (net, net->now + 60 * EL_SEC);
-  ck_assert (net_is_converged (net, HOSTS - 1));
+  ck_assert (mbr_net_is_converged (net, HOSTS - 1));
   net->hosts[3].paused = 0;
   net_run (net, net->now + SETTLE_TIME);
-  ck_assert_msg (net_is_converged (net, HOSTS), "seed %d", _i);
+  ck_assert_msg (mbr_net_is_converged (net, HOSTS), "seed %d", _i);
   for (i = 0; i < HOSTS; i++) /* it declared no other host dead */
     ck_assert_uint_eq (net_sees (net, i, CO_MBR_DEAD), 0);
   net_free (net);
@@ -122,11 +123,11 @@
 
 START_TEST (test_members_replaced_host_is_another_member)
 {
-  net_t *net = net_new_converged (_i);
+  net_t *net = new_converged_net (_i);
 
-  net_replace_host (net, 5);
+  mbr_net_replace_host (net, 5);
   net_run (net, net->now + SETTLE_TIME);
-  ck_assert_msg (net_is_converged (net, HOSTS), "seed %d", _i);
+  ck_assert_msg (mbr_net_is_converged (net, HOSTS), "seed %d", _i);
   ck_assert_uint_eq (net_sees (net, 0, CO_MBR_DEAD), 1);
   net_free (net);
 }
@@ -134,7 +135,7 @@
 
 START_TEST (test_members_leaving_sign_reaches_all)
 {
-  net_t *net = net_new_converged (_i);
+  net_t *net = new_converged_net (_i);
   size_t i;
 
   co_members_endpoint (net->hosts[2].members, net->now,
@@ -156,7 +157,7 @@
 
 START_TEST (test_members_draining_and_left_are_told)
 {
-  net_t *net = net_new_converged (_i);
+  net_t *net = new_converged_net (_i);
   unsigned draining = 0;
 
   co_members_drain (net->hosts[6].members, CO_MBR_ALIVE);
@@ -169,7 +170,7 @@
   net->hosts[6].down = 1;
   net_run (net, net->now + 2 * EL_SEC);
   ck_assert_uint_eq (net_sees (net, 0, CO_MBR_LEFT), 1);
-  ck_assert (net_is_converged (net, HOSTS - 1));
+  ck_assert (mbr_net_is_converged (net, HOSTS - 1));
   net_free (net);
 }
 END_TEST
@@ -189,7 +190,7 @@
       size_t i;
 
       net_run (net, net->now + 3 * SETTLE_TIME);
-      ck_assert (net_is_converged (net, sizes[k]));
+      ck_assert (mbr_net_is_converged (net, sizes[k]));
       for (i = 0; i < sizes[k]; i++)
         before += net->hosts[i].sent;
       net_run (net, net->now + SETTLE_TIME);
@@ -219,7 +220,7 @@
 #define RECONNECT_TIME (5 * EL_SEC)
 
 static net_t *
-net_new_fleet (int seed, size_t hosts)
+new_fleet_net (int seed, size_t hosts)
 {
   net_t *net = net_new ((uint64_t)seed + 1, hosts, FLEET_HALLS);
   size_t i;
@@ -237,30 +238,30 @@
    90 % of the hosts then knew of it only after 11 s. */
 START_TEST (test_members_death_among_many_is_known_soon)
 {
-  net_t *net = net_new_fleet (_i, FLEET_HOSTS);
+  net_t *net = new_fleet_net (_i, FLEET_HOSTS);
 
   net->hosts[4 + _i].down = 1;
   net_run (net, net->now + DEATH_KNOWN_WITHIN);
-  ck_assert_uint_eq (net_count_dead_offered (net), 0);
+  ck_assert_uint_eq (mbr_net_count_dead_offered (net), 0);
   net_free (net);
 }
 END_TEST
 
 START_TEST (test_members_thirty_deaths_at_the_full_size_are_known_soon)
 {
-  net_t *net = net_new_fleet (_i, 570);
+  net_t *net = new_fleet_net (_i, 570);
   size_t i;
 
   for (i = 0; i < 30; i++)
     net->hosts[i * 19 + 3].down = 1;
   net_run (net, net->now + DEATH_KNOWN_WITHIN + 2 * EL_SEC);
-  ck_assert_uint_eq (net_count_dead_offered (net), 0);
+  ck_assert_uint_eq (mbr_net_count_dead_offered (net), 0);
   net_free (net);
 }
 END_TEST
 
 static int
-link_isolated (const net_host_t *a, const net_host_t *b)
+link_isolated (const mbr_net_host_t *a, const mbr_net_host_t *b)
 {
   return !a->isolated && !b->isolated;
 }
@@ -269,8 +270,8 @@
    and one starts. */
 START_TEST (test_members_cut_off_hosts_catch_up)
 {
-  net_t *net = net_new_fleet (_i, FLEET_HOSTS);
-  net_host_t *replacement;
+  net_t *net = new_fleet_net (_i, FLEET_HOSTS);
+  mbr_net_host_t *replacement;
   size_t i;
 
   net->link = link_isolated;
@@ -279,14 +280,14 @@
   net_run (net, net->now + EL_SEC);
   net->hosts[7 + 3 * _i].down = 1;
   net->hosts[100].down = 1;
-  replacement = net_replace_host (net, 11);
+  replacement = mbr_net_replace_host (net, 11);
   net_run (net, net->now + ISOLATION_TIME);
   for (i = 0; i < FLEET_HOSTS; i += 3)
     net->hosts[i].isolated = 0;
   net_run (net, net->now + RECONNECT_TIME);
-  ck_assert_uint_eq (net_count_dead_offered (net), 0);
+  ck_assert_uint_eq (mbr_net_count_dead_offered (net), 0);
   ck_assert_uint_eq (
-      net_count_not_offering (net, (size_t)(replacement - net->hosts)), 0);
+      mbr_net_count_not_offering (net, (size_t)(replacement - net->hosts)), 0);
   net_free (net);
 }
 END_TEST
@@ -294,13 +295,13 @@
 /* A host that starts in a large fleet is soon offered to callers by all. */
 START_TEST (test_members_join_among_many_is_known_soon)
 {
-  net_t *net = net_new_fleet (_i, FLEET_HOSTS);
-  net_host_t *replacement = net_replace_host (net, 11);
+  net_t *net = new_fleet_net (_i, FLEET_HOSTS);
+  mbr_net_host_t *replacement = mbr_net_replace_host (net, 11);
 
   net_run (net, net->now + JOIN_KNOWN_WITHIN);
   ck_assert_uint_eq (
-      net_count_not_offering (net, (size_t)(replacement - net->hosts)), 0);
-  ck_assert_uint_eq (net_count_dead_offered (net), 0);
+      mbr_net_count_not_offering (net, (size_t)(replacement - net->hosts)), 0);
+  ck_assert_uint_eq (mbr_net_count_dead_offered (net), 0);
   net_free (net);
 }
 END_TEST
@@ -315,7 +316,7 @@
    capacity, and on the next one when the first is skipped. */
 START_TEST (test_members_first_of_a_hall_is_the_largest)
 {
-  net_t *net = net_new_converged (_i);
+  net_t *net = new_converged_net (_i);
   const co_member_t *first;
   const co_member_t *next;
   size_t i;
@@ -346,7 +347,7 @@
 
 START_TEST (test_members_few_are_chosen_in_each_hall)
 {
-  net_t *net = net_new_converged (_i);
+  net_t *net = new_converged_net (_i);
   unsigned chosen = 0;
   size_t i;
 
