--- a/tests/t_clock.c
+++ b/tests/t_clock.c
@@ -28,8 +28,8 @@
 }
 
 /* The clock includes the time of the suspension, and timers that fell due
-   meanwhile fire in the next iteration of the event loop, whatever wakes it.
- */
+   meanwhile fire in the next iteration of the event loop, which something else
+   has to bring about. */
 START_TEST (test_clock_counts_while_the_host_is_suspended)
 {
   el_timer_t late = { .cb = timer_fired };
--- a/tests/t_members.c
+++ b/tests/t_members.c
@@ -312,8 +312,8 @@
   return arg && co_incarnation_eq (arg, &member->incarnation);
 }
 
-/* All hosts of a hall agree on the first host, the one with the largest
-   capacity, and on the next one when the first is skipped. */
+/* All hosts of a hall find the same first host, the one with the largest
+   capacity; where that one is skipped, they find one that comes after it. */
 START_TEST (test_members_first_of_a_hall_is_the_largest)
 {
   net_t *net = new_converged_net (_i);
