--- a/bench/bench_members.c
+++ b/bench/bench_members.c
@@ -70,7 +70,7 @@
 }
 
 static void
-totals (const net_t *net, uint64_t *sent, uint64_t *bytes)
+totals (const mbr_net_t *net, uint64_t *sent, uint64_t *bytes)
 {
   size_t i;
 
@@ -85,7 +85,7 @@
 
 /* Milliseconds until the watchers' revision is everywhere. */
 static uint64_t
-change_spreads (net_t *net)
+change_spreads (mbr_net_t *net)
 {
   el_time_t began = net->now;
   size_t behind = 1;
@@ -93,10 +93,10 @@
 
   for (i = 0; i < net->n; i++)
     if (co_members_is_top_ranked (net->hosts[i].members, WATCHERS))
-      net_seen (&net->hosts[i], 7);
+      mbr_net_set_revision (&net->hosts[i], 7);
   while (behind && net->now < began + LIMIT)
     {
-      net_run (net, net->now + STEP);
+      mbr_net_run (net, net->now + STEP);
       behind = 0;
       for (i = 0; i < net->n; i++)
         behind += net->hosts[i].revision < 7;
@@ -106,7 +106,7 @@
 
 /* Milliseconds until no host gives a dead one out as an entry address. */
 static uint64_t
-death_spreads (net_t *net, size_t hosts)
+death_spreads (mbr_net_t *net, size_t hosts)
 {
   el_time_t began = net->now;
   size_t wrong = 1;
@@ -115,11 +115,11 @@
   net->hosts[1].down = 1;
   while (wrong && net->now < began + LIMIT)
     {
-      net_run (net, net->now + STEP);
+      mbr_net_run (net, net->now + STEP);
       wrong = 0;
       for (i = 0; i < hosts; i++)
         wrong += !net->hosts[i].down
-                 && net_sees (net, i, CO_MBR_ALIVE) > hosts - 1;
+                 && mbr_net_count_state (net, i, CO_MBR_ALIVE) > hosts - 1;
     }
   return (net->now - began) / EL_MSEC;
 }
@@ -127,7 +127,7 @@
 static void
 measure (size_t hosts, size_t halls)
 {
-  net_t *net = net_new (1, hosts, halls);
+  mbr_net_t *net = mbr_net_new (1, hosts, halls);
   size_t heap = bench_heap ();
   uint64_t sent[2];
   uint64_t bytes[2];
@@ -138,10 +138,10 @@
   double cpu;
 
   net->size = gossip_size;
-  net_run (net, net->now + SETTLE);
+  mbr_net_run (net, net->now + SETTLE);
   totals (net, &sent[0], &bytes[0]);
   cpu = cpu_seconds ();
-  net_run (net, net->now + SPAN);
+  mbr_net_run (net, net->now + SPAN);
   cpu = cpu_seconds () - cpu;
   totals (net, &sent[1], &bytes[1]);
   heap = bench_heap () - heap;
@@ -158,7 +158,7 @@
       (double)(bytes[1] - bytes[0]) / (double)hosts / ((double)SPAN / EL_SEC),
       cpu * 1e6 / (double)hosts / ((double)SPAN / EL_SEC), heap / hosts,
       (unsigned long long)change_ms, (unsigned long long)death_ms);
-  net_free (net);
+  mbr_net_free (net);
 }
 
 /* How soon all hosts know a rumor, over seeds. */
--- a/tests/mbr_net.c
+++ b/tests/mbr_net.c
@@ -43,14 +43,14 @@
 static void msg_arrive (void *arg, el_time_t now);
 
 static uint64_t
-net_random (net_t *net)
+net_random (mbr_net_t *net)
 {
   net->rng = net->rng * 6364136223846793005ULL + 1442695040888963407ULL;
   return net->rng >> 33;
 }
 
 static mbr_net_host_t *
-find_host_by_address (net_t *net, el_str_t address)
+find_host_by_address (mbr_net_t *net, el_str_t address)
 {
   size_t i;
 
@@ -63,7 +63,7 @@
 /* Points the strings of a member at those of the simulated host, which outlive
    the message that carried them. */
 static void
-member_use_stable_strings (net_t *net, co_member_t *m)
+member_use_stable_strings (mbr_net_t *net, co_member_t *m)
 {
   const mbr_net_host_t *host;
 
@@ -77,7 +77,7 @@
 }
 
 static void
-gossip_use_stable_strings (net_t *net, co_gossip_t *gossip)
+gossip_use_stable_strings (mbr_net_t *net, co_gossip_t *gossip)
 {
   size_t i;
 
@@ -91,7 +91,7 @@
 static void
 msg_send (const net_msg_t *model, const co_incarnation_t *to_inc)
 {
-  net_t *net = model->from->net;
+  mbr_net_t *net = model->from->net;
   net_msg_t *msg = malloc (sizeof *msg);
 
   *msg = *model;
@@ -110,7 +110,7 @@
 static int
 msg_lost (const net_msg_t *msg)
 {
-  net_t *net = msg->from->net;
+  mbr_net_t *net = msg->from->net;
 
   return msg->to->down || msg->to->paused
          || (net->link && !net->link (msg->from, msg->to));
@@ -123,7 +123,7 @@
 
   (void)now;
   if (fetch->revision > fetch->host->revision)
-    net_seen (fetch->host, fetch->revision);
+    mbr_net_set_revision (fetch->host, fetch->revision);
   free (fetch);
 }
 
@@ -132,7 +132,7 @@
 static void
 host_check_revision (mbr_net_host_t *host, const co_gossip_t *gossip)
 {
-  net_t *net = host->net;
+  mbr_net_t *net = host->net;
   net_fetch_t *fetch;
 
   if (gossip->self.revision <= host->revision)
@@ -147,7 +147,7 @@
 
 /** Records that a host has all configuration changes up to REVISION. */
 void
-net_seen (mbr_net_host_t *host, uint64_t revision)
+mbr_net_set_revision (mbr_net_host_t *host, uint64_t revision)
 {
   host->revision = revision;
   co_members_set_revision (host->members, revision);
@@ -177,7 +177,7 @@
                      .requester = msg->requester,
                      .id = msg->id,
                      .answer = 1 };
-  net_t *net = msg->to->net;
+  mbr_net_t *net = msg->to->net;
 
   if (msg->to == msg->requester)
     {
@@ -256,7 +256,7 @@
 host_run_sync (mbr_net_host_t *host)
 {
   mbr_net_host_t *other = host->sync_peer;
-  const net_t *net = host->net;
+  const mbr_net_t *net = host->net;
 
   host->sync_peer = NULL;
   if (other && !other->down && !other->paused
@@ -281,7 +281,7 @@
 }
 
 static void
-host_open (net_t *net, mbr_net_host_t *host, const char *address,
+host_open (mbr_net_t *net, mbr_net_host_t *host, const char *address,
            const char *hall)
 {
   co_members_options_t options = { .period = PROBE_PERIOD,
@@ -315,10 +315,10 @@
   el_buf_free (&seeds);
 }
 
-net_t *
-net_new (uint64_t seed, size_t hosts, size_t halls)
+mbr_net_t *
+mbr_net_new (uint64_t seed, size_t hosts, size_t halls)
 {
-  net_t *net = calloc (1, sizeof *net);
+  mbr_net_t *net = calloc (1, sizeof *net);
   char address[32];
   char hall[32];
   size_t i;
@@ -337,7 +337,7 @@
 
 /** Ends a host and starts a new incarnation at its address. */
 mbr_net_host_t *
-mbr_net_replace_host (net_t *net, size_t host)
+mbr_net_replace_host (mbr_net_t *net, size_t host)
 {
   mbr_net_host_t *fresh = &net->hosts[net->n++];
 
@@ -347,7 +347,7 @@
 }
 
 void
-net_free (net_t *net)
+mbr_net_free (mbr_net_t *net)
 {
   size_t i;
 
@@ -367,7 +367,7 @@
 
 /** Runs the simulation until a given time. */
 void
-net_run (net_t *net, el_time_t until)
+mbr_net_run (mbr_net_t *net, el_time_t until)
 {
   size_t i;
 
@@ -401,7 +401,7 @@
 
 /** Returns how many members, itself included, a host has in a given state. */
 size_t
-net_sees (net_t *net, size_t host, co_mbr_state_t state)
+mbr_net_count_state (mbr_net_t *net, size_t host, co_mbr_state_t state)
 {
   state_count_t state_count = { state, 0 };
 
@@ -411,14 +411,14 @@
 
 /** Whether every running host sees LIVE members alive and none suspect. */
 int
-mbr_net_is_converged (net_t *net, size_t live)
+mbr_net_is_converged (mbr_net_t *net, size_t live)
 {
   size_t i;
 
   for (i = 0; i < net->n; i++)
     if (!net->hosts[i].down && !net->hosts[i].paused
-        && (net_sees (net, i, CO_MBR_ALIVE) != live
-            || net_sees (net, i, CO_MBR_SUSPECT)))
+        && (mbr_net_count_state (net, i, CO_MBR_ALIVE) != live
+            || mbr_net_count_state (net, i, CO_MBR_SUSPECT)))
       return 0;
   return 1;
 }
@@ -432,7 +432,7 @@
 /** Returns the number of pairs of a running host and an ended one to which it
     would still send callers. */
 size_t
-mbr_net_count_dead_offered (net_t *net)
+mbr_net_count_dead_offered (mbr_net_t *net)
 {
   const co_member_t *member;
   size_t n = 0;
@@ -453,7 +453,7 @@
 
 /** Returns how many running hosts would not send callers to HOST. */
 size_t
-mbr_net_count_not_offering (net_t *net, size_t host)
+mbr_net_count_not_offering (mbr_net_t *net, size_t host)
 {
   const co_member_t *member;
   size_t n = 0;
--- a/tests/mbr_net.h
+++ b/tests/mbr_net.h
@@ -16,13 +16,13 @@
 /** Maximum number of incarnations in one run, replaced hosts included. */
 #define MBR_NET_HOSTS_MAX 2048
 
-typedef struct mbr_net net_t;
+typedef struct mbr_net mbr_net_t;
 
 typedef struct mbr_net_host mbr_net_host_t;
 
 struct mbr_net_host
 {
-  net_t *net;
+  mbr_net_t *net;
   co_members_t *members;
   char address[32];
   char hall[32];
@@ -55,14 +55,14 @@
   int (*link) (const mbr_net_host_t *a, const mbr_net_host_t *b);
 };
 
-net_t *net_new (uint64_t seed, size_t hosts, size_t halls);
-void net_free (net_t *net);
-void net_seen (mbr_net_host_t *host, uint64_t revision);
-void net_run (net_t *net, el_time_t until);
-mbr_net_host_t *mbr_net_replace_host (net_t *net, size_t host);
-size_t net_sees (net_t *net, size_t host, co_mbr_state_t state);
-int mbr_net_is_converged (net_t *net, size_t live);
-size_t mbr_net_count_dead_offered (net_t *net);
-size_t mbr_net_count_not_offering (net_t *net, size_t host);
+mbr_net_t *mbr_net_new (uint64_t seed, size_t hosts, size_t halls);
+void mbr_net_free (mbr_net_t *net);
+void mbr_net_set_revision (mbr_net_host_t *host, uint64_t revision);
+void mbr_net_run (mbr_net_t *net, el_time_t until);
+mbr_net_host_t *mbr_net_replace_host (mbr_net_t *net, size_t host);
+size_t mbr_net_count_state (mbr_net_t *net, size_t host, co_mbr_state_t state);
+int mbr_net_is_converged (mbr_net_t *net, size_t live);
+size_t mbr_net_count_dead_offered (mbr_net_t *net);
+size_t mbr_net_count_not_offering (mbr_net_t *net, size_t host);
 
 #endif
--- a/tests/t_base.c
+++ b/tests/t_base.c
@@ -11,7 +11,7 @@
 
 #include "test.h"
 
-START_TEST (test_verdict_join_only_rises)
+START_TEST (test_verdict_join_is_monotonic)
 {
   ck_assert_int_eq (el_verdict_join (EL_NOT_RUN, EL_NOT_RUN), EL_NOT_RUN);
   ck_assert_int_eq (el_verdict_join (EL_NOT_RUN, EL_MAY_HAVE_RUN),
@@ -23,7 +23,7 @@
 }
 END_TEST
 
-START_TEST (test_verdict_default_is_cautious)
+START_TEST (test_verdict_default_is_may_have_run)
 {
   el_verdict_t verdict = EL_NOT_RUN;
   rt_event_t event;
@@ -130,7 +130,7 @@
   return el_settings_parse (&settings_options, argc, argv, out, NULL, err);
 }
 
-START_TEST (test_settings_flag_goes_before_variable)
+START_TEST (test_settings_flag_overrides_variable)
 {
   const char *argv[] = { "prog", "--number=7", "--flag", NULL };
   settings_values_t out;
@@ -171,7 +171,7 @@
 }
 END_TEST
 
-START_TEST (test_settings_required_is_named)
+START_TEST (test_settings_missing_required_is_named)
 {
   const char *argv[] = { "prog", NULL };
   settings_values_t out;
@@ -188,14 +188,14 @@
   Suite *suite = suite_create ("base");
   TCase *tcase = tcase_create ("base");
 
-  ADD (tcase, test_verdict_join_only_rises);
-  ADD (tcase, test_verdict_default_is_cautious);
+  ADD (tcase, test_verdict_join_is_monotonic);
+  ADD (tcase, test_verdict_default_is_may_have_run);
   ADD (tcase, test_log_value_cannot_forge_a_line);
   ADD (tcase, test_timers_fire_in_order_and_once);
   ADD (tcase, test_histogram_quantiles_bound_the_values);
-  ADD (tcase, test_settings_flag_goes_before_variable);
+  ADD (tcase, test_settings_flag_overrides_variable);
   ADD_LOOP (tcase, test_settings_error_names_setting_and_range, 6);
-  ADD (tcase, test_settings_required_is_named);
+  ADD (tcase, test_settings_missing_required_is_named);
   suite_add_tcase (suite, tcase);
   return suite;
 }
--- a/tests/t_clock.c
+++ b/tests/t_clock.c
@@ -30,7 +30,7 @@
 /* The clock includes the time of the suspension, and timers that fell due
    meanwhile fire in the next iteration of the event loop, which something else
    has to bring about. */
-START_TEST (test_clock_counts_while_the_host_is_suspended)
+START_TEST (test_clock_includes_suspension)
 {
   el_timer_t late = { .cb = timer_fired };
   el_timer_t soon = { .cb = timer_fired };
@@ -57,7 +57,7 @@
 
 /* A duty is leased for 2 s and its holder is suspended for 5 s: the holder
    must not count it as held when it resumes. */
-START_TEST (test_duty_is_over_after_a_suspension)
+START_TEST (test_duty_expires_during_suspension)
 {
   gt_store_t store = {
     .clock = &test_clock, .client = client, .dialect = &pf_store, .random = 1
@@ -87,7 +87,7 @@
 
 /* A blocked request is admitted again when its block has run out, also where
    the host was suspended meanwhile. */
-START_TEST (test_block_runs_out_while_the_host_is_suspended)
+START_TEST (test_block_expires_during_suspension)
 {
   const rt_blame_options_t options = { .max_requests = 10,
                                        .max_customer_requests = 10,
@@ -113,9 +113,9 @@
   TCase *tcase = tcase_create ("clock");
 
   tcase_add_checked_fixture (tcase, loop_setup, NULL);
-  ADD (tcase, test_clock_counts_while_the_host_is_suspended);
-  ADD (tcase, test_duty_is_over_after_a_suspension);
-  ADD (tcase, test_block_runs_out_while_the_host_is_suspended);
+  ADD (tcase, test_clock_includes_suspension);
+  ADD (tcase, test_duty_expires_during_suspension);
+  ADD (tcase, test_block_expires_during_suspension);
   suite_add_tcase (suite, tcase);
   return suite;
 }
--- a/tests/t_coord.c
+++ b/tests/t_coord.c
@@ -25,7 +25,7 @@
   return token;
 }
 
-START_TEST (test_token_reads_back)
+START_TEST (test_token_round_trip)
 {
   co_token_t token = sample_token ();
   co_token_t back;
@@ -113,7 +113,7 @@
                                   5, &nreleased, &answer);
 }
 
-START_TEST (test_ledger_runs_once_and_joins)
+START_TEST (test_ledger_duplicate_joins_first_run)
 {
   co_ledger_t *ledger = ledger_new (4);
   uint64_t session;
@@ -137,7 +137,7 @@
 }
 END_TEST
 
-START_TEST (test_ledger_only_not_run_may_run_again)
+START_TEST (test_ledger_reruns_only_what_did_not_run)
 {
   co_ledger_t *ledger = ledger_new (4);
   uint64_t session;
@@ -154,7 +154,7 @@
 }
 END_TEST
 
-START_TEST (test_ledger_forgotten_never_runs)
+START_TEST (test_ledger_evicted_request_never_runs)
 {
   co_ledger_t *ledger = ledger_new (2);
   uint64_t session;
@@ -214,7 +214,7 @@
 
 /* Stored answers stay within the memory limit. A request that was evicted
    never runs again, and one that is running is never evicted. */
-START_TEST (test_ledger_keeps_within_its_memory)
+START_TEST (test_ledger_memory_is_bounded)
 {
   co_ledger_t *ledger = ledger_new (50);
   uint64_t session;
@@ -238,7 +238,7 @@
 }
 END_TEST
 
-START_TEST (test_ledger_sealed_runs_nothing_new)
+START_TEST (test_ledger_sealed_accepts_nothing_new)
 {
   co_ledger_t *ledger = ledger_new (4);
   uint64_t session;
@@ -415,15 +415,15 @@
   Suite *suite = suite_create ("coord");
   TCase *tcase = tcase_create ("coord");
 
-  ADD (tcase, test_token_reads_back);
+  ADD (tcase, test_token_round_trip);
   ADD (tcase, test_token_forged_is_denied);
-  ADD (tcase, test_ledger_runs_once_and_joins);
-  ADD (tcase, test_ledger_only_not_run_may_run_again);
-  ADD (tcase, test_ledger_forgotten_never_runs);
+  ADD (tcase, test_ledger_duplicate_joins_first_run);
+  ADD (tcase, test_ledger_reruns_only_what_did_not_run);
+  ADD (tcase, test_ledger_evicted_request_never_runs);
   ADD (tcase, test_ledger_unknown_session_may_have_run);
   ADD (tcase, test_ledger_full_refuses_as_not_run);
-  ADD (tcase, test_ledger_keeps_within_its_memory);
-  ADD (tcase, test_ledger_sealed_runs_nothing_new);
+  ADD (tcase, test_ledger_memory_is_bounded);
+  ADD (tcase, test_ledger_sealed_accepts_nothing_new);
   ADD_LOOP (tcase, test_ledger_any_order_runs_at_most_once, 50);
   ADD (tcase, test_config_never_reverts);
   ADD (tcase, test_config_own_change_does_not_skip_others);
--- a/tests/t_epoch.c
+++ b/tests/t_epoch.c
@@ -64,7 +64,7 @@
 
 /* Guards against a change that is dropped because its revision is not above
    the one that the key had in a former epoch. */
-START_TEST (test_keys_change_of_a_newer_epoch_counts_at_any_revision)
+START_TEST (test_keys_newer_epoch_wins_at_any_revision)
 {
   static const uint64_t revisions[] = { 4, 5, 6 };
   record_t record = { .refuse = 0 };
@@ -78,7 +78,7 @@
 }
 END_TEST
 
-START_TEST (test_keys_change_of_a_former_epoch_counts_for_nothing)
+START_TEST (test_keys_former_epoch_is_ignored)
 {
   record_t record = { .refuse = 0 };
   gt_keys_t *keys = open_keys (&record);
@@ -94,7 +94,7 @@
 
 /* A read in a new epoch passes on only what differs; a host that is still in
    the former epoch is told all keys. */
-START_TEST (test_keys_new_epoch_hands_on_what_differs)
+START_TEST (test_keys_new_epoch_passes_on_differences)
 {
   const pr_store_item_t other
       = { .key = EL_STR ("o"), .value = EL_STR ("x"), .revision = 3 };
@@ -123,7 +123,7 @@
 
 /* A value that is refused as older, by a version of its own, is not passed to
    other hosts. */
-START_TEST (test_keys_refused_value_is_not_told_on)
+START_TEST (test_keys_refused_value_is_not_passed_on)
 {
   record_t record = { .refuse = 0 };
   gt_keys_t *keys = open_keys (&record);
@@ -143,7 +143,7 @@
 /* A key that the first read of an epoch lacks stays valid, and one that had
    been deleted and is back stays deleted, until gt_keys_release_held or the
    next change of the key. */
-START_TEST (test_keys_what_an_epoch_lacks_or_has_again_waits)
+START_TEST (test_keys_missing_or_restored_wait_for_settle)
 {
   static const pr_store_item_t gone[]
       = { { .key = EL_STR ("g"), .value = EL_STR ("1"), .revision = 3 },
@@ -216,7 +216,7 @@
 
 /* Guards against the events of a watch that spans two epochs: the store does
    not answer 410, as the requested revision exists again. */
-START_TEST (test_follow_watch_across_an_epoch_is_not_believed)
+START_TEST (test_follow_watch_across_epochs_is_discarded)
 {
   record_t record = { .refuse = 0 };
   gt_store_t store;
@@ -234,7 +234,7 @@
 }
 END_TEST
 
-START_TEST (test_follow_epoch_that_begins_between_pages_reads_anew)
+START_TEST (test_follow_new_epoch_between_pages_restarts_read)
 {
   record_t record = { .refuse = 0 };
   gt_store_t store;
@@ -249,7 +249,7 @@
 }
 END_TEST
 
-START_TEST (test_follow_two_epochs_within_a_moment)
+START_TEST (test_follow_two_epochs_in_quick_succession)
 {
   record_t record = { .refuse = 0 };
   gt_store_t store;
@@ -285,7 +285,7 @@
 
 /* An answer with a missing, invalid or repeated epoch is applied, and leaves
    the known epoch unchanged. */
-START_TEST (test_follow_epoch_that_cannot_be_read_leaves_what_is_known)
+START_TEST (test_follow_invalid_epoch_is_ignored)
 {
   static const char *const headers[]
       = { "", "store-era: two\r\n", "store-era: -2\r\n",
@@ -364,7 +364,7 @@
 }
 END_TEST
 
-START_TEST (test_duty_is_lost_when_another_part_hears_of_an_epoch)
+START_TEST (test_duty_is_lost_when_store_epoch_changes)
 {
   gt_store_t store;
   gt_duty_t *duty;
@@ -379,7 +379,7 @@
 
 /* Guards against two holders: a holder that does not know of the new epoch may
    go on until its lease runs out. */
-START_TEST (test_duty_is_not_asked_for_before_leases_of_a_former_epoch_end)
+START_TEST (test_duty_waits_for_leases_of_former_epoch)
 {
   gt_store_t store = { .clock = &test_clock,
                        .client = client,
@@ -409,7 +409,7 @@
 
 /* Guards against revoking a lease whose number may belong to another holder by
    now. */
-START_TEST (test_duty_that_the_store_did_not_renew_is_left_to_run_out)
+START_TEST (test_duty_not_renewed_is_left_to_expire)
 {
   gt_store_t store;
   gt_duty_t *duty;
@@ -437,22 +437,20 @@
 
   tcase_set_timeout (tcase, 20);
   tcase_add_checked_fixture (tcase, loop_setup, NULL);
-  ADD_LOOP (tcase, test_keys_change_of_a_newer_epoch_counts_at_any_revision,
-            3);
-  ADD (tcase, test_keys_change_of_a_former_epoch_counts_for_nothing);
-  ADD (tcase, test_keys_new_epoch_hands_on_what_differs);
-  ADD (tcase, test_keys_refused_value_is_not_told_on);
-  ADD_LOOP (tcase, test_keys_what_an_epoch_lacks_or_has_again_waits, 2);
-  ADD (tcase, test_follow_watch_across_an_epoch_is_not_believed);
-  ADD (tcase, test_follow_epoch_that_begins_between_pages_reads_anew);
-  ADD (tcase, test_follow_two_epochs_within_a_moment);
+  ADD_LOOP (tcase, test_keys_newer_epoch_wins_at_any_revision, 3);
+  ADD (tcase, test_keys_former_epoch_is_ignored);
+  ADD (tcase, test_keys_new_epoch_passes_on_differences);
+  ADD (tcase, test_keys_refused_value_is_not_passed_on);
+  ADD_LOOP (tcase, test_keys_missing_or_restored_wait_for_settle, 2);
+  ADD (tcase, test_follow_watch_across_epochs_is_discarded);
+  ADD (tcase, test_follow_new_epoch_between_pages_restarts_read);
+  ADD (tcase, test_follow_two_epochs_in_quick_succession);
   ADD (tcase, test_follow_answer_of_a_former_epoch_is_not_applied);
-  ADD_LOOP (tcase, test_follow_epoch_that_cannot_be_read_leaves_what_is_known,
-            5);
+  ADD_LOOP (tcase, test_follow_invalid_epoch_is_ignored, 5);
   ADD (tcase, test_duty_renewed_in_another_epoch_is_lost);
-  ADD (tcase, test_duty_is_lost_when_another_part_hears_of_an_epoch);
-  ADD (tcase, test_duty_is_not_asked_for_before_leases_of_a_former_epoch_end);
-  ADD (tcase, test_duty_that_the_store_did_not_renew_is_left_to_run_out);
+  ADD (tcase, test_duty_is_lost_when_store_epoch_changes);
+  ADD (tcase, test_duty_waits_for_leases_of_former_epoch);
+  ADD (tcase, test_duty_not_renewed_is_left_to_expire);
   suite_add_tcase (suite, tcase);
   return suite;
 }
--- a/tests/t_net.c
+++ b/tests/t_net.c
@@ -97,7 +97,7 @@
   "HTTP/1.1 200 OK\r\nkeep-alive: timeout=9\r\ncontent-length: 1\r\n\r\na"
 #define ANSWER_UNTIL_CLOSE "HTTP/1.1 200 OK\r\nconnection: close\r\n\r\npart"
 
-START_TEST (test_client_tells_a_reset_from_an_end)
+START_TEST (test_client_distinguishes_reset_from_close)
 {
   response_t response;
 
@@ -113,7 +113,7 @@
 }
 END_TEST
 
-START_TEST (test_client_answer_cut_short_is_broken)
+START_TEST (test_client_truncated_answer_is_broken)
 {
   response_t response;
 
@@ -134,7 +134,7 @@
 }
 END_TEST
 
-START_TEST (test_client_keeps_a_connection)
+START_TEST (test_client_reuses_connection)
 {
   response_t response;
 
@@ -152,7 +152,7 @@
 
 /* After "connection: close" or a keep-alive timeout of 0, the client sends
    nothing more on the connection. */
-START_TEST (test_client_leaves_a_connection_that_is_to_close)
+START_TEST (test_client_does_not_reuse_closing_connection)
 {
   static const char *const first[]
       = { "HTTP/1.1 200 OK\r\nconnection: close\r\nkeep-alive: timeout=9\r\n"
@@ -175,7 +175,7 @@
 }
 END_TEST
 
-START_TEST (test_client_surplus_bytes_end_the_connection)
+START_TEST (test_client_surplus_bytes_close_connection)
 {
   response_t response;
 
@@ -196,7 +196,7 @@
 
 /* The process stalls past the time limit while the answer waits to be read:
    the request must not time out. */
-START_TEST (test_client_held_up_reads_what_came_first)
+START_TEST (test_client_stalled_process_is_no_timeout)
 {
   response_t response = { .done = 0 };
   net_request_t send = { .method = EL_STR ("GET"),
@@ -298,7 +298,7 @@
   ck_assert_int_eq (write (fd, text, strlen (text)), (ssize_t)strlen (text));
 }
 
-START_TEST (test_server_notices_a_caller_that_leaves)
+START_TEST (test_server_detects_caller_disconnect)
 {
   server_record_t record;
   int fd = connect_to_server (&record);
@@ -328,7 +328,7 @@
 
 /* A large request is pipelined while the first one waits: the strings of the
    first stay valid, and the second is served after it. */
-START_TEST (test_server_serves_what_was_sent_ahead)
+START_TEST (test_server_serves_pipelined_requests)
 {
   server_record_t record;
   int fd = connect_to_server (&record);
@@ -373,7 +373,7 @@
 }
 
 /* Wherever the input is split, the parser gives the same events. */
-START_TEST (test_events_any_cut_gives_the_same_events)
+START_TEST (test_events_any_split_gives_same_events)
 {
   const el_str_t text = EL_STR ("id: 7\ndata: a\n\nid:8\r\ndata: b\r\n\r\n"
                                 "data: c\n\nid: 9\nda");
@@ -403,16 +403,16 @@
 
   tcase_set_timeout (tcase, 60);
   tcase_add_checked_fixture (tcase, loop_setup, NULL);
-  ADD (tcase, test_client_tells_a_reset_from_an_end);
-  ADD (tcase, test_client_answer_cut_short_is_broken);
-  ADD (tcase, test_client_keeps_a_connection);
-  ADD_LOOP (tcase, test_client_leaves_a_connection_that_is_to_close, 2);
-  ADD (tcase, test_client_surplus_bytes_end_the_connection);
-  ADD (tcase, test_client_held_up_reads_what_came_first);
+  ADD (tcase, test_client_distinguishes_reset_from_close);
+  ADD (tcase, test_client_truncated_answer_is_broken);
+  ADD (tcase, test_client_reuses_connection);
+  ADD_LOOP (tcase, test_client_does_not_reuse_closing_connection, 2);
+  ADD (tcase, test_client_surplus_bytes_close_connection);
+  ADD (tcase, test_client_stalled_process_is_no_timeout);
   ADD (tcase, test_client_no_connection_is_not_run);
-  ADD (tcase, test_server_notices_a_caller_that_leaves);
-  ADD (tcase, test_server_serves_what_was_sent_ahead);
-  ADD (tcase, test_events_any_cut_gives_the_same_events);
+  ADD (tcase, test_server_detects_caller_disconnect);
+  ADD (tcase, test_server_serves_pipelined_requests);
+  ADD (tcase, test_events_any_split_gives_same_events);
   suite_add_tcase (suite, tcase);
   return suite;
 }
--- a/tests/t_replay.c
+++ b/tests/t_replay.c
@@ -117,7 +117,7 @@
     }
 }
 
-START_TEST (test_replay_decides_as_recorded)
+START_TEST (test_replay_matches_recorded_actions)
 {
   FILE *file = fopen (trace_files[_i], "r");
   el_buf_t actual = { NULL, 0, 0 };
@@ -165,7 +165,8 @@
   TCase *tcase = tcase_create ("replay");
 
   find_traces ();
-  ADD_LOOP (tcase, test_replay_decides_as_recorded, ntraces ? ntraces : 1);
+  ADD_LOOP (tcase, test_replay_matches_recorded_actions,
+            ntraces ? ntraces : 1);
   suite_add_tcase (suite, tcase);
   return suite;
 }
--- a/tests/t_route.c
+++ b/tests/t_route.c
@@ -216,7 +216,7 @@
 }
 END_TEST
 
-START_TEST (test_chat_rebuild_feeds_what_was_delivered)
+START_TEST (test_chat_rebuild_replays_delivered_tokens)
 {
   recorded_action_t *call;
   char first[64];
@@ -252,7 +252,7 @@
 }
 END_TEST
 
-START_TEST (test_chat_crossed_answer_never_enters_the_stream)
+START_TEST (test_chat_crossed_answer_is_rejected)
 {
   recorded_action_t call;
   rt_call_id_t echo;
@@ -291,7 +291,7 @@
 
 /* Whatever the order of failures and late answers, exactly the tokens of the
    expected calls are passed on, each once. */
-START_TEST (test_chat_any_order_keeps_the_stream_whole)
+START_TEST (test_chat_any_failure_order_preserves_tokens)
 {
   unsigned seed = (unsigned)_i + 1;
   uint64_t expected = 0;
@@ -334,7 +334,7 @@
 }
 END_TEST
 
-START_TEST (test_chat_waits_for_a_route_rather_than_drop)
+START_TEST (test_chat_waits_for_a_route)
 {
   rt_event_t leave = { .kind = RT_EV_LEAVING, .leaving = 1 };
 
@@ -356,7 +356,7 @@
 }
 END_TEST
 
-START_TEST (test_deadline_ends_at_once_with_its_verdict)
+START_TEST (test_deadline_ends_request_with_verdict)
 {
   request (1, RT_CHAT, 1);
   tick (now + DEADLINE);
@@ -367,7 +367,7 @@
 }
 END_TEST
 
-START_TEST (test_call_not_repeatable_is_not_sent_again)
+START_TEST (test_call_not_repeatable_is_not_retried)
 {
   request (1, RT_CALL, 0);
   fail_call (1, EL_MAY_HAVE_RUN, RT_FAIL_BROKEN);
@@ -379,7 +379,7 @@
 }
 END_TEST
 
-START_TEST (test_call_not_run_goes_to_another_endpoint)
+START_TEST (test_call_not_run_is_retried_elsewhere)
 {
   char first[64];
 
@@ -393,7 +393,7 @@
 }
 END_TEST
 
-START_TEST (test_not_run_is_said_only_when_nothing_ran)
+START_TEST (test_not_run_verdict_only_if_nothing_ran)
 {
   request (1, RT_CALL, 1);
   fail_call (1, EL_MAY_HAVE_RUN,
@@ -407,7 +407,7 @@
 }
 END_TEST
 
-START_TEST (test_retries_stop_with_their_budget)
+START_TEST (test_retries_stop_when_budget_is_exhausted)
 {
   uint64_t stream;
   unsigned retries = 0;
@@ -484,7 +484,7 @@
 }
 END_TEST
 
-START_TEST (test_admission_bounds_and_refuses_as_not_run)
+START_TEST (test_admission_overload_is_refused_as_not_run)
 {
   uint64_t stream;
 
@@ -526,7 +526,7 @@
 }
 END_TEST
 
-START_TEST (test_queue_shares_by_weight_and_starves_nobody)
+START_TEST (test_queue_is_fair_by_weight)
 {
   unsigned served[2] = { 0, 0 };
   uint64_t stream;
@@ -576,7 +576,7 @@
 }
 END_TEST
 
-START_TEST (test_stop_refuses_new_and_ends_running)
+START_TEST (test_stop_refuses_new_and_finishes_running)
 {
   rt_event_t stop = { .kind = RT_EV_STOP };
 
@@ -591,7 +591,7 @@
 }
 END_TEST
 
-START_TEST (test_route_refuses_what_does_not_cover_the_layers)
+START_TEST (test_route_rejects_pipeline_with_missing_layers)
 {
   apply_config (CO_DEPLOYMENT, "d2", "{\"model\":\"m2\",\"layers\":5}");
   apply_config (
@@ -631,24 +631,24 @@
 
   tcase_add_checked_fixture (tcase, setup, teardown);
   ADD (tcase, test_chat_calls_each_layer_once_in_order);
-  ADD (tcase, test_chat_rebuild_feeds_what_was_delivered);
+  ADD (tcase, test_chat_rebuild_replays_delivered_tokens);
   ADD (tcase, test_chat_late_answer_is_dropped);
-  ADD_LOOP (tcase, test_chat_crossed_answer_never_enters_the_stream, 6);
-  ADD_LOOP (tcase, test_chat_any_order_keeps_the_stream_whole, 100);
-  ADD (tcase, test_chat_waits_for_a_route_rather_than_drop);
-  ADD (tcase, test_deadline_ends_at_once_with_its_verdict);
-  ADD (tcase, test_call_not_repeatable_is_not_sent_again);
-  ADD (tcase, test_call_not_run_goes_to_another_endpoint);
-  ADD (tcase, test_not_run_is_said_only_when_nothing_ran);
-  ADD (tcase, test_retries_stop_with_their_budget);
+  ADD_LOOP (tcase, test_chat_crossed_answer_is_rejected, 6);
+  ADD_LOOP (tcase, test_chat_any_failure_order_preserves_tokens, 100);
+  ADD (tcase, test_chat_waits_for_a_route);
+  ADD (tcase, test_deadline_ends_request_with_verdict);
+  ADD (tcase, test_call_not_repeatable_is_not_retried);
+  ADD (tcase, test_call_not_run_is_retried_elsewhere);
+  ADD (tcase, test_not_run_verdict_only_if_nothing_ran);
+  ADD (tcase, test_retries_stop_when_budget_is_exhausted);
   ADD (tcase, test_leaving_endpoint_gets_no_new_work);
   ADD (tcase, test_ejection_never_empties_a_group);
   ADD (tcase, test_retry_avoids_the_endpoint_that_just_failed);
-  ADD (tcase, test_admission_bounds_and_refuses_as_not_run);
+  ADD (tcase, test_admission_overload_is_refused_as_not_run);
   ADD (tcase, test_customer_limit_is_shared_by_hosts);
-  ADD (tcase, test_queue_shares_by_weight_and_starves_nobody);
-  ADD (tcase, test_stop_refuses_new_and_ends_running);
-  ADD (tcase, test_route_refuses_what_does_not_cover_the_layers);
+  ADD (tcase, test_queue_is_fair_by_weight);
+  ADD (tcase, test_stop_refuses_new_and_finishes_running);
+  ADD (tcase, test_route_rejects_pipeline_with_missing_layers);
   ADD (tcase, test_cancel_reaches_the_engines);
   suite_add_tcase (suite, tcase);
   return suite;
--- a/tests/t_rumor.c
+++ b/tests/t_rumor.c
@@ -31,7 +31,7 @@
 
 /* A host that was restarted, and one that was isolated while the rumors
    spread, know all of them within 2 s. */
-START_TEST (test_rumor_is_asked_for_by_who_missed_it)
+START_TEST (test_rumor_missed_is_recovered)
 {
   rumor_net_t *net = rumor_net_new ((uint64_t)_i + 1, 9, 0);
   uint64_t id;
@@ -106,7 +106,7 @@
 
   tcase_set_timeout (tcase, 60);
   ADD_LOOP (tcase, test_rumor_reaches_all_soon, 2 * SEEDS);
-  ADD_LOOP (tcase, test_rumor_is_asked_for_by_who_missed_it, SEEDS);
+  ADD_LOOP (tcase, test_rumor_missed_is_recovered, SEEDS);
   ADD (tcase, test_rumors_are_bounded);
   suite_add_tcase (suite, tcase);
   return suite;
--- a/tests/t_starts.c
+++ b/tests/t_starts.c
@@ -70,7 +70,7 @@
 
 /* An entry with one field missing, of the wrong type, or with an invalid value
    is rejected. */
-START_TEST (test_foreign_entry_names_no_endpoint)
+START_TEST (test_invalid_entry_is_rejected)
 {
   static const struct
   {
@@ -195,7 +195,7 @@
   rt_fleet_free (fleet);
 }
 
-START_TEST (test_foreign_entries_harm_nothing)
+START_TEST (test_invalid_entries_do_no_harm)
 {
   seeds_run (run_foreign_entries);
 }
@@ -204,7 +204,7 @@
 /* An endpoint that restarted under its id is a new target: it is not leaving,
    holds nothing and has no reported load. The former target is marked as gone
    for those that still refer to it. */
-START_TEST (test_endpoint_that_starts_again_is_another)
+START_TEST (test_restarted_endpoint_is_new_target)
 {
   rt_fleet_t *fleet = rt_fleet_new (1);
   rt_attrs_t attrs = { .id = EL_STR ("e1"),
@@ -248,9 +248,9 @@
   TCase *tcase = tcase_create ("starts");
 
   tcase_set_timeout (tcase, (double)seeds_env ("ELMARCH_SEEDS_S", 60));
-  ADD (tcase, test_foreign_entry_names_no_endpoint);
-  ADD (tcase, test_foreign_entries_harm_nothing);
-  ADD (tcase, test_endpoint_that_starts_again_is_another);
+  ADD (tcase, test_invalid_entry_is_rejected);
+  ADD (tcase, test_invalid_entries_do_no_harm);
+  ADD (tcase, test_restarted_endpoint_is_new_target);
   suite_add_tcase (suite, tcase);
   return suite;
 }
--- a/tests/t_store.c
+++ b/tests/t_store.c
@@ -48,7 +48,7 @@
 /* A key that a watch showed, and that was deleted in a part of the history
    that the store no longer has, is reported as deleted after the next full
    read. */
-START_TEST (test_follow_key_that_vanished_unseen_is_gone)
+START_TEST (test_follow_reports_key_deleted_in_lost_history)
 {
   record_t record = { .wanted = 3 };
   gt_store_t store = {
@@ -143,7 +143,7 @@
 
 /* Where the news of another host are too old for a configuration to take
    effect in time, the store is asked instead. */
-START_TEST (test_follow_news_too_old_have_the_store_asked)
+START_TEST (test_follow_asks_store_when_news_are_stale)
 {
   record_t record = { .wanted = 2 };
   gt_store_t store = {
@@ -198,7 +198,7 @@
 /* While the store is unavailable, a host goes on asking other hosts and asks
    the store itself only rarely; else all hosts of a fleet would ask it at once
    as long as the outage lasts. */
-START_TEST (test_follow_store_away_is_asked_seldom)
+START_TEST (test_follow_rarely_asks_unavailable_store)
 {
   stale_host_t host = { .nasked = 0 };
   gt_store_t store = {
@@ -236,7 +236,7 @@
 /* The store refuses a call with a retry-after of 0.5 s: no component of this
    host calls it in that time, neither the one that was refused nor another. A
    retry-after of one hour is not honoured in full. */
-START_TEST (test_store_that_asks_for_rest_gets_no_calls_in_it)
+START_TEST (test_store_retry_after_stops_all_calls)
 {
   static int vacant = 1;
   stale_host_t host = { .nasked = 0 };
@@ -282,7 +282,7 @@
 END_TEST
 
 /* A duty that another host holds is not requested. */
-START_TEST (test_duty_is_asked_for_when_it_is_vacant)
+START_TEST (test_duty_is_requested_only_when_vacant)
 {
   int vacant = 0;
   gt_store_t store = {
@@ -323,12 +323,12 @@
 
   tcase_set_timeout (tcase, 60);
   tcase_add_checked_fixture (tcase, loop_setup, NULL);
-  ADD (tcase, test_follow_key_that_vanished_unseen_is_gone);
+  ADD (tcase, test_follow_reports_key_deleted_in_lost_history);
   ADD (tcase, test_follow_reads_pages_and_ignores_older_events);
-  ADD (tcase, test_follow_news_too_old_have_the_store_asked);
-  ADD (tcase, test_follow_store_away_is_asked_seldom);
-  ADD (tcase, test_store_that_asks_for_rest_gets_no_calls_in_it);
-  ADD (tcase, test_duty_is_asked_for_when_it_is_vacant);
+  ADD (tcase, test_follow_asks_store_when_news_are_stale);
+  ADD (tcase, test_follow_rarely_asks_unavailable_store);
+  ADD (tcase, test_store_retry_after_stops_all_calls);
+  ADD (tcase, test_duty_is_requested_only_when_vacant);
   suite_add_tcase (suite, tcase);
   return suite;
 }
