--- a/tests/cluster.c
+++ b/tests/cluster.c
@@ -21,20 +21,20 @@
 
 #include <curl/curl.h>
 
-#define BIN_DEFAULT "build/san/bin"
+#define BIN_DIR_DEFAULT "build/san/bin"
 #define WAIT_STEP_NS 5000000
 #define ARGS_MAX 40
 #define OPERATOR_KEY "an-operator's-key"
 
 extern char **environ;
 
-int http2;
+int use_http2;
 
-static int net;
+static int network_id;
 
 /** One step of a wait for a condition. */
 void
-pause_step (void)
+poll_sleep (void)
 {
   struct timespec step = { 0, WAIT_STEP_NS };
 
@@ -45,10 +45,10 @@
 void
 address_set (proc_t *proc, unsigned last)
 {
-  if (!net)
-    net = getpid ();
+  if (!network_id)
+    network_id = getpid ();
   snprintf (proc->address, sizeof proc->address, "127.%d.%d.%u:7000",
-            100 + (net >> 8) % 100, net & 0xff, last);
+            100 + (network_id >> 8) % 100, network_id & 0xff, last);
 }
 
 /** Start a program of the build with its arguments. */
@@ -58,7 +58,7 @@
   const char *bin = getenv ("ELMARCH_TEST_BIN");
   char path[256];
 
-  snprintf (path, sizeof path, "%s/%s", bin ? bin : BIN_DEFAULT, args[0]);
+  snprintf (path, sizeof path, "%s/%s", bin ? bin : BIN_DIR_DEFAULT, args[0]);
   ck_assert_int_eq (posix_spawn (&proc->pid, path, NULL, NULL,
                                  (char *const *)(uintptr_t)args, environ),
                     0);
@@ -66,19 +66,19 @@
 
 /** Wait until the process answers. */
 void
-proc_ready (const proc_t *proc, const char *path)
+proc_wait_ready (const proc_t *proc, const char *path)
 {
   reply_t reply;
   long status = 0;
   int i;
 
-  for (i = 0; i < WAIT_STEPS && !status; i++)
+  for (i = 0; i < WAIT_STEPS_MAX && !status; i++)
     {
-      http ("GET", proc->address, path, NULL, NULL, &reply);
+      http_request ("GET", proc->address, path, NULL, NULL, &reply);
       status = reply.status;
       reply_free (&reply);
       if (!status)
-        pause_step ();
+        poll_sleep ();
     }
   ck_assert_msg (status != 0, "%s does not answer", proc->address);
 }
@@ -92,13 +92,13 @@
   };
 
   proc_spawn (&cluster->platform, args);
-  proc_ready (&cluster->platform, "/stats");
+  proc_wait_ready (&cluster->platform, "/stats");
 }
 
 void
-engine_start (cluster_t *cluster, int line, int stage)
+engine_start (cluster_t *cluster, int pipeline, int stage)
 {
-  proc_t *proc = &cluster->engines[line][stage];
+  proc_t *proc = &cluster->engines[pipeline][stage];
   char first[16];
   char last[16];
   char step[24];
@@ -110,7 +110,7 @@
   snprintf (last, sizeof last, "%d", (stage + 1) * LAYERS / STAGES - 1);
   snprintf (step, sizeof step, "%" PRIu64, cluster->step_us);
   proc_spawn (proc, args);
-  proc_ready (proc, "/stats");
+  proc_wait_ready (proc, "/stats");
 }
 
 void
@@ -122,7 +122,7 @@
   };
 
   proc_spawn (&cluster->workers[i], args);
-  proc_ready (&cluster->workers[i], "/runs");
+  proc_wait_ready (&cluster->workers[i], "/runs");
 }
 
 static void
@@ -137,7 +137,7 @@
 {
   proc_t *proc = &cluster->hosts[i];
   char peer[32];
-  char peers[HOSTS_MOST * 32] = "";
+  char peers[HOSTS_MAX * 32] = "";
   const char *args[ARGS_MAX] = { "elmarchd",
                                  "--listen",
                                  proc->address,
@@ -166,36 +166,36 @@
       peer_address (&cluster->hosts[k], one, sizeof one);
       strcat (strcat (peers, one), ",");
     }
-  for (k = 0; cluster->extra[k]; k++)
-    args[n++] = cluster->extra[k];
+  for (k = 0; cluster->extra_flags[k]; k++)
+    args[n++] = cluster->extra_flags[k];
   proc_spawn (proc, args);
-  proc_ready (proc, "/metrics");
+  proc_wait_ready (proc, "/metrics");
 }
 
 /** Start everything and wait until each host has the configuration. Fields
     that are set before the call are kept. */
 void
-cluster_open (cluster_t *cluster, size_t nhosts)
+cluster_start (cluster_t *cluster, size_t nhosts)
 {
-  int line;
+  int pipeline;
   int stage;
   size_t i;
 
-  net = getpid ();
+  network_id = getpid ();
   cluster->nhosts = nhosts;
   address_set (&cluster->platform, 1);
   for (i = 0; i < 2; i++)
     address_set (&cluster->workers[i], 2 + (unsigned)i);
-  for (line = 0; line < LINES; line++)
+  for (pipeline = 0; pipeline < PIPELINES; pipeline++)
     for (stage = 0; stage < STAGES; stage++)
-      address_set (&cluster->engines[line][stage],
-                   10 + (unsigned)(line * STAGES + stage));
+      address_set (&cluster->engines[pipeline][stage],
+                   10 + (unsigned)(pipeline * STAGES + stage));
   for (i = 0; i < nhosts; i++)
     address_set (&cluster->hosts[i], 30 + (unsigned)i);
   platform_start (cluster);
-  for (line = 0; line < LINES; line++)
+  for (pipeline = 0; pipeline < PIPELINES; pipeline++)
     for (stage = 0; stage < STAGES; stage++)
-      engine_start (cluster, line, stage);
+      engine_start (cluster, pipeline, stage);
   for (i = 0; i < 2; i++)
     worker_start (cluster, (int)i);
   for (i = 0; i < nhosts; i++)
@@ -204,14 +204,14 @@
 }
 
 static void
-put (const cluster_t *cluster, const char *path, const char *spec)
+admin_put (const cluster_t *cluster, const char *path, const char *spec)
 {
   char body[2048];
   reply_t reply;
 
   snprintf (body, sizeof body, "{\"spec\":%s}", spec);
-  ck_assert_msg (oper (cluster, 0, "PUT", path, body, &reply) == 200, "%s: %s",
-                 path, reply.body.ptr);
+  ck_assert_msg (admin_request (cluster, 0, "PUT", path, body, &reply) == 200,
+                 "%s: %s", path, reply.body.ptr);
   reply_free (&reply);
 }
 
@@ -226,11 +226,11 @@
   snprintf (spec, sizeof spec,
             "{\"address\":\"%s\",\"hall\":\"bern-halle\",\"role\":\"%s\"}",
             proc->address, role);
-  put (cluster, path, spec);
+  admin_put (cluster, path, spec);
 }
 
 static void
-put_line (const cluster_t *cluster, int line)
+put_pipeline (const cluster_t *cluster, int pipeline)
 {
   el_buf_t spec = { NULL, 0, 0 };
   char name[32];
@@ -239,15 +239,16 @@
   el_buf_printf (&spec, "{\"deployment\":\"pool\",\"stages\":[");
   for (stage = 0; stage < STAGES; stage++)
     {
-      snprintf (name, sizeof name, "engine-%d-%d", line, stage);
-      put_endpoint (cluster, name, &cluster->engines[line][stage], "engine");
+      snprintf (name, sizeof name, "engine-%d-%d", pipeline, stage);
+      put_endpoint (cluster, name, &cluster->engines[pipeline][stage],
+                    "engine");
       el_buf_printf (&spec, "%s{\"endpoint\":\"%s\",\"first\":%d,\"last\":%d}",
                      stage ? "," : "", name, stage * LAYERS / STAGES,
                      (stage + 1) * LAYERS / STAGES - 1);
     }
   el_buf_printf (&spec, "]}");
-  snprintf (name, sizeof name, "pipelines/line-%d", line);
-  put (cluster, name, spec.ptr);
+  snprintf (name, sizeof name, "pipelines/line-%d", pipeline);
+  admin_put (cluster, name, spec.ptr);
   el_buf_free (&spec);
 }
 
@@ -259,24 +260,25 @@
   json_t *stats;
   size_t i;
 
-  put (cluster, "deployments/pool", "{\"model\":\"sprach\",\"layers\":12}");
-  put_line (cluster, 0);
-  put_line (cluster, 1);
+  admin_put (cluster, "deployments/pool",
+             "{\"model\":\"sprach\",\"layers\":12}");
+  put_pipeline (cluster, 0);
+  put_pipeline (cluster, 1);
   put_endpoint (cluster, "zahl-1", &cluster->workers[0], "worker");
   put_endpoint (cluster, "zahl-2", &cluster->workers[1], "worker");
-  put (cluster, "services/zahl-app",
-       "{\"endpoints\":[\"zahl-1\",\"zahl-2\"]}");
+  admin_put (cluster, "services/zahl-app",
+             "{\"endpoints\":[\"zahl-1\",\"zahl-2\"]}");
   /* SHA-256 of CUSTOMER_KEY */
-  put (cluster, "customers/parking",
-       "{\"keyHash\":\""
-       "aa9f634ae7d257be86600c4181e28496890cfb8b5a50d17ed94e4f504a06b5db"
-       "\"}");
-  stats = http_json (cluster->platform.address, "/stats");
+  admin_put (cluster, "customers/parking",
+             "{\"keyHash\":\""
+             "aa9f634ae7d257be86600c4181e28496890cfb8b5a50d17ed94e4f504a06b5db"
+             "\"}");
+  stats = http_get_json (cluster->platform.address, "/stats");
   revision
       = (uint64_t)json_integer_value (json_object_get (stats, "revision"));
   json_decref (stats);
   for (i = 0; i < cluster->nhosts; i++)
-    metric_wait (&cluster->hosts[i], "elmarch_config_revision", revision);
+    metric_wait_min (&cluster->hosts[i], "elmarch_config_revision", revision);
 }
 
 /** End a process; gives its exit status, or minus the signal. One that is
@@ -325,59 +327,59 @@
 
 /** End everything. Hosts are drained, and must end without a leak. */
 void
-cluster_close (cluster_t *cluster)
+cluster_stop (cluster_t *cluster)
 {
-  int line;
+  int pipeline;
   int stage;
   size_t i;
 
   for (i = 0; i < cluster->nhosts; i++)
     ck_assert_msg (proc_end (&cluster->hosts[i], SIGTERM) == 0,
                    "host %zu did not end cleanly", i);
-  for (line = 0; line < LINES; line++)
+  for (pipeline = 0; pipeline < PIPELINES; pipeline++)
     for (stage = 0; stage < STAGES; stage++)
-      proc_end (&cluster->engines[line][stage], SIGKILL);
+      proc_end (&cluster->engines[pipeline][stage], SIGKILL);
   proc_end (&cluster->workers[0], SIGKILL);
   proc_end (&cluster->workers[1], SIGKILL);
   proc_end (&cluster->platform, SIGKILL);
 }
 
 static size_t
-body_add (char *data, size_t size, size_t n, void *arg)
+append_body (char *data, size_t size, size_t n, void *arg)
 {
   el_buf_add (arg, (el_str_t){ data, size * n });
   return size * n;
 }
 
 static int
-caller_held (caller_t *caller)
+caller_is_paused (caller_t *caller)
 {
-  int hold;
+  int paused;
 
   pthread_mutex_lock (&caller->lock);
-  hold = caller->hold;
+  paused = caller->paused;
   pthread_mutex_unlock (&caller->lock);
-  return hold;
+  return paused;
 }
 
 static size_t
-caller_add (char *data, size_t size, size_t n, void *arg)
+caller_append_body (char *data, size_t size, size_t n, void *arg)
 {
   caller_t *caller = arg;
-  int vanish;
+  int disconnect;
 
   pthread_mutex_lock (&caller->lock);
   el_buf_add (&caller->reply.body, (el_str_t){ data, size * n });
-  vanish = caller->vanish;
+  disconnect = caller->disconnect;
   pthread_mutex_unlock (&caller->lock);
-  while (caller_held (caller))
-    pause_step ();
-  return vanish ? 0 : size * n;
+  while (caller_is_paused (caller))
+    poll_sleep ();
+  return disconnect ? 0 : size * n;
 }
 
 /* A caller that is held takes little in advance. */
 static int
-socket_small (void *arg, curl_socket_t fd, curlsocktype purpose)
+limit_receive_buffer (void *arg, curl_socket_t fd, curlsocktype purpose)
 {
   int bytes = 65536;
 
@@ -388,8 +390,8 @@
 }
 
 static void
-perform (const char *method, const char *url, const char *body,
-         char *const *headers, reply_t *reply, caller_t *caller)
+http_perform (const char *method, const char *url, const char *body,
+              char *const *headers, reply_t *reply, caller_t *caller)
 {
   CURL *curl = curl_easy_init ();
   struct curl_slist *list
@@ -408,22 +410,22 @@
   curl_easy_setopt (curl, CURLOPT_URL, url);
   curl_easy_setopt (curl, CURLOPT_CUSTOMREQUEST, method);
   curl_easy_setopt (curl, CURLOPT_HTTPHEADER, list);
-  if (http2)
+  if (use_http2)
     curl_easy_setopt (curl, CURLOPT_HTTP_VERSION,
                       (long)CURL_HTTP_VERSION_2_PRIOR_KNOWLEDGE);
   curl_easy_setopt (curl, CURLOPT_NOSIGNAL, 1L);
   curl_easy_setopt (curl, CURLOPT_FOLLOWLOCATION, 1L);
   curl_easy_setopt (curl, CURLOPT_TIMEOUT, 60L);
-  curl_easy_setopt (curl, CURLOPT_HEADERFUNCTION, body_add);
+  curl_easy_setopt (curl, CURLOPT_HEADERFUNCTION, append_body);
   curl_easy_setopt (curl, CURLOPT_HEADERDATA, &reply->head);
   curl_easy_setopt (curl, CURLOPT_WRITEFUNCTION,
-                    caller ? caller_add : body_add);
+                    caller ? caller_append_body : append_body);
   curl_easy_setopt (curl, CURLOPT_WRITEDATA,
                     caller ? (void *)caller : (void *)&reply->body);
   if (body)
     curl_easy_setopt (curl, CURLOPT_POSTFIELDS, body);
-  if (caller && caller_held (caller))
-    curl_easy_setopt (curl, CURLOPT_SOCKOPTFUNCTION, socket_small);
+  if (caller && caller_is_paused (caller))
+    curl_easy_setopt (curl, CURLOPT_SOCKOPTFUNCTION, limit_receive_buffer);
   reply->status = 0;
   if (curl_easy_perform (curl) == CURLE_OK)
     curl_easy_getinfo (curl, CURLINFO_RESPONSE_CODE, &reply->status);
@@ -433,14 +435,15 @@
 
 /** One exchange. */
 void
-http (const char *method, const char *address, const char *path,
-      const char *body, const char *const *headers, reply_t *reply)
+http_request (const char *method, const char *address, const char *path,
+              const char *body, const char *const *headers, reply_t *reply)
 {
   char url[512];
 
   memset (reply, 0, sizeof *reply);
   snprintf (url, sizeof url, "http://%s%s", address, path);
-  perform (method, url, body, (char *const *)(uintptr_t)headers, reply, NULL);
+  http_perform (method, url, body, (char *const *)(uintptr_t)headers, reply,
+                NULL);
 }
 
 void
@@ -464,12 +467,12 @@
 }
 
 json_t *
-http_json (const char *address, const char *path)
+http_get_json (const char *address, const char *path)
 {
   reply_t reply;
   json_t *json;
 
-  http ("GET", address, path, NULL, NULL, &reply);
+  http_request ("GET", address, path, NULL, NULL, &reply);
   json = json_loadb (reply.body.ptr ? reply.body.ptr : "", reply.body.len, 0,
                      NULL);
   reply_free (&reply);
@@ -478,31 +481,32 @@
 
 /** Tell a stand-in what to do wrong. */
 void
-fault (const proc_t *proc, const char *json)
+set_fault (const proc_t *proc, const char *json)
 {
   reply_t reply;
 
-  http ("PUT", proc->address, "/fault", json, NULL, &reply);
+  http_request ("PUT", proc->address, "/fault", json, NULL, &reply);
   ck_assert_int_eq (reply.status, 204);
   reply_free (&reply);
 }
 
 /** An operator's exchange; gives the status. */
 long
-oper (const cluster_t *cluster, size_t host, const char *method,
-      const char *path, const char *body, reply_t *reply)
+admin_request (const cluster_t *cluster, size_t host, const char *method,
+               const char *path, const char *body, reply_t *reply)
 {
   static const char *const headers[]
       = { "authorization: Bearer " OPERATOR_KEY, NULL };
   char full[256];
 
   snprintf (full, sizeof full, "/admin/v1/%s", path);
-  http (method, cluster->hosts[host].address, full, body, headers, reply);
+  http_request (method, cluster->hosts[host].address, full, body, headers,
+                reply);
   return reply->status;
 }
 
 uint64_t
-metric (const proc_t *host, const char *name)
+metric_value (const proc_t *host, const char *name)
 {
   reply_t reply;
   uint64_t value = 0;
@@ -510,7 +514,7 @@
   const char *at;
 
   snprintf (want, sizeof want, "\n%s ", name);
-  http ("GET", host->address, "/metrics", NULL, NULL, &reply);
+  http_request ("GET", host->address, "/metrics", NULL, NULL, &reply);
   at = reply.body.ptr ? strstr (reply.body.ptr, want) : NULL;
   if (at)
     value = strtoull (at + strlen (want), NULL, 10);
@@ -520,17 +524,17 @@
 
 /** Wait until a host's metric has reached LEAST. */
 void
-metric_wait (const proc_t *host, const char *name, uint64_t least)
+metric_wait_min (const proc_t *host, const char *name, uint64_t least)
 {
   uint64_t value = 0;
   int i;
 
-  for (i = 0; i < WAIT_STEPS; i++)
+  for (i = 0; i < WAIT_STEPS_MAX; i++)
     {
-      value = metric (host, name);
+      value = metric_value (host, name);
       if (value >= least)
         return;
-      pause_step ();
+      poll_sleep ();
     }
   ck_abort_msg ("%s: %s stays at %" PRIu64 ", not %" PRIu64, host->address,
                 name, value, least);
@@ -538,17 +542,17 @@
 
 /** Wait until a figure of a host is VALUE. */
 void
-metric_is (const proc_t *host, const char *name, uint64_t value)
+metric_wait_value (const proc_t *host, const char *name, uint64_t value)
 {
   uint64_t seen = 0;
   int i;
 
-  for (i = 0; i < WAIT_STEPS; i++)
+  for (i = 0; i < WAIT_STEPS_MAX; i++)
     {
-      seen = metric (host, name);
+      seen = metric_value (host, name);
       if (seen == value)
         return;
-      pause_step ();
+      poll_sleep ();
     }
   ck_abort_msg ("%s: %s stays at %" PRIu64 ", not %" PRIu64, host->address,
                 name, seen, value);
@@ -559,8 +563,8 @@
 {
   caller_t *caller = arg;
 
-  perform (caller->method, caller->url, caller->body, caller->headers,
-           &caller->reply, caller);
+  http_perform (caller->method, caller->url, caller->body, caller->headers,
+                &caller->reply, caller);
   pthread_mutex_lock (&caller->lock);
   caller->done = 1;
   pthread_mutex_unlock (&caller->lock);
@@ -568,15 +572,15 @@
 }
 
 /** Begin a request in a thread; HOLD has it read nothing past the first piece
-    of the answer until caller_release. */
+    of the answer until caller_resume. */
 void
 caller_start (caller_t *caller, const char *address, const char *path,
-              const char *body, const char *const *headers, int hold)
+              const char *body, const char *const *headers, int paused)
 {
   size_t i;
 
   memset (caller, 0, sizeof *caller);
-  caller->hold = hold;
+  caller->paused = paused;
   pthread_mutex_init (&caller->lock, NULL);
   snprintf (caller->method, sizeof caller->method, "%s",
             !body                      ? "GET"
@@ -597,31 +601,31 @@
   int done = 0;
   int i;
 
-  for (i = 0; i < WAIT_STEPS && len < bytes && !done; i++)
+  for (i = 0; i < WAIT_STEPS_MAX && len < bytes && !done; i++)
     {
       pthread_mutex_lock (&caller->lock);
       len = caller->reply.body.len;
       done = caller->done;
       pthread_mutex_unlock (&caller->lock);
-      pause_step ();
+      poll_sleep ();
     }
   ck_assert_uint_ge (len, bytes);
 }
 
 /** Let a caller that was held read on. */
 void
-caller_release (caller_t *caller)
+caller_resume (caller_t *caller)
 {
   pthread_mutex_lock (&caller->lock);
-  caller->hold = 0;
+  caller->paused = 0;
   pthread_mutex_unlock (&caller->lock);
 }
 
 void
-caller_vanish (caller_t *caller)
+caller_disconnect (caller_t *caller)
 {
   pthread_mutex_lock (&caller->lock);
-  caller->vanish = 1;
+  caller->disconnect = 1;
   pthread_mutex_unlock (&caller->lock);
 }
 
@@ -691,7 +695,7 @@
   reply_t reply;
   json_t *json;
 
-  http ("POST", host->address, "/v1/sessions", "", NULL, &reply);
+  http_request ("POST", host->address, "/v1/sessions", "", NULL, &reply);
   ck_assert_int_eq (reply.status, 201);
   json = json_loadb (reply.body.ptr, reply.body.len, 0, NULL);
   snprintf (header, size, "x-elmarch-session: %s",
@@ -702,9 +706,9 @@
 
 /** How often a worker ran a payment. */
 json_int_t
-runs (const proc_t *worker, const char *id)
+payment_runs (const proc_t *worker, const char *id)
 {
-  json_t *json = http_json (worker->address, "/runs");
+  json_t *json = http_get_json (worker->address, "/runs");
   json_int_t n = json_integer_value (json_object_get (json, id));
 
   json_decref (json);
--- a/tests/cluster.h
+++ b/tests/cluster.h
@@ -16,12 +16,12 @@
 
 #include "base.h"
 
-#define LINES 2
+#define PIPELINES 2
 #define STAGES 3
-#define HOSTS_MOST 9
+#define HOSTS_MAX 9
 #define LAYERS 12
 /** Steps that a wait for a condition takes at the most: 30 s. */
-#define WAIT_STEPS 6000
+#define WAIT_STEPS_MAX 6000
 #define CUSTOMER_KEY "a-customer's-key"
 
 typedef enum role
@@ -41,12 +41,12 @@
 typedef struct cluster
 {
   proc_t platform;
-  proc_t engines[LINES][STAGES];
+  proc_t engines[PIPELINES][STAGES];
   proc_t workers[2];
-  proc_t hosts[HOSTS_MOST];
+  proc_t hosts[HOSTS_MAX];
   size_t nhosts;
   uint64_t step_us;
-  const char *extra[8]; /* further flags of the hosts */
+  const char *extra_flags[8]; /* further flags of the hosts */
 } cluster_t;
 
 /** An answer. */
@@ -66,31 +66,31 @@
   char url[256];
   char *body;
   char *headers[4];
-  int vanish; /* end the connection at the next piece of the answer */
-  int hold;   /* read no further */
+  int disconnect; /* end the connection at the next piece of the answer */
+  int paused;     /* read no further */
   int done;
   reply_t reply;
 } caller_t;
 
-#define CHAT "/v1/chat/completions"
-#define PAY "/services/zahl-app/pay"
-#define QUESTION "Which visit is next?"
+#define CHAT_PATH "/v1/chat/completions"
+#define PAY_PATH "/services/zahl-app/pay"
+#define PROMPT "Which visit is next?"
 #define MAX_TOKENS 20
 
 /** The processes of the test that runs. */
-extern cluster_t c;
+extern cluster_t fixture;
 
 /** Set to have callers speak HTTP/2. */
-extern int http2;
+extern int use_http2;
 
-void pause_step (void);
+void poll_sleep (void);
 void address_set (proc_t *proc, unsigned last);
 void proc_spawn (proc_t *proc, const char **args);
-void proc_ready (const proc_t *proc, const char *path);
-void cluster_open (cluster_t *cluster, size_t nhosts);
+void proc_wait_ready (const proc_t *proc, const char *path);
+void cluster_start (cluster_t *cluster, size_t nhosts);
 void cluster_configure (cluster_t *cluster);
-void cluster_close (cluster_t *cluster);
-void engine_start (cluster_t *cluster, int line, int stage);
+void cluster_stop (cluster_t *cluster);
+void engine_start (cluster_t *cluster, int pipeline, int stage);
 void worker_start (cluster_t *cluster, int i);
 void platform_start (cluster_t *cluster);
 void host_start (cluster_t *cluster, size_t i);
@@ -99,24 +99,25 @@
 void proc_kill_wait (const proc_t *proc);
 void proc_signal (const proc_t *proc, int signal);
 
-void http (const char *method, const char *address, const char *path,
-           const char *body, const char *const *headers, reply_t *reply);
+void http_request (const char *method, const char *address, const char *path,
+                   const char *body, const char *const *headers,
+                   reply_t *reply);
 void reply_free (reply_t *reply);
 void reply_header (const reply_t *reply, const char *name, char *out,
                    size_t size);
-json_t *http_json (const char *address, const char *path);
-void fault (const proc_t *proc, const char *json);
-long oper (const cluster_t *cluster, size_t host, const char *method,
-           const char *path, const char *body, reply_t *reply);
-uint64_t metric (const proc_t *host, const char *name);
-void metric_wait (const proc_t *host, const char *name, uint64_t least);
-void metric_is (const proc_t *host, const char *name, uint64_t value);
+json_t *http_get_json (const char *address, const char *path);
+void set_fault (const proc_t *proc, const char *json);
+long admin_request (const cluster_t *cluster, size_t host, const char *method,
+                    const char *path, const char *body, reply_t *reply);
+uint64_t metric_value (const proc_t *host, const char *name);
+void metric_wait_min (const proc_t *host, const char *name, uint64_t least);
+void metric_wait_value (const proc_t *host, const char *name, uint64_t value);
 
 void caller_start (caller_t *caller, const char *address, const char *path,
-                   const char *body, const char *const *headers, int hold);
+                   const char *body, const char *const *headers, int paused);
 void caller_wait_body (caller_t *caller, size_t bytes);
-void caller_vanish (caller_t *caller);
-void caller_release (caller_t *caller);
+void caller_disconnect (caller_t *caller);
+void caller_resume (caller_t *caller);
 void caller_join (caller_t *caller);
 
 char *chat_body (const char *content, int stream, int max_tokens,
@@ -124,14 +125,14 @@
 size_t stream_tokens (const el_buf_t *raw, uint64_t *tokens, size_t most,
                       int *done);
 void session_open (const proc_t *host, char *header, size_t size);
-json_int_t runs (const proc_t *worker, const char *id);
-json_int_t runs_all (const char *id);
+json_int_t payment_runs (const proc_t *worker, const char *id);
+json_int_t payment_runs_total (const char *id);
 void cluster_setup (void);
 void cluster_teardown (void);
-void stream_is_whole (const reply_t *reply, size_t skip);
-void verdict_is (const reply_t *reply, long status, const char *want);
-void pay (size_t host, const char *id, const char *const *headers,
-          reply_t *reply);
-void entries_wait (size_t host, size_t want);
+void assert_chat_stream (const reply_t *reply, size_t skip);
+void assert_verdict (const reply_t *reply, long status, const char *want);
+void send_payment (size_t host, const char *id, const char *const *headers,
+                   reply_t *reply);
+void entry_hosts_wait (size_t host, size_t want);
 
 #endif
--- a/tests/expect.c
+++ b/tests/expect.c
@@ -13,27 +13,27 @@
 #include "cluster.h"
 #include "reference.h"
 
-cluster_t c;
+cluster_t fixture;
 
 void
 cluster_setup (void)
 {
-  memset (&c, 0, sizeof c);
+  memset (&fixture, 0, sizeof fixture);
 }
 
 void
 cluster_teardown (void)
 {
-  cluster_close (&c);
+  cluster_stop (&fixture);
 }
 
 /** The answer must be the model's own, token for token, with its end. */
 void
-stream_is_whole (const reply_t *reply, size_t skip)
+assert_chat_stream (const reply_t *reply, size_t skip)
 {
   uint64_t want[MAX_TOKENS];
   uint64_t got[MAX_TOKENS];
-  size_t n = reference_answer (QUESTION, LAYERS, MAX_TOKENS, want);
+  size_t n = reference_answer (PROMPT, LAYERS, MAX_TOKENS, want);
   int done;
   size_t m = stream_tokens (&reply->body, got, MAX_TOKENS, &done);
 
@@ -45,7 +45,7 @@
 
 /** The answer must have a status and a verdict. */
 void
-verdict_is (const reply_t *reply, long status, const char *want)
+assert_verdict (const reply_t *reply, long status, const char *want)
 {
   char verdict[32];
 
@@ -57,37 +57,41 @@
 
 /** How often the workers that live ran a payment. */
 json_int_t
-runs_all (const char *id)
+payment_runs_total (const char *id)
 {
-  return (c.workers[0].pid ? runs (&c.workers[0], id) : 0)
-         + (c.workers[1].pid ? runs (&c.workers[1], id) : 0);
+  return (fixture.workers[0].pid ? payment_runs (&fixture.workers[0], id) : 0)
+         + (fixture.workers[1].pid ? payment_runs (&fixture.workers[1], id)
+                                   : 0);
 }
 
 /** Send a payment. */
 void
-pay (size_t host, const char *id, const char *const *headers, reply_t *reply)
+send_payment (size_t host, const char *id, const char *const *headers,
+              reply_t *reply)
 {
   char body[64];
 
   snprintf (body, sizeof body, "{\"id\":\"%s\"}", id);
-  http ("POST", c.hosts[host].address, PAY, body, headers, reply);
+  http_request ("POST", fixture.hosts[host].address, PAY_PATH, body, headers,
+                reply);
 }
 
 /** Wait until a host gives that many entry addresses. */
 void
-entries_wait (size_t host, size_t want)
+entry_hosts_wait (size_t host, size_t want)
 {
   size_t n = 0;
   int i;
 
-  for (i = 0; i < WAIT_STEPS && n != want; i++)
+  for (i = 0; i < WAIT_STEPS_MAX && n != want; i++)
     {
-      json_t *json = http_json (c.hosts[host].address, "/v1/entry-hosts");
+      json_t *json
+          = http_get_json (fixture.hosts[host].address, "/v1/entry-hosts");
 
       n = json_array_size (json_object_get (json, "hosts"));
       json_decref (json);
       if (n != want)
-        pause_step ();
+        poll_sleep ();
     }
   ck_assert_uint_eq (n, want);
 }
--- a/tests/known_red.c
+++ b/tests/known_red.c
@@ -14,14 +14,14 @@
 
 #include "test.h"
 
-#define LIST "KNOWN-RED.txt"
-#define LINE_MAX_BYTES 1024
+#define KNOWN_RED_FILE "KNOWN-RED.txt"
+#define LINE_MAX_SIZE 1024
 
 static int
 known_red (const char *name)
 {
-  FILE *file = fopen (LIST, "r");
-  char line[LINE_MAX_BYTES];
+  FILE *file = fopen (KNOWN_RED_FILE, "r");
+  char line[LINE_MAX_SIZE];
   size_t len = strlen (name);
   int found = 0;
 
--- a/tests/site.c
+++ b/tests/site.c
@@ -16,7 +16,7 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
-#define HOST_NAME "host: rel.example"
+#define HOST_HEADER "host: rel.example"
 #define STEP_US "5000"
 
 site_t site;
@@ -36,12 +36,12 @@
                          "store",
                          "--listen",
                          site.store.address,
-                         site.record[0] ? "--record" : NULL,
-                         site.record,
+                         site.record_file[0] ? "--record" : NULL,
+                         site.record_file,
                          NULL };
 
   proc_spawn (&site.store, args);
-  proc_ready (&site.store, "/elmarch/kv-range?PathPrefix=none");
+  proc_wait_ready (&site.store, "/elmarch/kv-range?PathPrefix=none");
 }
 
 static void
@@ -66,12 +66,12 @@
                          "--step-us",
                          site.step_us,
                          "--layers-most",
-                         site.layers_most ? site.layers_most : "4096",
-                         site.same_ids ? "--same-id" : NULL,
+                         site.max_layers ? site.max_layers : "4096",
+                         site.keep_ids ? "--same-id" : NULL,
                          NULL };
 
   proc_spawn (proc, args);
-  proc_ready (proc, "/runs");
+  proc_wait_ready (proc, "/runs");
 }
 
 void
@@ -93,51 +93,51 @@
 }
 
 static void
-entry_lapse (const char *id)
+entry_expire (const char *id)
 {
   char path[160];
   reply_t reply;
 
   snprintf (path, sizeof path, "/test/servers/%s", id);
-  http ("DELETE", site.store.address, path, NULL, NULL, &reply);
+  http_request ("DELETE", site.store.address, path, NULL, NULL, &reply);
   reply_free (&reply);
 }
 
 /* Whether a member's process has ended, by itself or by proc_end; its entry
    lapses then. */
 static int
-member_ended (proc_t *proc, const char *id)
+member_reap (proc_t *proc, const char *id)
 {
   if (proc->pid && waitpid (proc->pid, NULL, WNOHANG) != proc->pid)
     return 0;
   proc->pid = 0;
-  entry_lapse (id);
+  entry_expire (id);
   return 1;
 }
 
 /** Wait until all hosts but EXCEPT have a metric at VALUE. */
 void
-site_hosts_see_but (size_t except, const char *name, uint64_t value)
+site_wait_metric_except (size_t except, const char *name, uint64_t value)
 {
   size_t i;
 
   for (i = 0; i < site.nhosts; i++)
     if (i != except)
-      metric_is (&site.hosts[i], name, value);
+      metric_wait_value (&site.hosts[i], name, value);
 }
 
 /** Wait until all hosts have a metric at VALUE. */
 void
-site_hosts_see (const char *name, uint64_t value)
+site_wait_metric (const char *name, uint64_t value)
 {
-  site_hosts_see_but (site.nhosts, name, value);
+  site_wait_metric_except (site.nhosts, name, value);
 }
 
 /** Start the engines again whose processes have ended, as other ones; the
     former entries lapse before. Gives how many there were, once all hold
     layers and the hosts know. */
 size_t
-site_engines_back (void)
+site_engines_replace (void)
 {
   int ended[SITE_ENGINES];
   size_t n = 0;
@@ -145,28 +145,28 @@
 
   for (i = 0; i < SITE_ENGINES; i++)
     {
-      ended[i] = member_ended (&site.engines[i], site.engine_ids[i]);
+      ended[i] = member_reap (&site.engines[i], site.engine_ids[i]);
       n += (size_t)ended[i];
     }
-  site_hosts_see ("elmarch_endpoints", SITE_ENGINES + SITE_WORKERS - n);
+  site_wait_metric ("elmarch_endpoints", SITE_ENGINES + SITE_WORKERS - n);
   for (i = 0; i < SITE_ENGINES; i++)
     if (ended[i])
       site_engine_start (i);
-  site_hosts_see ("elmarch_endpoints", SITE_ENGINES + SITE_WORKERS);
-  site_hosts_see ("elmarch_engines_placed", SITE_ENGINES);
+  site_wait_metric ("elmarch_endpoints", SITE_ENGINES + SITE_WORKERS);
+  site_wait_metric ("elmarch_engines_placed", SITE_ENGINES);
   return n;
 }
 
 /** Start the engines again whose processes have ended, as other ones, and wait
     for nothing; gives how many there were. */
 size_t
-site_engines_restart (void)
+site_engines_replace_nowait (void)
 {
   size_t n = 0;
   size_t i;
 
   for (i = 0; i < SITE_ENGINES; i++)
-    if (member_ended (&site.engines[i], site.engine_ids[i]))
+    if (member_reap (&site.engines[i], site.engine_ids[i]))
       {
         site_engine_start (i);
         n++;
@@ -176,7 +176,7 @@
 
 /** The same for the workers. */
 size_t
-site_workers_back (void)
+site_workers_replace (void)
 {
   int ended[SITE_WORKERS];
   size_t n = 0;
@@ -184,26 +184,26 @@
 
   for (i = 0; i < SITE_WORKERS; i++)
     {
-      ended[i] = member_ended (&site.workers[i], site.worker_ids[i]);
+      ended[i] = member_reap (&site.workers[i], site.worker_ids[i]);
       n += (size_t)ended[i];
     }
-  site_hosts_see ("elmarch_endpoints", SITE_ENGINES + SITE_WORKERS - n);
+  site_wait_metric ("elmarch_endpoints", SITE_ENGINES + SITE_WORKERS - n);
   for (i = 0; i < SITE_WORKERS; i++)
     if (ended[i])
       site_worker_start (i);
-  site_hosts_see ("elmarch_endpoints", SITE_ENGINES + SITE_WORKERS);
+  site_wait_metric ("elmarch_endpoints", SITE_ENGINES + SITE_WORKERS);
   return n;
 }
 
 /** What a host answers an operator. */
 json_t *
-site_oper (size_t host, const char *method, const char *path)
+site_admin_request (size_t host, const char *method, const char *path)
 {
   const char *headers[] = { "authorization: Bearer an-operator's-key", NULL };
   reply_t reply;
   json_t *json;
 
-  http (method, site.hosts[host].address, path, NULL, headers, &reply);
+  http_request (method, site.hosts[host].address, path, NULL, headers, &reply);
   ck_assert_int_eq (reply.status, 200);
   json = json_loads (reply.body.ptr, 0, NULL);
   reply_free (&reply);
@@ -212,7 +212,7 @@
 
 /* The same host under another port. */
 static void
-port_set (const proc_t *host, proc_t *out, char digit)
+address_with_port (const proc_t *host, proc_t *out, char digit)
 {
   snprintf (out->address, sizeof out->address, "%s", host->address);
   out->address[strlen (out->address) - 1] = digit;
@@ -234,11 +234,11 @@
                          "--hall",
                          "h",
                          "--entry",
-                         site.entries[i].address,
+                         site.entry_addrs[i].address,
                          "--ready",
-                         site.readies[i].address,
+                         site.ready_addrs[i].address,
                          "--directory",
-                         site.directories[i].address,
+                         site.directory_addrs[i].address,
                          "--store",
                          site.store.address,
                          "--cluster-key",
@@ -260,17 +260,17 @@
 
   for (k = 0; k < site.nhosts; k++)
     {
-      port_set (&site.hosts[k], &peer, '1');
+      address_with_port (&site.hosts[k], &peer, '1');
       strcat (strcat (peers, peer.address), ",");
     }
-  port_set (&site.hosts[i], &peer, '1');
+  address_with_port (&site.hosts[i], &peer, '1');
   proc_spawn (&site.hosts[i], args);
-  proc_ready (&site.hosts[i], "/metrics");
+  proc_wait_ready (&site.hosts[i], "/metrics");
 }
 
 /** The operators' configuration, with the customer's KEYS as a JSON list. */
 void
-site_config (int version, const char *keys)
+site_put_config (int version, const char *keys)
 {
   static const char *const form
       = "{\"Version\":%d,\"Routes\":["
@@ -295,33 +295,34 @@
   reply_t reply;
 
   snprintf (body, sizeof body, form, version, keys);
-  http ("PUT", site.store.address, "/test/op/config", body, NULL, &reply);
+  http_request ("PUT", site.store.address, "/test/op/config", body, NULL,
+                &reply);
   ck_assert_int_eq (reply.status, 200);
   reply_free (&reply);
 }
 
 /* Wait until a host takes relayed requests. */
 static void
-site_ready_wait (size_t host)
+site_wait_ready (size_t host)
 {
   reply_t reply;
   long status = 0;
   int i;
 
-  for (i = 0; i < WAIT_STEPS && status != 200; i++)
+  for (i = 0; i < WAIT_STEPS_MAX && status != 200; i++)
     {
-      http ("GET", site.readies[host].address, "/elmarch/ready", NULL, NULL,
-            &reply);
+      http_request ("GET", site.ready_addrs[host].address, "/elmarch/ready",
+                    NULL, NULL, &reply);
       status = reply.status;
       reply_free (&reply);
-      pause_step ();
+      poll_sleep ();
     }
   ck_assert_int_eq (status, 200);
 }
 
 /** All machines lose power at one moment, and start again. */
 void
-site_power_lost (void)
+site_power_cycle (void)
 {
   size_t i;
 
@@ -336,13 +337,13 @@
   for (i = 0; i < SITE_ENGINES; i++)
     {
       proc_end (&site.engines[i], SIGKILL);
-      entry_lapse (site.engine_ids[i]);
+      entry_expire (site.engine_ids[i]);
       site_engine_start (i);
     }
   for (i = 0; i < SITE_WORKERS; i++)
     {
       proc_end (&site.workers[i], SIGKILL);
-      entry_lapse (site.worker_ids[i]);
+      entry_expire (site.worker_ids[i]);
       site_worker_start (i);
     }
   for (i = 0; i < site.nhosts; i++)
@@ -351,16 +352,16 @@
       site_host_start (i);
     }
   for (i = 0; i < site.nhosts; i++)
-    site_ready_wait (i);
-  site_placed_wait ();
-  site_hosts_see ("elmarch_engines_placed", SITE_ENGINES);
+    site_wait_ready (i);
+  site_wait_placed ();
+  site_wait_metric ("elmarch_engines_placed", SITE_ENGINES);
 }
 
 /** A number that a member tells of itself. */
 int64_t
-member_number (const proc_t *member, const char *name)
+member_value (const proc_t *member, const char *name)
 {
-  json_t *json = http_json (member->address, "/runs");
+  json_t *json = http_get_json (member->address, "/runs");
   int64_t value = json_integer_value (json_object_get (json, name));
 
   json_decref (json);
@@ -370,7 +371,7 @@
 void
 member_id (const proc_t *member, char *out, size_t size)
 {
-  json_t *json = http_json (member->address, "/runs");
+  json_t *json = http_get_json (member->address, "/runs");
 
   snprintf (out, size, "%s", json_string_value (json_object_get (json, "id")));
   json_decref (json);
@@ -378,14 +379,14 @@
 
 /** Wait until all engines that run hold layers. */
 void
-site_placed_wait (void)
+site_wait_placed (void)
 {
   size_t placed = 0;
   size_t live;
   size_t i;
   int step;
 
-  for (step = 0; step < WAIT_STEPS; step++)
+  for (step = 0; step < WAIT_STEPS_MAX; step++)
     {
       placed = 0;
       live = 0;
@@ -393,28 +394,28 @@
         if (site.engines[i].pid)
           {
             live++;
-            placed += member_number (&site.engines[i], "end") > 0;
+            placed += member_value (&site.engines[i], "end") > 0;
           }
       if (placed == live)
         return;
-      pause_step ();
+      poll_sleep ();
     }
   ck_abort_msg ("%zu engines hold layers", placed);
 }
 
 void
-site_mute (int on)
+site_store_mute (int on)
 {
   reply_t reply;
 
-  http ("POST", site.store.address, "/test/mute",
-        on ? "{\"on\":true}" : "{\"on\":false}", NULL, &reply);
+  http_request ("POST", site.store.address, "/test/mute",
+                on ? "{\"on\":true}" : "{\"on\":false}", NULL, &reply);
   reply_free (&reply);
 }
 
 /** Start everything and wait until all hosts take requests. */
 void
-site_open_unplaced (size_t nhosts)
+site_start_unplaced (size_t nhosts)
 {
   size_t i;
 
@@ -427,12 +428,12 @@
   for (i = 0; i < nhosts; i++)
     {
       address_set (&site.hosts[i], 30 + (unsigned)i);
-      port_set (&site.hosts[i], &site.entries[i], '2');
-      port_set (&site.hosts[i], &site.readies[i], '3');
-      port_set (&site.hosts[i], &site.directories[i], '4');
+      address_with_port (&site.hosts[i], &site.entry_addrs[i], '2');
+      address_with_port (&site.hosts[i], &site.ready_addrs[i], '3');
+      address_with_port (&site.hosts[i], &site.directory_addrs[i], '4');
     }
   site_store_start ();
-  site_config (1, "[\"" CUSTOMER_KEY "\"]");
+  site_put_config (1, "[\"" CUSTOMER_KEY "\"]");
   for (i = 0; i < SITE_ENGINES; i++)
     site_engine_start (i);
   for (i = 0; i < SITE_WORKERS; i++)
@@ -440,19 +441,19 @@
   for (i = 0; i < nhosts; i++)
     site_host_start (i);
   for (i = 0; i < nhosts; i++)
-    site_ready_wait (i);
+    site_wait_ready (i);
 }
 
 /** The same, and wait until the layers are placed. */
 void
-site_open (size_t nhosts)
+site_start (size_t nhosts)
 {
   size_t i;
 
-  site_open_unplaced (nhosts);
-  site_placed_wait ();
+  site_start_unplaced (nhosts);
+  site_wait_placed ();
   for (i = 0; i < nhosts; i++)
-    metric_wait (&site.hosts[i], "elmarch_engines_placed", SITE_ENGINES);
+    metric_wait_min (&site.hosts[i], "elmarch_engines_placed", SITE_ENGINES);
 }
 
 /** End everything. Hosts are drained, and must end without a leak. */
@@ -469,25 +470,25 @@
   for (i = 0; i < SITE_WORKERS; i++)
     proc_end (&site.workers[i], SIGKILL);
   proc_end (&site.store, SIGKILL);
-  if (site.record[0])
-    unlink (site.record);
+  if (site.record_file[0])
+    unlink (site.record_file);
 }
 
 /* The headers of a request through a host: its id, and for the stand-ins which
    host it passed. */
-typedef struct site_head
+typedef struct request_headers
 {
   char id[96];
   char via[32];
   const char *list[4];
-} site_head_t;
+} request_headers_t;
 
 static void
-head_make (site_head_t *head, size_t host, const char *id)
+request_headers_init (request_headers_t *head, size_t host, const char *id)
 {
   snprintf (head->id, sizeof head->id, "x-elmarch-request-id: %s", id);
   snprintf (head->via, sizeof head->via, "x-via: %zu", host);
-  head->list[0] = HOST_NAME;
+  head->list[0] = HOST_HEADER;
   head->list[1] = head->id;
   head->list[2] = head->via;
   head->list[3] = NULL;
@@ -495,41 +496,43 @@
 
 /** One request through a host. */
 void
-ask (size_t host, const char *method, const char *path, const char *id,
-     reply_t *reply)
+send_request (size_t host, const char *method, const char *path,
+              const char *id, reply_t *reply)
 {
-  site_head_t head;
+  request_headers_t head;
 
-  head_make (&head, host, id);
-  http (method, site.entries[host].address, path,
-        strcmp (method, "POST") == 0 ? "body" : NULL, head.list, reply);
+  request_headers_init (&head, host, id);
+  http_request (method, site.entry_addrs[host].address, path,
+                strcmp (method, "POST") == 0 ? "body" : NULL, head.list,
+                reply);
 }
 
 /** One request with BODY through a host. */
 void
-ask_body (size_t host, const char *path, const char *body, const char *id,
-          reply_t *reply)
+send_request_body (size_t host, const char *path, const char *body,
+                   const char *id, reply_t *reply)
 {
-  site_head_t head;
+  request_headers_t head;
 
-  head_make (&head, host, id);
-  http ("POST", site.entries[host].address, path, body, head.list, reply);
+  request_headers_init (&head, host, id);
+  http_request ("POST", site.entry_addrs[host].address, path, body, head.list,
+                reply);
 }
 
 /** Begin a stream through a host. */
 void
 stream_start (caller_t *caller, size_t host, const char *id)
 {
-  site_head_t head;
+  request_headers_t head;
 
-  head_make (&head, host, id);
-  caller_start (caller, site.entries[host].address, "/chat/x", "body",
+  request_headers_init (&head, host, id);
+  caller_start (caller, site.entry_addrs[host].address, "/chat/x", "body",
                 head.list, 0);
 }
 
 /** Every event once and in order. */
 void
-stream_whole (const reply_t *reply)
+assert_stream_complete (const reply_t *reply)
 {
   el_buf_t want = { NULL, 0, 0 };
   int i;
--- a/tests/site.h
+++ b/tests/site.h
@@ -23,14 +23,14 @@
   proc_t engines[SITE_ENGINES];
   proc_t workers[SITE_WORKERS];
   proc_t hosts[SITE_HOSTS]; /* where operators and metrics are */
-  proc_t entries[SITE_HOSTS];
-  proc_t readies[SITE_HOSTS];
-  proc_t directories[SITE_HOSTS];
+  proc_t entry_addrs[SITE_HOSTS];
+  proc_t ready_addrs[SITE_HOSTS];
+  proc_t directory_addrs[SITE_HOSTS];
   size_t nhosts;
-  const char *step_us;     /* between two events */
-  const char *layers_most; /* engines end under an order of more; NULL: none */
-  int same_ids;    /* engines and workers start again under their ids */
-  char record[64]; /* file of the store; empty: it keeps nothing */
+  const char *step_us;    /* between two events */
+  const char *max_layers; /* engines end under an order of more; NULL: none */
+  int keep_ids;           /* engines and workers start again under their ids */
+  char record_file[64];   /* file of the store; empty: it keeps nothing */
   char engine_ids[SITE_ENGINES][96];
   char worker_ids[SITE_WORKERS][96];
 } site_t;
@@ -38,30 +38,30 @@
 extern site_t site;
 
 void site_setup (void);
-void site_open (size_t nhosts);
+void site_start (size_t nhosts);
 void site_teardown (void);
 void site_engine_start (size_t i);
 void site_worker_start (size_t i);
-size_t site_engines_back (void);
-size_t site_engines_restart (void);
+size_t site_engines_replace (void);
+size_t site_engines_replace_nowait (void);
 void site_store_start (void);
-void site_power_lost (void);
-void site_open_unplaced (size_t nhosts);
-size_t site_workers_back (void);
-json_t *site_oper (size_t host, const char *method, const char *path);
+void site_power_cycle (void);
+void site_start_unplaced (size_t nhosts);
+size_t site_workers_replace (void);
+json_t *site_admin_request (size_t host, const char *method, const char *path);
 void site_host_start (size_t i);
-void site_config (int version, const char *keys);
-void site_placed_wait (void);
-void site_hosts_see (const char *name, uint64_t value);
-void site_hosts_see_but (size_t except, const char *name, uint64_t value);
-void site_mute (int on);
-int64_t member_number (const proc_t *member, const char *name);
+void site_put_config (int version, const char *keys);
+void site_wait_placed (void);
+void site_wait_metric (const char *name, uint64_t value);
+void site_wait_metric_except (size_t except, const char *name, uint64_t value);
+void site_store_mute (int on);
+int64_t member_value (const proc_t *member, const char *name);
 void member_id (const proc_t *member, char *out, size_t size);
-void ask (size_t host, const char *method, const char *path, const char *id,
-          reply_t *reply);
-void ask_body (size_t host, const char *path, const char *body, const char *id,
-               reply_t *reply);
+void send_request (size_t host, const char *method, const char *path,
+                   const char *id, reply_t *reply);
+void send_request_body (size_t host, const char *path, const char *body,
+                        const char *id, reply_t *reply);
 void stream_start (caller_t *caller, size_t host, const char *id);
-void stream_whole (const reply_t *reply);
+void assert_stream_complete (const reply_t *reply);
 
 #endif
--- a/tests/t_again.c
+++ b/tests/t_again.c
@@ -21,19 +21,19 @@
   reply_t reply;
 
   snprintf (path, sizeof path, "/test/servers/%s", id);
-  http ("PUT", site.store.address, path, text, NULL, &reply);
+  http_request ("PUT", site.store.address, path, text, NULL, &reply);
   ck_assert_int_eq (reply.status, 200);
   reply_free (&reply);
 }
 
 static void
-stream_passes (size_t host, const char *id)
+assert_stream_served (size_t host, const char *id)
 {
   caller_t caller;
 
   stream_start (&caller, host, id);
   caller_join (&caller);
-  stream_whole (&caller.reply);
+  assert_stream_complete (&caller.reply);
   reply_free (&caller.reply);
 }
 
@@ -44,20 +44,21 @@
   reply_t reply;
   size_t i;
 
-  site.same_ids = 1;
-  site_open (1);
+  site.keep_ids = 1;
+  site_start (1);
   for (i = 0; i < SITE_ENGINES; i++)
     {
-      http ("POST", site.engines[i].address, "/leave", "{}", NULL, &reply);
+      http_request ("POST", site.engines[i].address, "/leave", "{}", NULL,
+                    &reply);
       reply_free (&reply);
-      metric_is (&site.hosts[0], "elmarch_endpoints_leaving", 1);
+      metric_wait_value (&site.hosts[0], "elmarch_endpoints_leaving", 1);
       proc_end (&site.engines[i], SIGKILL);
       site_engine_start (i);
-      metric_is (&site.hosts[0], "elmarch_endpoints_leaving", 0);
+      metric_wait_value (&site.hosts[0], "elmarch_endpoints_leaving", 0);
     }
-  site_placed_wait ();
-  metric_is (&site.hosts[0], "elmarch_engines_placed", SITE_ENGINES);
-  stream_passes (0, "s1");
+  site_wait_placed ();
+  metric_wait_value (&site.hosts[0], "elmarch_engines_placed", SITE_ENGINES);
+  assert_stream_served (0, "s1");
 }
 END_TEST
 
@@ -68,20 +69,20 @@
   caller_t caller;
   size_t i;
 
-  site.same_ids = 1;
-  site_open (1);
+  site.keep_ids = 1;
+  site_start (1);
   stream_start (&caller, 0, "s1");
   caller_wait_body (&caller, 60);
   for (i = 0; i < SITE_ENGINES; i++)
-    if (member_number (&site.engines[i], "runs"))
+    if (member_value (&site.engines[i], "runs"))
       break;
   ck_assert_uint_lt (i, SITE_ENGINES);
   proc_end (&site.engines[i], SIGKILL);
   site_engine_start (i);
   caller_join (&caller);
-  stream_whole (&caller.reply);
+  assert_stream_complete (&caller.reply);
   reply_free (&caller.reply);
-  site_placed_wait ();
+  site_wait_placed ();
 }
 END_TEST
 
@@ -103,18 +104,18 @@
           "{\"Service\":\"app\",\"Address\":\"127.0.0.1:9\",\"Zone\":\"h\","
           "\"State\":\"ready\",\"Slots\":\"4\"}" };
 
-  site_open (1);
+  site_start (1);
   for (i = 0; i < 20; i++)
     {
       snprintf (id, sizeof id, "x%u", i);
       entry_put (id, entries[i % (sizeof entries / sizeof *entries)]);
     }
   entry_put (site.engine_ids[0], "{\"State\":\"ready\"}");
-  metric_is (&site.hosts[0], "elmarch_endpoints",
-             SITE_ENGINES + SITE_WORKERS - 1);
-  stream_passes (0, "s1");
-  metric_is (&site.hosts[0], "elmarch_endpoints",
-             SITE_ENGINES + SITE_WORKERS - 1);
+  metric_wait_value (&site.hosts[0], "elmarch_endpoints",
+                     SITE_ENGINES + SITE_WORKERS - 1);
+  assert_stream_served (0, "s1");
+  metric_wait_value (&site.hosts[0], "elmarch_endpoints",
+                     SITE_ENGINES + SITE_WORKERS - 1);
 }
 END_TEST
 
@@ -127,25 +128,26 @@
   reply_t reply;
   size_t i;
 
-  snprintf (site.record, sizeof site.record, "/tmp/elmarch-store-%d",
+  snprintf (site.record_file, sizeof site.record_file, "/tmp/elmarch-store-%d",
             (int)getpid ());
-  site_open (2);
+  site_start (2);
   for (i = 0; i < 8; i++)
     {
       snprintf (id, sizeof id, "d%zu", i);
-      ask_body (i % 2, "/chat/x", "a deadly roster", id, &reply);
+      send_request_body (i % 2, "/chat/x", "a deadly roster", id, &reply);
       reply_free (&reply);
-      site_engines_back ();
+      site_engines_replace ();
     }
-  ck_assert_uint_gt (metric (&site.hosts[1], "elmarch_relay_barred_total"), 0);
-  site_config (2, "[\"" CUSTOMER_KEY "\",\"another\"]");
-  site_power_lost ();
-  ask_body (0, "/chat/x", "a deadly roster", "e", &reply);
+  ck_assert_uint_gt (
+      metric_value (&site.hosts[1], "elmarch_relay_barred_total"), 0);
+  site_put_config (2, "[\"" CUSTOMER_KEY "\",\"another\"]");
+  site_power_cycle ();
+  send_request_body (0, "/chat/x", "a deadly roster", "e", &reply);
   ck_assert_int_eq (reply.status, 503);
   ck_assert_ptr_nonnull (strstr (reply.body.ptr, "ends endpoints"));
   reply_free (&reply);
   for (i = 0; i < 2; i++)
-    stream_passes (i, "s");
+    assert_stream_served (i, "s");
 }
 END_TEST
 
--- a/tests/t_agree.c
+++ b/tests/t_agree.c
@@ -32,7 +32,7 @@
             "00\",\"weight\":%u},\"resourceVersion\":%lld%s%s%s}",
             weight, (long long)version, change ? ",\"changeId\":\"" : "",
             change ? change : "", change ? "\"" : "");
-  return oper (&c, host, "PUT", "customers/other", body, reply);
+  return admin_request (&fixture, host, "PUT", "customers/other", body, reply);
 }
 
 /* The weight of the customer that the tests change, as a host has it. */
@@ -43,7 +43,7 @@
   json_t *json;
   reply_t reply;
 
-  oper (&c, host, "GET", "customers/other", NULL, &reply);
+  admin_request (&fixture, host, "GET", "customers/other", NULL, &reply);
   json = json_loadb (reply.body.ptr ? reply.body.ptr : "", reply.body.len, 0,
                      NULL);
   weight = json_integer_value (
@@ -58,8 +58,8 @@
 {
   int i;
 
-  for (i = 0; i < WAIT_STEPS && weight_at (host) != want; i++)
-    pause_step ();
+  for (i = 0; i < WAIT_STEPS_MAX && weight_at (host) != want; i++)
+    poll_sleep ();
   ck_assert_int_eq (weight_at (host), want);
 }
 
@@ -81,24 +81,28 @@
   reply_t reply;
   size_t i;
 
-  cluster_open (&c, 5);
+  cluster_start (&fixture, 5);
   ck_assert_int_eq (put_weight (3, 7, 0, NULL, &reply), 200);
   reply_free (&reply);
   for (i = 0; i < 5; i++)
     weight_wait (i, 7);
-  ck_assert_int_eq (oper (&c, 4, "DELETE", "customers/other", NULL, &reply),
-                    200);
+  ck_assert_int_eq (
+      admin_request (&fixture, 4, "DELETE", "customers/other", NULL, &reply),
+      200);
   reply_free (&reply);
   for (i = 0; i < 5; i++)
     weight_wait (i, 0);
   for (i = 0; i < 5; i++)
     {
-      uint64_t calls = metric (&c.hosts[i], "elmarch_platform_calls_total");
+      uint64_t calls
+          = metric_value (&fixture.hosts[i], "elmarch_platform_calls_total");
       int k;
 
       for (k = 0; k < 200; k++)
-        pause_step (); /* two looks at the host list */
-      watching += metric (&c.hosts[i], "elmarch_platform_calls_total") > calls;
+        poll_sleep (); /* two looks at the host list */
+      watching
+          += metric_value (&fixture.hosts[i], "elmarch_platform_calls_total")
+             > calls;
     }
   ck_assert_uint_eq (watching, WATCHERS);
 }
@@ -108,13 +112,13 @@
    is now in force, and nothing goes back. */
 START_TEST (test_racing_operators_get_a_conflict)
 {
-  caller_t racers[4];
+  caller_t writers[4];
   unsigned won = 0;
   reply_t reply;
   json_int_t version;
   size_t i;
 
-  cluster_open (&c, 2);
+  cluster_start (&fixture, 2);
   ck_assert_int_eq (put_weight (0, 1, 0, NULL, &reply), 200);
   version = version_of (&reply);
   reply_free (&reply);
@@ -131,17 +135,17 @@
           "\"0000000000000000000000000000000000000000000000000000000000000000"
           "\",\"weight\":%zu},\"resourceVersion\":%lld}",
           10 + i, (long long)version);
-      caller_start (&racers[i], c.hosts[i % 2].address,
+      caller_start (&writers[i], fixture.hosts[i % 2].address,
                     "/admin/v1/customers/other", body, headers, 0);
     }
   for (i = 0; i < 4; i++)
     {
-      caller_join (&racers[i]);
-      if (racers[i].reply.status == 200)
+      caller_join (&writers[i]);
+      if (writers[i].reply.status == 200)
         won++;
       else
-        ck_assert_int_eq (racers[i].reply.status, 409);
-      reply_free (&racers[i].reply);
+        ck_assert_int_eq (writers[i].reply.status, 409);
+      reply_free (&writers[i].reply);
     }
   ck_assert_uint_eq (won, 1);
   ck_assert_int_eq (put_weight (0, 2, version, NULL, &reply), 409);
@@ -157,29 +161,32 @@
 {
   reply_t reply;
 
-  cluster_open (&c, 1);
-  fault (&c.platform, "{\"fault\":\"lose\",\"times\":1}");
+  cluster_start (&fixture, 1);
+  set_fault (&fixture.platform, "{\"fault\":\"lose\",\"times\":1}");
   ck_assert_int_eq (put_weight (0, 5, 0, "change-1", &reply), 200);
   reply_free (&reply);
   ck_assert_int_eq (weight_at (0), 5);
-  fault (&c.platform, "{\"fault\":\"lose\",\"times\":1}");
-  ck_assert_int_eq (oper (&c, 0, "DELETE", "customers/other", NULL, &reply),
-                    200);
+  set_fault (&fixture.platform, "{\"fault\":\"lose\",\"times\":1}");
+  ck_assert_int_eq (
+      admin_request (&fixture, 0, "DELETE", "customers/other", NULL, &reply),
+      200);
   reply_free (&reply);
   weight_wait (0, 0);
 }
 END_TEST
 
 static void
-requests_go_on (size_t host)
+assert_requests_served (size_t host)
 {
   char *body = chat_body ("Hello", 0, 4, NULL, 0);
   reply_t reply;
 
-  http ("POST", c.hosts[host].address, CHAT, body, NULL, &reply);
+  http_request ("POST", fixture.hosts[host].address, CHAT_PATH, body, NULL,
+                &reply);
   ck_assert_int_eq (reply.status, 200);
   reply_free (&reply);
-  http ("POST", c.hosts[host].address, PAY, "{\"id\":\"x\"}", NULL, &reply);
+  http_request ("POST", fixture.hosts[host].address, PAY_PATH,
+                "{\"id\":\"x\"}", NULL, &reply);
   ck_assert_int_eq (reply.status, 200);
   reply_free (&reply);
   free (body);
@@ -191,20 +198,20 @@
 {
   reply_t reply;
 
-  cluster_open (&c, 2);
+  cluster_start (&fixture, 2);
   if (_i == 0)
-    proc_end (&c.platform, SIGKILL);
+    proc_end (&fixture.platform, SIGKILL);
   else
-    fault (&c.platform, "{\"fault\":\"hang\"}");
-  requests_go_on (0);
-  requests_go_on (1);
+    set_fault (&fixture.platform, "{\"fault\":\"hang\"}");
+  assert_requests_served (0);
+  assert_requests_served (1);
   put_weight (0, 5, 0, NULL, &reply);
   if (_i == 0)
-    verdict_is (&reply, 503, "not-run");
+    assert_verdict (&reply, 503, "not-run");
   else
-    verdict_is (&reply, 504, "may-have-run");
+    assert_verdict (&reply, 504, "may-have-run");
   reply_free (&reply);
-  requests_go_on (0);
+  assert_requests_served (0);
 }
 END_TEST
 
@@ -214,20 +221,21 @@
 {
   reply_t reply;
 
-  cluster_open (&c, 2);
+  cluster_start (&fixture, 2);
   ck_assert_int_eq (put_weight (0, 9, 0, NULL, &reply), 200);
   reply_free (&reply);
   weight_wait (1, 9);
-  proc_end (&c.platform, SIGKILL);
-  proc_end (&c.hosts[1], SIGKILL);
-  host_start (&c, 1);
+  proc_end (&fixture.platform, SIGKILL);
+  proc_end (&fixture.hosts[1], SIGKILL);
+  host_start (&fixture, 1);
   weight_wait (1, 9);
-  requests_go_on (1);
-  proc_end (&c.hosts[0], SIGKILL);
-  proc_end (&c.hosts[1], SIGKILL);
-  host_start (&c, 1);
-  http ("POST", c.hosts[1].address, PAY, "{\"id\":\"y\"}", NULL, &reply);
-  verdict_is (&reply, 503, "not-run");
+  assert_requests_served (1);
+  proc_end (&fixture.hosts[0], SIGKILL);
+  proc_end (&fixture.hosts[1], SIGKILL);
+  host_start (&fixture, 1);
+  http_request ("POST", fixture.hosts[1].address, PAY_PATH, "{\"id\":\"y\"}",
+                NULL, &reply);
+  assert_verdict (&reply, 503, "not-run");
   ck_assert_ptr_nonnull (strstr (reply.body.ptr, "starting"));
   reply_free (&reply);
 }
@@ -238,16 +246,18 @@
 static size_t
 host_not_watching (void)
 {
-  uint64_t before[HOSTS_MOST];
+  uint64_t before[HOSTS_MAX];
   size_t i;
   int k;
 
-  for (i = 0; i < c.nhosts; i++)
-    before[i] = metric (&c.hosts[i], "elmarch_platform_calls_total");
+  for (i = 0; i < fixture.nhosts; i++)
+    before[i]
+        = metric_value (&fixture.hosts[i], "elmarch_platform_calls_total");
   for (k = 0; k < 250; k++)
-    pause_step ();
-  for (i = 0; i < c.nhosts; i++)
-    if (metric (&c.hosts[i], "elmarch_platform_calls_total") == before[i])
+    poll_sleep ();
+  for (i = 0; i < fixture.nhosts; i++)
+    if (metric_value (&fixture.hosts[i], "elmarch_platform_calls_total")
+        == before[i])
       return i;
   ck_abort_msg ("all hosts ask the platform");
   return 0;
@@ -258,33 +268,35 @@
 START_TEST (test_removal_reaches_a_host_that_slept)
 {
   reply_t reply;
-  size_t slept;
-  size_t fresh;
+  size_t paused;
+  size_t restarted;
   size_t i;
 
-  cluster_open (&c, 4);
-  slept = host_not_watching ();
-  fresh = (slept + 1) % 4;
-  ck_assert_int_eq (put_weight (fresh, 9, 0, NULL, &reply), 200);
+  cluster_start (&fixture, 4);
+  paused = host_not_watching ();
+  restarted = (paused + 1) % 4;
+  ck_assert_int_eq (put_weight (restarted, 9, 0, NULL, &reply), 200);
   reply_free (&reply);
-  weight_wait (slept, 9);
-  proc_signal (&c.hosts[slept], SIGSTOP);
-  ck_assert_int_eq (
-      oper (&c, fresh, "DELETE", "customers/other", NULL, &reply), 200);
+  weight_wait (paused, 9);
+  proc_signal (&fixture.hosts[paused], SIGSTOP);
+  ck_assert_int_eq (admin_request (&fixture, restarted, "DELETE",
+                                   "customers/other", NULL, &reply),
+                    200);
   reply_free (&reply);
   for (i = 0; i < 4; i++)
-    if (i != slept)
-      proc_end (&c.hosts[i], SIGKILL);
-  host_start (&c, fresh); /* reads all of it anew, without the removal */
-  metric_wait (&c.hosts[fresh], "elmarch_config_revision", 1);
-  proc_end (&c.platform, SIGKILL); /* only that host can tell it */
-  proc_signal (&c.hosts[slept], SIGCONT);
-  weight_wait (slept, 0);
+    if (i != paused)
+      proc_end (&fixture.hosts[i], SIGKILL);
+  host_start (&fixture,
+              restarted); /* reads all of it anew, without the removal */
+  metric_wait_min (&fixture.hosts[restarted], "elmarch_config_revision", 1);
+  proc_end (&fixture.platform, SIGKILL); /* only that host can tell it */
+  proc_signal (&fixture.hosts[paused], SIGCONT);
+  weight_wait (paused, 0);
 }
 END_TEST
 
 static void
-leaving_put (const char *endpoint, const char *state)
+put_endpoint_state (const char *endpoint, const char *state)
 {
   char path[64];
   char body[64];
@@ -292,13 +304,13 @@
 
   snprintf (path, sizeof path, "/v1/hosts/%s", endpoint);
   snprintf (body, sizeof body, "{\"state\":\"%s\"}", state);
-  http ("PUT", c.platform.address, path, body, NULL, &reply);
+  http_request ("PUT", fixture.platform.address, path, body, NULL, &reply);
   reply_free (&reply);
 }
 
 /* Whether a host's dump holds an endpoint in a state. */
 static int
-endpoint_is (size_t host, const char *endpoint, const char *state)
+endpoint_in_state (size_t host, const char *endpoint, const char *state)
 {
   json_t *json;
   json_t *endpoints;
@@ -306,7 +318,7 @@
   reply_t reply;
   int same;
 
-  oper (&c, host, "GET", "dump", NULL, &reply);
+  admin_request (&fixture, host, "GET", "dump", NULL, &reply);
   json = json_loadb (reply.body.ptr, reply.body.len, 0, NULL);
   endpoints = json_object_get (json_object_get (json, "router"), "endpoints");
   is = json_string_value (
@@ -322,9 +334,10 @@
 {
   int i;
 
-  for (i = 0; i < WAIT_STEPS && !endpoint_is (host, endpoint, state); i++)
-    pause_step ();
-  ck_assert (endpoint_is (host, endpoint, state));
+  for (i = 0; i < WAIT_STEPS_MAX && !endpoint_in_state (host, endpoint, state);
+       i++)
+    poll_sleep ();
+  ck_assert (endpoint_in_state (host, endpoint, state));
 }
 
 /* The list names a worker as leaving, or the worker says so itself to one
@@ -338,44 +351,45 @@
   size_t i;
   int k;
 
-  cluster_open (&c, 3);
+  cluster_start (&fixture, 3);
   if (_i == 0)
-    leaving_put ("zahl-1", "leaving");
+    put_endpoint_state ("zahl-1", "leaving");
   else if (_i == 1)
     {
-      fault (&c.workers[0], "{\"fault\":\"leaving\"}");
-      while (!endpoint_is (0, "zahl-1", "leaving"))
-        requests_go_on (0);
-      fault (&c.workers[0], "{\"fault\":\"none\"}");
+      set_fault (&fixture.workers[0], "{\"fault\":\"leaving\"}");
+      while (!endpoint_in_state (0, "zahl-1", "leaving"))
+        assert_requests_served (0);
+      set_fault (&fixture.workers[0], "{\"fault\":\"none\"}");
     }
   else
     {
       snprintf (body, sizeof body,
                 "{\"spec\":{\"address\":\"%s\",\"hall\":\"h\",\"role\":"
                 "\"worker\",\"draining\":true}}",
-                c.workers[0].address);
-      ck_assert_int_eq (oper (&c, 0, "PUT", "endpoints/zahl-1", body, &reply),
-                        200);
+                fixture.workers[0].address);
+      ck_assert_int_eq (
+          admin_request (&fixture, 0, "PUT", "endpoints/zahl-1", body, &reply),
+          200);
       reply_free (&reply);
     }
   for (i = 0; i < 3; i++)
     endpoint_wait (i, "zahl-1", states[_i]);
-  before = runs (&c.workers[0], "x");
+  before = payment_runs (&fixture.workers[0], "x");
   for (k = 0; k < 4; k++)
     for (i = 0; i < 3; i++)
-      requests_go_on (i);
-  ck_assert_int_eq (runs (&c.workers[0], "x"), before);
+      assert_requests_served (i);
+  ck_assert_int_eq (payment_runs (&fixture.workers[0], "x"), before);
 }
 END_TEST
 
 static void
-junk_send (const char *bytes, size_t len, int type)
+send_raw (const char *bytes, size_t len, int type)
 {
   struct sockaddr_in addr = { .sin_family = AF_INET };
   int fd = socket (AF_INET, type, 0);
   char ip[32];
 
-  snprintf (ip, sizeof ip, "%s", c.hosts[0].address);
+  snprintf (ip, sizeof ip, "%s", fixture.hosts[0].address);
   *strchr (ip, ':') = '\0';
   inet_pton (AF_INET, ip, &addr.sin_addr);
   addr.sin_port = htons (7001);
@@ -398,29 +412,29 @@
   char version[sizeof call];
   json_t *json;
 
-  cluster_open (&c, 1);
-  junk_send (call, sizeof call - 1, SOCK_DGRAM);
-  junk_send (call, 20, SOCK_DGRAM);
+  cluster_start (&fixture, 1);
+  send_raw (call, sizeof call - 1, SOCK_DGRAM);
+  send_raw (call, 20, SOCK_DGRAM);
   memcpy (version, call, sizeof call);
   version[19] = 9;
-  junk_send (version, sizeof call - 1, SOCK_DGRAM);
+  send_raw (version, sizeof call - 1, SOCK_DGRAM);
   memcpy (record, "\x80\x00\x00\x4c", 4);
   memcpy (record + 4, call, sizeof call);
-  junk_send (record, 4 + sizeof call - 1, SOCK_STREAM);
-  junk_send ("\xff\xff\xff\xff....", 8, SOCK_STREAM);
-  junk_send ("GET / HTTP/1.1\r\n\r\n", 18, SOCK_STREAM);
-  metric_wait (&c.hosts[0], "elmarch_rpc_refused_total", 6);
-  c.nhosts = 2; /* a host with another key never becomes a member */
-  snprintf (c.hosts[1].address, sizeof c.hosts[1].address, "%s",
-            c.hosts[0].address);
-  snprintf (strrchr (c.hosts[1].address, ':'), 6, ":8000");
-  c.extra[0] = "--cluster-key=the-key-of-another-cluster";
-  host_start (&c, 1);
-  metric_wait (&c.hosts[0], "elmarch_rpc_refused_total", 10);
-  json = http_json (c.hosts[0].address, "/v1/entry-hosts");
+  send_raw (record, 4 + sizeof call - 1, SOCK_STREAM);
+  send_raw ("\xff\xff\xff\xff....", 8, SOCK_STREAM);
+  send_raw ("GET / HTTP/1.1\r\n\r\n", 18, SOCK_STREAM);
+  metric_wait_min (&fixture.hosts[0], "elmarch_rpc_refused_total", 6);
+  fixture.nhosts = 2; /* a host with another key never becomes a member */
+  snprintf (fixture.hosts[1].address, sizeof fixture.hosts[1].address, "%s",
+            fixture.hosts[0].address);
+  snprintf (strrchr (fixture.hosts[1].address, ':'), 6, ":8000");
+  fixture.extra_flags[0] = "--cluster-key=the-key-of-another-cluster";
+  host_start (&fixture, 1);
+  metric_wait_min (&fixture.hosts[0], "elmarch_rpc_refused_total", 10);
+  json = http_get_json (fixture.hosts[0].address, "/v1/entry-hosts");
   ck_assert_uint_eq (json_array_size (json_object_get (json, "hosts")), 1);
   json_decref (json);
-  requests_go_on (0);
+  assert_requests_served (0);
 }
 END_TEST
 
--- a/tests/t_ends.c
+++ b/tests/t_ends.c
@@ -26,30 +26,31 @@
 #include "site.h"
 #include "test.h"
 
-#define DEADLY "a deadly roster"
+#define CRASHING_BODY "a deadly roster"
 /* Arrivals of it, at the hosts in turn. */
 #define ARRIVALS 8
 /* Ends under one request that can be told from chance. */
-#define ENDS_MOST 3
+#define CRASHES_MAX 3
 /* Engines that end under one kind of order: all four are given it at once, and
    again before the first three are known to have ended. */
-#define FALLS_MOST (2 * SITE_ENGINES)
+#define ORDER_CRASHES_MAX (2 * SITE_ENGINES)
 /* Steps without an end: engines are given orders every 0.2 s. */
 #define QUIET_STEPS 600
 /* From an engine's end to its next start; on the platform it takes seconds. */
-#define BACK_STEPS 150
+#define RESTART_STEPS 150
 
 /* From now on the engines cut their streams first and then take 0.3 s to end.
  */
 static void
-engines_linger (void)
+engines_crash_slowly (void)
 {
   reply_t reply;
   size_t i;
 
   for (i = 0; i < SITE_ENGINES; i++)
     {
-      http ("POST", site.engines[i].address, "/linger", "{}", NULL, &reply);
+      http_request ("POST", site.engines[i].address, "/linger", "{}", NULL,
+                    &reply);
       reply_free (&reply);
     }
 }
@@ -58,15 +59,15 @@
    at least is ending when it had run; its process may take a moment longer
    than the answer. */
 static size_t
-ends_back (const reply_t *reply)
+crashed_engines_replace (const reply_t *reply)
 {
-  size_t n = site_engines_back ();
+  size_t n = site_engines_replace ();
   size_t i;
 
-  for (i = 0; i < WAIT_STEPS && n == 0 && reply->status == 502; i++)
+  for (i = 0; i < WAIT_STEPS_MAX && n == 0 && reply->status == 502; i++)
     {
-      pause_step ();
-      n = site_engines_back ();
+      poll_sleep ();
+      n = site_engines_replace ();
     }
   return n;
 }
@@ -74,7 +75,7 @@
 /* Each arrival finds all engines back, and the hosts have had the time to tell
    each other. From the second arrival on engines end SLOWLY. */
 static void
-ends_few (int slowly)
+assert_few_crashes (int slow_crash)
 {
   char id[16];
   char header[64];
@@ -84,15 +85,15 @@
   long status = 0;
   size_t i;
 
-  site_open (2);
+  site_start (2);
   for (i = 0; i < ARRIVALS; i++)
     {
       snprintf (id, sizeof id, "d%zu", i);
-      if (slowly && i)
-        engines_linger ();
-      ask_body (i % 2, "/chat/x", DEADLY, id, &reply);
-      ended += ends_back (&reply);
-      ck_assert_uint_le (ended, ENDS_MOST);
+      if (slow_crash && i)
+        engines_crash_slowly ();
+      send_request_body (i % 2, "/chat/x", CRASHING_BODY, id, &reply);
+      ended += crashed_engines_replace (&reply);
+      ck_assert_uint_le (ended, CRASHES_MAX);
       status = reply.status;
       reply_header (&reply, "retry-after", header, sizeof header);
       reply_free (&reply);
@@ -103,14 +104,14 @@
     {
       stream_start (&caller, i, "s1");
       caller_join (&caller);
-      stream_whole (&caller.reply);
+      assert_stream_complete (&caller.reply);
       reply_free (&caller.reply);
     }
 }
 
 START_TEST (test_request_that_ends_engines_is_not_sent_for_ever)
 {
-  ends_few (0);
+  assert_few_crashes (0);
 }
 END_TEST
 
@@ -128,14 +129,14 @@
    or not. */
 START_TEST (test_request_that_ends_engines_slowly_is_not_sent_for_ever)
 {
-  ends_few (1);
+  assert_few_crashes (1);
 }
 END_TEST
 
 /* Send it until it is refused as being to blame; gives the engines that ended
    on the way. */
 static size_t
-deadly_block (void)
+send_until_blocked (void)
 {
   char id[16];
   reply_t reply;
@@ -145,10 +146,12 @@
   for (i = 0; i < ARRIVALS; i++)
     {
       snprintf (id, sizeof id, "d%zu", i);
-      ask_body (i % site.nhosts, "/chat/x", DEADLY, id, &reply);
-      ended += site_engines_back ();
+      send_request_body (i % site.nhosts, "/chat/x", CRASHING_BODY, id,
+                         &reply);
+      ended += site_engines_replace ();
       reply_free (&reply);
-      if (metric (&site.hosts[i % site.nhosts], "elmarch_relay_barred_total"))
+      if (metric_value (&site.hosts[i % site.nhosts],
+                        "elmarch_relay_barred_total"))
         return ended;
     }
   ck_abort_msg ("it is not blocked");
@@ -157,15 +160,15 @@
 
 /* It is refused by HOST, and ends nothing. */
 static void
-deadly_barred (size_t host, const char *id)
+assert_blocked (size_t host, const char *id)
 {
   reply_t reply;
 
-  ask_body (host, "/chat/x", DEADLY, id, &reply);
+  send_request_body (host, "/chat/x", CRASHING_BODY, id, &reply);
   ck_assert_int_eq (reply.status, 503);
   ck_assert_ptr_nonnull (strstr (reply.body.ptr, "ends endpoints"));
   reply_free (&reply);
-  ck_assert_uint_eq (site_engines_back (), 0);
+  ck_assert_uint_eq (site_engines_replace (), 0);
 }
 
 /* A host that starts has been told before it serves; so has each of them when
@@ -174,17 +177,17 @@
 {
   size_t i;
 
-  site_open (2);
-  deadly_block ();
+  site_start (2);
+  send_until_blocked ();
   proc_end (&site.hosts[1], SIGKILL);
   site_host_start (1);
-  deadly_barred (1, "e1");
+  assert_blocked (1, "e1");
   for (i = 0; i < 2; i++)
     proc_end (&site.hosts[i], SIGKILL);
   for (i = 0; i < 2; i++)
     site_host_start (i);
   for (i = 0; i < 2; i++)
-    deadly_barred (i, i ? "f1" : "f0");
+    assert_blocked (i, i ? "f1" : "f0");
 }
 END_TEST
 
@@ -199,7 +202,7 @@
   size_t k;
 
   site.step_us = "20000";
-  site_open (2);
+  site_start (2);
   for (k = 0; k < 4; k++)
     {
       for (i = 0; i < 6; i++)
@@ -210,24 +213,24 @@
       for (i = 0; i < 6; i++)
         caller_wait_body (&callers[i], 30);
       snprintf (id, sizeof id, "d%zu", k);
-      ask_body (k % 2, "/chat/x", DEADLY, id, &reply);
+      send_request_body (k % 2, "/chat/x", CRASHING_BODY, id, &reply);
       reply_free (&reply);
       for (i = 0; i < 6; i++)
         {
           caller_join (&callers[i]);
           if (callers[i].reply.status == 200)
-            stream_whole (&callers[i].reply);
+            assert_stream_complete (&callers[i].reply);
           reply_free (&callers[i].reply);
         }
-      site_engines_back ();
+      site_engines_replace ();
     }
   for (i = 0; i < 2; i++)
     {
       ck_assert_uint_le (
-          metric (&site.hosts[i], "elmarch_relay_blocked_total"), 1);
+          metric_value (&site.hosts[i], "elmarch_relay_blocked_total"), 1);
       stream_start (&callers[0], i, "t");
       caller_join (&callers[0]);
-      stream_whole (&callers[0].reply);
+      assert_stream_complete (&callers[0].reply);
       reply_free (&callers[0].reply);
     }
 }
@@ -243,9 +246,9 @@
   size_t before;
   int i;
 
-  site_open (2);
-  deadly_block ();
-  list = site_oper (0, "GET", "/admin/v1/blocked");
+  site_start (2);
+  send_until_blocked ();
+  list = site_admin_request (0, "GET", "/admin/v1/blocked");
   ck_assert_uint_eq (json_array_size (list), 1);
   digest = json_string_value (
       json_object_get (json_array_get (list, 0), "digest"));
@@ -253,17 +256,17 @@
       json_string_value (json_object_get (json_array_get (list, 0), "state")),
       "blocked");
   snprintf (path, sizeof path, "/admin/v1/blocked/%s", digest);
-  json_decref (site_oper (1, "DELETE", path));
+  json_decref (site_admin_request (1, "DELETE", path));
   json_decref (list);
   before = 0;
-  for (i = 0; i < WAIT_STEPS && !before; i++)
+  for (i = 0; i < WAIT_STEPS_MAX && !before; i++)
     { /* the other host hears of it in a moment */
-      ask_body (0, "/chat/x", DEADLY, "g", &reply);
+      send_request_body (0, "/chat/x", CRASHING_BODY, "g", &reply);
       before = reply.status != 503;
       reply_free (&reply);
     }
   ck_assert_uint_eq (before, 1);
-  ck_assert_uint_ge (site_engines_back (), 1);
+  ck_assert_uint_ge (site_engines_replace (), 1);
 }
 END_TEST
 
@@ -275,17 +278,17 @@
   size_t ended = 0;
   size_t i;
 
-  site_open (2);
+  site_start (2);
   for (i = 0; i < ARRIVALS; i++)
     {
       snprintf (id, sizeof id, "w%zu", i);
-      ask_body (i % 2, "/pay/x", DEADLY, id, &reply);
+      send_request_body (i % 2, "/pay/x", CRASHING_BODY, id, &reply);
       ck_assert_int_ne (reply.status, 200);
-      ended += site_workers_back ();
-      ck_assert_uint_le (ended, ENDS_MOST + 1);
+      ended += site_workers_replace ();
+      ck_assert_uint_le (ended, CRASHES_MAX + 1);
       reply_free (&reply);
     }
-  ask (0, "POST", "/pay/x", "p", &reply);
+  send_request (0, "POST", "/pay/x", "p", &reply);
   ck_assert_int_eq (reply.status, 200);
   reply_free (&reply);
 }
@@ -301,33 +304,33 @@
   size_t i;
   int quiet;
 
-  site.layers_most = "1";
-  site_open_unplaced (2);
+  site.max_layers = "1";
+  site_start_unplaced (2);
   for (quiet = 0; quiet < QUIET_STEPS; quiet++)
     {
       last = ended;
-      if (quiet % BACK_STEPS == BACK_STEPS - 1)
-        ended += site_engines_restart ();
-      ck_assert_uint_le (ended, FALLS_MOST);
+      if (quiet % RESTART_STEPS == RESTART_STEPS - 1)
+        ended += site_engines_replace_nowait ();
+      ck_assert_uint_le (ended, ORDER_CRASHES_MAX);
       if (ended != last)
         quiet = 0;
-      pause_step ();
+      poll_sleep ();
     }
-  ck_assert_uint_ge (ended, ENDS_MOST);
-  i = metric (&site.hosts[0], "elmarch_planner") ? 0 : 1;
+  ck_assert_uint_ge (ended, CRASHES_MAX);
+  i = metric_value (&site.hosts[0], "elmarch_planner") ? 0 : 1;
   proc_end (&site.hosts[i], SIGKILL);
-  metric_wait (&site.hosts[1 - i], "elmarch_planner", 1);
+  metric_wait_min (&site.hosts[1 - i], "elmarch_planner", 1);
   for (quiet = 0; quiet < QUIET_STEPS; quiet++)
     {
-      ck_assert_uint_eq (site_engines_restart (), 0);
-      pause_step ();
+      ck_assert_uint_eq (site_engines_replace_nowait (), 0);
+      poll_sleep ();
     }
 }
 END_TEST
 
 /* The payment hangs at a worker, which is killed; gives how many ended. */
 static size_t
-pay_under_an_end (size_t host, const char *id)
+crash_worker_during_payment (size_t host, const char *id)
 {
   caller_t caller;
   const char *headers[] = { "host: rel.example", id, NULL };
@@ -336,22 +339,22 @@
 
   for (i = 0; i < SITE_WORKERS; i++)
     {
-      ran[i] = member_number (&site.workers[i], "runs");
-      fault (&site.workers[i], "{\"fault\":\"hang\"}");
+      ran[i] = member_value (&site.workers[i], "runs");
+      set_fault (&site.workers[i], "{\"fault\":\"hang\"}");
     }
-  caller_start (&caller, site.entries[host].address, "/pay/x", "body", headers,
-                0);
-  for (i = 0; member_number (&site.workers[i], "runs") == ran[i];
+  caller_start (&caller, site.entry_addrs[host].address, "/pay/x", "body",
+                headers, 0);
+  for (i = 0; member_value (&site.workers[i], "runs") == ran[i];
        i = (i + 1) % SITE_WORKERS)
-    pause_step ();
+    poll_sleep ();
   proc_end (&site.workers[i], SIGKILL);
   caller_join (&caller);
   ck_assert_int_eq (caller.reply.status, 502);
   reply_free (&caller.reply);
   for (i = 0; i < SITE_WORKERS; i++)
     if (site.workers[i].pid)
-      fault (&site.workers[i], "{\"fault\":\"none\"}");
-  return site_workers_back ();
+      set_fault (&site.workers[i], "{\"fault\":\"none\"}");
+  return site_workers_replace ();
 }
 
 /* A payment that comes often was under way at one host when an endpoint ended,
@@ -369,15 +372,17 @@
   reply_t reply;
   size_t i;
 
-  site_open (2);
-  ck_assert_uint_eq (pay_under_an_end (1, "x-elmarch-request-id: p1"), 1);
-  ask ((size_t)_i, "POST", "/pay/x", "p2", &reply);
+  site_start (2);
+  ck_assert_uint_eq (
+      crash_worker_during_payment (1, "x-elmarch-request-id: p1"), 1);
+  send_request ((size_t)_i, "POST", "/pay/x", "p2", &reply);
   ck_assert_int_eq (reply.status, 200);
   reply_free (&reply);
-  ck_assert_uint_eq (pay_under_an_end (1, "x-elmarch-request-id: p3"), 1);
+  ck_assert_uint_eq (
+      crash_worker_during_payment (1, "x-elmarch-request-id: p3"), 1);
   for (i = 0; i < 2; i++)
     {
-      ask (i, "POST", "/pay/x", i ? "p4" : "p5", &reply);
+      send_request (i, "POST", "/pay/x", i ? "p4" : "p5", &reply);
       ck_assert_msg (reply.status == 200, "%ld %s", reply.status,
                      reply.body.ptr);
       reply_free (&reply);
--- a/tests/t_era.c
+++ b/tests/t_era.c
@@ -13,18 +13,18 @@
 
 #define HOSTS 3
 #define LOST_WRITES 8
-#define ASKS 12
+#define REQUESTS_PER_HOST 12
 /* One each 5 ms or more. */
-#define ASKS_MEANWHILE 600
-#define ASKS_STARTED 200
-#define DEADLY_MOST 12
+#define REQUESTS_DURING_RESTORE 600
+#define REQUESTS_AFTER_START 200
+#define CRASH_REQUESTS_MAX 12
 
 static void
 store_post (const char *path, const char *body)
 {
   reply_t reply;
 
-  http ("POST", site.store.address, path, body, NULL, &reply);
+  http_request ("POST", site.store.address, path, body, NULL, &reply);
   ck_assert_int_eq (reply.status, 200);
   reply_free (&reply);
 }
@@ -36,19 +36,19 @@
   reply_t reply;
 
   snprintf (path, sizeof path, "/test/%s", key);
-  http ("PUT", site.store.address, path, text, NULL, &reply);
+  http_request ("PUT", site.store.address, path, text, NULL, &reply);
   ck_assert_int_eq (reply.status, 200);
   reply_free (&reply);
 }
 
 /* The store holds a copy, and all hosts know of revisions beyond it. */
 static void
-site_open_ahead_of_copy (void)
+site_start_ahead_of_backup (void)
 {
   char key[64];
   int i;
 
-  site_open (HOSTS);
+  site_start (HOSTS);
   store_post ("/test/copy", "{}");
   for (i = 0; i < LOST_WRITES; i++)
     {
@@ -58,7 +58,7 @@
   store_put ("servers/after", "{\"Service\":\"other\",\"Address\":"
                               "\"127.0.0.1:9\",\"Zone\":\"h\",\"Slots\":1,"
                               "\"State\":\"ready\",\"SeqNo\":0}");
-  site_hosts_see ("elmarch_endpoints", SITE_ENGINES + SITE_WORKERS + 1);
+  site_wait_metric ("elmarch_endpoints", SITE_ENGINES + SITE_WORKERS + 1);
 }
 
 /* Guards against requests to a leaving endpoint by hosts that ask another host
@@ -70,49 +70,49 @@
   size_t host;
   int i;
 
-  site_open_ahead_of_copy ();
+  site_start_ahead_of_backup ();
   store_post ("/test/restore", "{}");
-  http ("POST", site.workers[0].address, "/leave", "{}", NULL, &reply);
+  http_request ("POST", site.workers[0].address, "/leave", "{}", NULL, &reply);
   reply_free (&reply);
-  site_hosts_see ("elmarch_endpoints_leaving", 1);
-  before = member_number (&site.workers[0], "runs");
+  site_wait_metric ("elmarch_endpoints_leaving", 1);
+  before = member_value (&site.workers[0], "runs");
   for (host = 0; host < HOSTS; host++)
-    for (i = 0; i < ASKS; i++)
+    for (i = 0; i < REQUESTS_PER_HOST; i++)
       {
         char id[32];
 
         snprintf (id, sizeof id, "r-%zu-%d", host, i);
-        ask (host, "GET", "/look/x", id, &reply);
+        send_request (host, "GET", "/look/x", id, &reply);
         ck_assert_int_eq (reply.status, 200);
         reply_free (&reply);
       }
-  ck_assert_int_eq (member_number (&site.workers[0], "runs"), before);
+  ck_assert_int_eq (member_value (&site.workers[0], "runs"), before);
 }
 END_TEST
 
 static void
-return_frozen (size_t host)
+restore_while_paused (size_t host)
 {
   proc_signal (&site.hosts[host], SIGSTOP);
   store_post ("/test/restore", "{}");
-  site_hosts_see_but (host, "elmarch_store_epoch", 1);
+  site_wait_metric_except (host, "elmarch_store_epoch", 1);
   proc_signal (&site.hosts[host], SIGCONT);
 }
 
 static void
-return_first_frozen (void)
+restore_first_host_paused (void)
 {
-  return_frozen (0);
+  restore_while_paused (0);
 }
 
 static void
-return_other_frozen (void)
+restore_other_host_paused (void)
 {
-  return_frozen (1);
+  restore_while_paused (1);
 }
 
 static void
-return_twice (void)
+restore_twice (void)
 {
   store_post ("/test/restore", "{}");
   store_put ("elmarch/lost-again", "lost");
@@ -120,7 +120,7 @@
 }
 
 static void
-return_to_new_hosts (void)
+restore_and_restart_hosts (void)
 {
   size_t i;
 
@@ -131,9 +131,9 @@
     site_host_start (i);
 }
 
-static void (*const returns[]) (void)
-    = { return_first_frozen, return_other_frozen, return_twice,
-        return_to_new_hosts };
+static void (*const restores[]) (void)
+    = { restore_first_host_paused, restore_other_host_paused, restore_twice,
+        restore_and_restart_hosts };
 
 /* Guards against a leave that a host misses which was frozen or started as the
    store returned, or saw it return twice. */
@@ -141,11 +141,11 @@
 {
   reply_t reply;
 
-  site_open_ahead_of_copy ();
-  returns[_i]();
-  http ("POST", site.workers[0].address, "/leave", "{}", NULL, &reply);
+  site_start_ahead_of_backup ();
+  restores[_i]();
+  http_request ("POST", site.workers[0].address, "/leave", "{}", NULL, &reply);
   reply_free (&reply);
-  site_hosts_see ("elmarch_endpoints_leaving", 1);
+  site_wait_metric ("elmarch_endpoints_leaving", 1);
 }
 END_TEST
 
@@ -153,8 +153,8 @@
 static json_int_t
 planner_lease (void)
 {
-  json_t *json = http_json (site.store.address,
-                            "/elmarch/kv-range?PathPrefix=elmarch/planner");
+  json_t *json = http_get_json (
+      site.store.address, "/elmarch/kv-range?PathPrefix=elmarch/planner");
   json_t *items = json_object_get (json, "Items");
   json_int_t lease = json_integer_value (
       json_object_get (json_array_get (items, 0), "lease"));
@@ -169,10 +169,10 @@
   json_int_t lease = 0;
   int i;
 
-  for (i = 0; i < WAIT_STEPS && !lease; i++)
+  for (i = 0; i < WAIT_STEPS_MAX && !lease; i++)
     {
       lease = planner_lease ();
-      pause_step ();
+      poll_sleep ();
     }
   ck_assert_int_ne (lease, 0);
   return lease;
@@ -185,7 +185,7 @@
   size_t i;
 
   for (i = 0; i < SITE_ENGINES; i++)
-    sum += member_number (&site.engines[i], "orders");
+    sum += member_value (&site.engines[i], "orders");
   return sum;
 }
 
@@ -200,23 +200,23 @@
   size_t host;
   int i;
 
-  site_open (HOSTS);
+  site_start (HOSTS);
   snprintf (path, sizeof path, "/elmarch/kv-lease-end/%lld",
             (long long)planner_lease_wait ());
-  http ("DELETE", site.store.address, path, NULL, NULL, &reply);
+  http_request ("DELETE", site.store.address, path, NULL, NULL, &reply);
   reply_free (&reply);
   store_post ("/test/copy", "{}");
   planner_lease_wait ();
   orders = orders_taken ();
   store_post ("/test/restore", "{}");
   ck_assert_int_eq (planner_lease (), 0);
-  for (i = 0; i < WAIT_STEPS && !planner_lease (); i++)
+  for (i = 0; i < WAIT_STEPS_MAX && !planner_lease (); i++)
     {
       planners = 0;
       for (host = 0; host < HOSTS; host++)
-        planners += metric (&site.hosts[host], "elmarch_planner");
+        planners += metric_value (&site.hosts[host], "elmarch_planner");
       ck_assert_uint_le (planners, 1);
-      pause_step ();
+      poll_sleep ();
     }
   planner_lease_wait ();
   ck_assert_int_eq (orders_taken (), orders);
@@ -231,24 +231,24 @@
   reply_t reply;
   size_t i;
 
-  site_open (HOSTS);
+  site_start (HOSTS);
   store_post ("/test/copy", "{}");
   for (i = 0; i < SITE_WORKERS; i++)
     proc_end (&site.workers[i], SIGKILL);
-  site_workers_back ();
+  site_workers_replace ();
   store_post ("/test/restore", "{\"again_ms\":1500}");
-  for (i = 0; i < ASKS_MEANWHILE; i++)
+  for (i = 0; i < REQUESTS_DURING_RESTORE; i++)
     {
       snprintf (id, sizeof id, "m-%zu", i);
-      ask (i % HOSTS, "GET", "/look/x", id, &reply);
+      send_request (i % HOSTS, "GET", "/look/x", id, &reply);
       ck_assert_int_eq (reply.status, 200);
       reply_free (&reply);
-      pause_step ();
+      poll_sleep ();
     }
-  site_hosts_see ("elmarch_endpoints", SITE_ENGINES + SITE_WORKERS);
+  site_wait_metric ("elmarch_endpoints", SITE_ENGINES + SITE_WORKERS);
   for (i = 0; i < HOSTS; i++)
-    ck_assert_uint_eq (metric (&site.hosts[i], "elmarch_relay_repeats_total"),
-                       0);
+    ck_assert_uint_eq (
+        metric_value (&site.hosts[i], "elmarch_relay_repeats_total"), 0);
 }
 END_TEST
 
@@ -261,24 +261,24 @@
   reply_t reply;
   int i;
 
-  site_open (HOSTS);
+  site_start (HOSTS);
   store_post ("/test/copy", "{}");
-  http ("POST", site.workers[0].address, "/leave", "{}", NULL, &reply);
+  http_request ("POST", site.workers[0].address, "/leave", "{}", NULL, &reply);
   reply_free (&reply);
-  site_hosts_see ("elmarch_endpoints_leaving", 1);
-  before = member_number (&site.workers[0], "runs");
+  site_wait_metric ("elmarch_endpoints_leaving", 1);
+  before = member_value (&site.workers[0], "runs");
   store_post ("/test/restore", "{\"again_ms\":6000}");
-  site_hosts_see ("elmarch_store_epoch", 1);
+  site_wait_metric ("elmarch_store_epoch", 1);
   proc_end (&site.hosts[1], SIGKILL);
   site_host_start (1);
-  for (i = 0; i < ASKS_STARTED; i++)
+  for (i = 0; i < REQUESTS_AFTER_START; i++)
     {
       snprintf (id, sizeof id, "n-%d", i);
-      ask (1, "GET", "/look/x", id, &reply);
+      send_request (1, "GET", "/look/x", id, &reply);
       reply_free (&reply);
-      pause_step ();
+      poll_sleep ();
     }
-  ck_assert_int_eq (member_number (&site.workers[0], "runs"), before);
+  ck_assert_int_eq (member_value (&site.workers[0], "runs"), before);
 }
 END_TEST
 
@@ -290,37 +290,37 @@
   reply_t reply;
   size_t i;
 
-  site_open (HOSTS);
+  site_start (HOSTS);
   store_post ("/test/copy", "{}");
-  site_config (2, "[\"another\"]");
+  site_put_config (2, "[\"another\"]");
   for (i = 0; i < HOSTS; i++)
     do
       {
-        ask (i, "GET", "/look/x", "a", &reply);
+        send_request (i, "GET", "/look/x", "a", &reply);
         reply_free (&reply);
       }
     while (reply.status != 401);
   store_post ("/test/restore", "{\"again_ms\":2000}");
-  site_hosts_see ("elmarch_store_epoch", 1);
+  site_wait_metric ("elmarch_store_epoch", 1);
   proc_end (&site.hosts[1], SIGKILL);
   site_host_start (1);
-  for (i = 0; i < ASKS_STARTED; i++)
+  for (i = 0; i < REQUESTS_AFTER_START; i++)
     {
       snprintf (id, sizeof id, "k-%zu", i);
-      ask (i % HOSTS, "GET", "/look/x", id, &reply);
+      send_request (i % HOSTS, "GET", "/look/x", id, &reply);
       ck_assert_int_ne (reply.status, 200);
       reply_free (&reply);
-      pause_step ();
+      poll_sleep ();
     }
   ck_assert_int_eq (reply.status, 401);
 }
 END_TEST
 
 static size_t
-blocked_kept (void)
+stored_blocked_count (void)
 {
-  json_t *json = http_json (site.store.address,
-                            "/elmarch/kv-range?PathPrefix=elmarch/blocked/");
+  json_t *json = http_get_json (
+      site.store.address, "/elmarch/kv-range?PathPrefix=elmarch/blocked/");
   size_t n = json_array_size (json_object_get (json, "Items"));
 
   json_decref (json);
@@ -328,13 +328,13 @@
 }
 
 static void
-blocked_kept_wait (void)
+stored_blocked_wait (void)
 {
   int i;
 
-  for (i = 0; i < WAIT_STEPS && !blocked_kept (); i++)
-    pause_step ();
-  ck_assert_uint_gt (blocked_kept (), 0);
+  for (i = 0; i < WAIT_STEPS_MAX && !stored_blocked_count (); i++)
+    poll_sleep ();
+  ck_assert_uint_gt (stored_blocked_count (), 0);
 }
 
 /* Guards against a request that ends engines and is let in again by hosts that
@@ -345,18 +345,18 @@
   reply_t reply;
   size_t i;
 
-  site_open (1);
+  site_start (1);
   store_post ("/test/copy", "{}");
-  for (i = 0; i < DEADLY_MOST && !blocked_kept (); i++)
+  for (i = 0; i < CRASH_REQUESTS_MAX && !stored_blocked_count (); i++)
     {
       snprintf (id, sizeof id, "d%zu", i);
-      ask_body (0, "/chat/x", "a deadly roster", id, &reply);
+      send_request_body (0, "/chat/x", "a deadly roster", id, &reply);
       reply_free (&reply);
-      site_engines_back ();
+      site_engines_replace ();
     }
-  blocked_kept_wait ();
+  stored_blocked_wait ();
   store_post ("/test/restore", "{}");
-  blocked_kept_wait ();
+  stored_blocked_wait ();
 }
 END_TEST
 
@@ -370,7 +370,7 @@
   tcase_set_timeout (tcase, 90);
   ADD (tcase, test_leave_under_a_reused_revision_reaches_all_hosts);
   ADD_LOOP (tcase, test_leave_reaches_hosts_however_the_store_returned,
-            sizeof returns / sizeof *returns);
+            sizeof restores / sizeof *restores);
   ADD (tcase, test_planner_of_a_lost_lease_stops_before_the_next_one);
   ADD (tcase, test_workers_newer_than_the_copy_are_used_meanwhile);
   ADD (tcase, test_host_started_after_the_copy_knows_who_left);
--- a/tests/t_once.c
+++ b/tests/t_once.c
@@ -16,15 +16,16 @@
 
 /* Open a session that is not used, once the host has a configuration. */
 static void
-session_open_at (size_t host)
+open_unused_session (size_t host)
 {
   reply_t reply;
 
-  if (!c.hosts[host].pid)
+  if (!fixture.hosts[host].pid)
     return;
   do
     {
-      http ("POST", c.hosts[host].address, "/v1/sessions", "", NULL, &reply);
+      http_request ("POST", fixture.hosts[host].address, "/v1/sessions", "",
+                    NULL, &reply);
       reply_free (&reply);
     }
   while (reply.status == 503);
@@ -41,27 +42,27 @@
   reply_t reply;
   size_t i;
 
-  cluster_open (&c, 3);
+  cluster_start (&fixture, 3);
   for (i = 0; i < 2; i++)
-    fault (&c.workers[i], "{\"fault\":\"slow\",\"delay_ms\":150}");
-  session_open (&c.hosts[0], session, sizeof session);
+    set_fault (&fixture.workers[i], "{\"fault\":\"slow\",\"delay_ms\":150}");
+  session_open (&fixture.hosts[0], session, sizeof session);
   for (i = 0; i < 6; i++)
-    caller_start (&callers[i], c.hosts[i % 3].address, PAY, "{\"id\":\"t1\"}",
-                  headers, 0);
+    caller_start (&callers[i], fixture.hosts[i % 3].address, PAY_PATH,
+                  "{\"id\":\"t1\"}", headers, 0);
   for (i = 0; i < 6; i++)
     {
       caller_join (&callers[i]);
-      verdict_is (&callers[i].reply, 200, "ran");
+      assert_verdict (&callers[i].reply, 200, "ran");
       ck_assert_ptr_nonnull (strstr (callers[i].reply.body.ptr, "\"run\":1"));
       reply_free (&callers[i].reply);
     }
   for (i = 0; i < 3; i++)
     {
-      pay (i, "t1", headers, &reply);
-      verdict_is (&reply, 200, "ran");
+      send_payment (i, "t1", headers, &reply);
+      assert_verdict (&reply, 200, "ran");
       reply_free (&reply);
     }
-  ck_assert_int_eq (runs_all ("t1"), 1);
+  ck_assert_int_eq (payment_runs_total ("t1"), 1);
 }
 END_TEST
 
@@ -74,25 +75,25 @@
   reply_t reply;
   size_t i;
 
-  cluster_open (&c, 2);
-  session_open (&c.hosts[0], session, sizeof session);
-  pay (0, "t1", headers, &reply);
-  verdict_is (&reply, 200, "ran");
+  cluster_start (&fixture, 2);
+  session_open (&fixture.hosts[0], session, sizeof session);
+  send_payment (0, "t1", headers, &reply);
+  assert_verdict (&reply, 200, "ran");
   reply_free (&reply);
-  proc_end (&c.hosts[0], SIGKILL);
+  proc_end (&fixture.hosts[0], SIGKILL);
   if (_i == 1)
-    host_start (&c, 0);
+    host_start (&fixture, 0);
   for (i = 0; i < 2; i++) /* sessions of the same number at the others */
-    session_open_at (i);
+    open_unused_session (i);
   for (i = 0; i < 2; i++)
     {
-      if (!c.hosts[i].pid)
+      if (!fixture.hosts[i].pid)
         continue;
-      pay (i, "t1", headers, &reply);
-      verdict_is (&reply, 409, "may-have-run");
+      send_payment (i, "t1", headers, &reply);
+      assert_verdict (&reply, 409, "may-have-run");
       reply_free (&reply);
     }
-  ck_assert_int_eq (runs_all ("t1"), 1);
+  ck_assert_int_eq (payment_runs_total ("t1"), 1);
 }
 END_TEST
 
@@ -105,21 +106,21 @@
                             "x-elmarch-deadline-ms: 300", NULL };
   reply_t reply;
 
-  cluster_open (&c, 2);
-  session_open (&c.hosts[0], session, sizeof session);
-  session_open_at (1);
-  proc_signal (&c.hosts[0], SIGSTOP);
-  pay (1, "t1", headers, &reply);
-  verdict_is (&reply, 409, "may-have-run");
+  cluster_start (&fixture, 2);
+  session_open (&fixture.hosts[0], session, sizeof session);
+  open_unused_session (1);
+  proc_signal (&fixture.hosts[0], SIGSTOP);
+  send_payment (1, "t1", headers, &reply);
+  assert_verdict (&reply, 409, "may-have-run");
   reply_free (&reply);
-  ck_assert_int_eq (runs_all ("t1"), 0);
-  proc_signal (&c.hosts[0], SIGCONT);
+  ck_assert_int_eq (payment_runs_total ("t1"), 0);
+  proc_signal (&fixture.hosts[0], SIGCONT);
   headers[2] = NULL;
-  pay (1, "t1", headers, &reply);
+  send_payment (1, "t1", headers, &reply);
   reply_free (&reply);
-  pay (0, "t1", headers, &reply);
+  send_payment (0, "t1", headers, &reply);
   reply_free (&reply);
-  ck_assert_int_le (runs_all ("t1"), 1);
+  ck_assert_int_le (payment_runs_total ("t1"), 1);
 }
 END_TEST
 
@@ -151,21 +152,23 @@
   reply_t reply;
   int i;
 
-  cluster_open (&c, 2);
-  session_open (&c.hosts[0], session, sizeof session);
-  fault (&c.workers[0], worker_faults[_i].fault);
-  fault (&c.workers[1], worker_faults[_i].fault);
+  cluster_start (&fixture, 2);
+  session_open (&fixture.hosts[0], session, sizeof session);
+  set_fault (&fixture.workers[0], worker_faults[_i].fault);
+  set_fault (&fixture.workers[1], worker_faults[_i].fault);
   for (i = 0; i < 3; i++)
     {
-      pay ((size_t)i % 2, "t1", headers, &reply);
-      verdict_is (&reply, worker_faults[_i].status, worker_faults[_i].verdict);
+      send_payment ((size_t)i % 2, "t1", headers, &reply);
+      assert_verdict (&reply, worker_faults[_i].status,
+                      worker_faults[_i].verdict);
       reply_free (&reply);
     }
   if (worker_faults[_i].runs >= 0)
-    ck_assert_int_eq (runs_all ("t1"), worker_faults[_i].runs);
+    ck_assert_int_eq (payment_runs_total ("t1"), worker_faults[_i].runs);
   else
     /* One of them died with the call; the other never got it. */
-    ck_assert_int_eq (metric (&c.hosts[0], "elmarch_calls_total"), 1);
+    ck_assert_int_eq (metric_value (&fixture.hosts[0], "elmarch_calls_total"),
+                      1);
 }
 END_TEST
 
@@ -177,20 +180,20 @@
   const char *headers[] = { session, "x-elmarch-sequence: 1", NULL };
   reply_t reply;
 
-  cluster_open (&c, 1);
-  session_open (&c.hosts[0], session, sizeof session);
-  proc_end (&c.workers[0], SIGKILL);
-  proc_end (&c.workers[1], SIGKILL);
-  pay (0, "t1", headers, &reply);
-  verdict_is (&reply, 503, "not-run");
+  cluster_start (&fixture, 1);
+  session_open (&fixture.hosts[0], session, sizeof session);
+  proc_end (&fixture.workers[0], SIGKILL);
+  proc_end (&fixture.workers[1], SIGKILL);
+  send_payment (0, "t1", headers, &reply);
+  assert_verdict (&reply, 503, "not-run");
   ck_assert_ptr_nonnull (strstr (reply.head.ptr, "retry-after:"));
   reply_free (&reply);
-  worker_start (&c, 0);
-  ck_assert_int_eq (runs_all ("t1"), 0);
-  pay (0, "t1", headers, &reply);
-  verdict_is (&reply, 200, "ran");
+  worker_start (&fixture, 0);
+  ck_assert_int_eq (payment_runs_total ("t1"), 0);
+  send_payment (0, "t1", headers, &reply);
+  assert_verdict (&reply, 200, "ran");
   reply_free (&reply);
-  ck_assert_int_eq (runs_all ("t1"), 1);
+  ck_assert_int_eq (payment_runs_total ("t1"), 1);
 }
 END_TEST
 
@@ -203,54 +206,69 @@
   long status;
   const char *code;
 } bad_requests[] = {
-  { "POST", CHAT, { "authorization: Bearer nobody" }, "{}", 401, "unknown" },
-  { "POST", CHAT, { "authorization: Basic x" }, "{}", 401, "unknown" },
   { "POST",
-    PAY,
+    CHAT_PATH,
+    { "authorization: Bearer nobody" },
+    "{}",
+    401,
+    "unknown" },
+  { "POST", CHAT_PATH, { "authorization: Basic x" }, "{}", 401, "unknown" },
+  { "POST",
+    PAY_PATH,
     { "authorization: Bearer nobody" },
     "{\"id\":\"x\"}",
     401,
     "unknown" },
-  { "POST", CHAT, { NULL }, "{", 400, "bad-json" },
-  { "POST", CHAT, { NULL }, "[]", 400, "bad-json" },
-  { "POST", CHAT, { NULL }, "", 400, "bad-json" },
-  { "POST", CHAT, { NULL }, "{\"model\":\"sprach\"}", 400, "messages" },
-  { "POST", CHAT, { NULL }, "{\"model\":7,\"messages\":[]}", 400, "model" },
+  { "POST", CHAT_PATH, { NULL }, "{", 400, "bad-json" },
+  { "POST", CHAT_PATH, { NULL }, "[]", 400, "bad-json" },
+  { "POST", CHAT_PATH, { NULL }, "", 400, "bad-json" },
+  { "POST", CHAT_PATH, { NULL }, "{\"model\":\"sprach\"}", 400, "messages" },
   { "POST",
-    CHAT,
+    CHAT_PATH,
+    { NULL },
+    "{\"model\":7,\"messages\":[]}",
+    400,
+    "model" },
+  { "POST",
+    CHAT_PATH,
     { NULL },
     "{\"model\":\"a\",\"model\":\"b\"}",
     400,
     "bad-json" },
   { "POST",
-    CHAT,
+    CHAT_PATH,
     { NULL },
     "{\"model\":\"sprach\",\"messages\":[{\"role\":\"user\",\"content\":"
     "\"x\"}],\"wrong\":1}",
     400,
     "wrong: unknown field" },
   { "POST",
-    CHAT,
+    CHAT_PATH,
     { NULL },
     "{\"model\":\"sprach\",\"messages\":[{\"role\":\"user\",\"content\":"
     "\"x\"}],\"max_tokens\":0}",
     400,
     "max_tokens" },
   { "POST",
-    CHAT,
+    CHAT_PATH,
     { NULL },
     "{\"model\":\"none\",\"messages\":[{\"role\":\"user\",\"content\":"
     "\"x\"}]}",
     404,
     "not-found" },
-  { "POST", CHAT, { "x-elmarch-deadline-ms: soon" }, "{}", 400, "deadline" },
   { "POST",
-    CHAT,
+    CHAT_PATH,
+    { "x-elmarch-deadline-ms: soon" },
+    "{}",
+    400,
+    "deadline" },
+  { "POST",
+    CHAT_PATH,
     { "x-elmarch-session: v1~forged" },
     "{}",
     400,
     "bad-session" },
-  { "GET", CHAT, { NULL }, NULL, 405, "bad-method" },
+  { "GET", CHAT_PATH, { NULL }, NULL, 405, "bad-method" },
   { "GET", "/nothing", { NULL }, NULL, 404, "not-found" },
   { "POST", "/services/none/pay", { NULL }, "{}", 404, "not-found" },
   { "GET", "/admin/v1/customers", { NULL }, NULL, 401, "not-an-operator" },
@@ -269,14 +287,15 @@
   char *big = malloc (2 << 20);
   reply_t reply;
 
-  cluster_open (&c, 1);
+  cluster_start (&fixture, 1);
   for (i = 0; i < sizeof bad_requests / sizeof *bad_requests; i++)
     {
-      http (bad_requests[i].method, c.hosts[0].address, bad_requests[i].path,
-            bad_requests[i].body,
-            (const char *const[]){ bad_requests[i].headers[0], NULL }, &reply);
+      http_request (bad_requests[i].method, fixture.hosts[0].address,
+                    bad_requests[i].path, bad_requests[i].body,
+                    (const char *const[]){ bad_requests[i].headers[0], NULL },
+                    &reply);
       /* A request that names a session may have come before. */
-      verdict_is (
+      assert_verdict (
           &reply, bad_requests[i].status,
           strstr (bad_requests[i].headers[0] ? bad_requests[i].headers[0] : "",
                   "session")
@@ -288,11 +307,13 @@
     }
   memset (big, 'x', 2 << 20);
   big[(2 << 20) - 1] = '\0';
-  http ("POST", c.hosts[0].address, CHAT, big, NULL, &reply);
+  http_request ("POST", fixture.hosts[0].address, CHAT_PATH, big, NULL,
+                &reply);
   ck_assert_int_eq (reply.status, 413);
   reply_free (&reply);
   free (big);
-  ck_assert_uint_eq (metric (&c.hosts[0], "elmarch_calls_total"), 0);
+  ck_assert_uint_eq (metric_value (&fixture.hosts[0], "elmarch_calls_total"),
+                     0);
 }
 END_TEST
 
--- a/tests/t_rest.c
+++ b/tests/t_rest.c
@@ -33,31 +33,31 @@
 #include "test.h"
 
 /* Requests through the hosts in turn, far fewer than a rest lasts. */
-#define ASKED 80
+#define REQUESTS 80
 #define STREAMS 40
 /* A good deal longer than until an order that came to nothing is given again.
  */
 #define ORDER_STEPS 800
 /* Far longer than a test's requests take. */
-#define LONG_REST                                                             \
+#define LONG_BACKOFF                                                          \
   "{\"kinds\":[\"requests\"],\"status\":503,\"asked\":[\"60\"],"              \
   "\"span_ms\":60000}"
 
 static void
-rest_set (const proc_t *member, const char *json)
+backoff_set (const proc_t *member, const char *json)
 {
   reply_t reply;
 
-  http ("POST", member->address, "/rest", json, NULL, &reply);
+  http_request ("POST", member->address, "/rest", json, NULL, &reply);
   ck_assert_int_eq (reply.status, 204);
   reply_free (&reply);
 }
 
 /* What arrived of KIND at a member, as far as NAME says. */
 static int64_t
-rest_count (const proc_t *member, const char *kind, const char *name)
+arrival_count (const proc_t *member, const char *kind, const char *name)
 {
-  json_t *json = http_json (member->address, "/rests");
+  json_t *json = http_get_json (member->address, "/rests");
   int64_t count = json_integer_value (
       json_object_get (json_object_get (json, kind), name));
 
@@ -66,9 +66,9 @@
 }
 
 static int64_t
-rests (const proc_t *member)
+backoff_count (const proc_t *member)
 {
-  json_t *json = http_json (member->address, "/rests");
+  json_t *json = http_get_json (member->address, "/rests");
   int64_t count = json_integer_value (json_object_get (json, "rests"));
 
   json_decref (json);
@@ -82,7 +82,7 @@
   size_t i;
 
   for (i = 0; i < SITE_ENGINES; i++)
-    if (member_number (&site.engines[i], "first") == 0)
+    if (member_value (&site.engines[i], "first") == 0)
       return &site.engines[i];
   ck_abort_msg ("no engine holds the first layers");
   return NULL;
@@ -90,19 +90,19 @@
 
 /* Requests through the hosts in turn; all are served. */
 static void
-ask_often (void)
+send_requests (void)
 {
   char id[16];
   reply_t reply;
   size_t i;
 
-  for (i = 0; i < ASKED; i++)
+  for (i = 0; i < REQUESTS; i++)
     {
       snprintf (id, sizeof id, "a%zu", i);
-      ask (i % site.nhosts, "GET", "/look/x", id, &reply);
+      send_request (i % site.nhosts, "GET", "/look/x", id, &reply);
       ck_assert_int_eq (reply.status, 200);
       reply_free (&reply);
-      pause_step ();
+      poll_sleep ();
     }
 }
 
@@ -110,13 +110,13 @@
 static void
 prefer_first_worker (void)
 {
-  fault (&site.workers[1], "{\"fault\":\"slow\",\"delay_ms\":10}");
-  ask_often ();
+  set_fault (&site.workers[1], "{\"fault\":\"slow\",\"delay_ms\":10}");
+  send_requests ();
 }
 
 /* Streams through the hosts in turn; all come whole. */
 static void
-stream_often (void)
+send_streams (void)
 {
   caller_t caller;
   char id[16];
@@ -127,7 +127,7 @@
       snprintf (id, sizeof id, "s%zu", i);
       stream_start (&caller, i % site.nhosts, id);
       caller_join (&caller);
-      stream_whole (&caller.reply);
+      assert_stream_complete (&caller.reply);
       reply_free (&caller.reply);
     }
 }
@@ -139,16 +139,16 @@
   const proc_t *member;
 
   site.step_us = "1000";
-  site_open (2);
+  site_start (2);
   prefer_first_worker ();
   member = _i == 0 ? &site.workers[0] : engine_with_first_layers ();
-  rest_set (member, LONG_REST);
+  backoff_set (member, LONG_BACKOFF);
   if (_i == 0)
-    ask_often ();
+    send_requests ();
   else
-    stream_often ();
-  ck_assert_int_gt (rests (member), 0);
-  ck_assert_int_eq (rest_count (member, "requests", "in_rest"), 0);
+    send_streams ();
+  ck_assert_int_gt (backoff_count (member), 0);
+  ck_assert_int_eq (arrival_count (member, "requests", "in_rest"), 0);
 }
 END_TEST
 
@@ -161,15 +161,15 @@
   reply_t reply;
   size_t i;
 
-  site_open (1);
-  rest_set (&site.workers[0], LONG_REST);
-  rest_set (&site.workers[1], "{\"kinds\":[\"requests\"],\"status\":503,"
-                              "\"asked\":[\"7.5\"],\"span_ms\":7500}");
+  site_start (1);
+  backoff_set (&site.workers[0], LONG_BACKOFF);
+  backoff_set (&site.workers[1], "{\"kinds\":[\"requests\"],\"status\":503,"
+                                 "\"asked\":[\"7.5\"],\"span_ms\":7500}");
   for (i = 0; i < 10; i++)
     {
       snprintf (id, sizeof id, "r%zu", i);
-      ask (0, i % 2 ? "GET" : "POST", i % 2 ? "/look/x" : "/pay/x", id,
-           &reply);
+      send_request (0, i % 2 ? "GET" : "POST", i % 2 ? "/look/x" : "/pay/x",
+                    id, &reply);
       ck_assert_int_eq (reply.status, 503);
       ck_assert_str_eq (reply.body.ptr, "all endpoints rest");
       reply_header (&reply, "retry-after", header, sizeof header);
@@ -179,13 +179,15 @@
     }
   for (i = 0; i < 2; i++)
     {
-      ck_assert_int_eq (rest_count (&site.workers[i], "requests", "all"), 1);
-      ck_assert_int_eq (rest_count (&site.workers[i], "requests", "in_rest"),
-                        0);
+      ck_assert_int_eq (arrival_count (&site.workers[i], "requests", "all"),
+                        1);
+      ck_assert_int_eq (
+          arrival_count (&site.workers[i], "requests", "in_rest"), 0);
     }
-  ck_assert_uint_eq (metric (&site.hosts[0], "elmarch_relay_rested_total"),
-                     10);
-  ck_assert_uint_eq (metric (&site.hosts[0], "elmarch_relay_rests_total"), 2);
+  ck_assert_uint_eq (
+      metric_value (&site.hosts[0], "elmarch_relay_rested_total"), 10);
+  ck_assert_uint_eq (
+      metric_value (&site.hosts[0], "elmarch_relay_rests_total"), 2);
 }
 END_TEST
 
@@ -198,23 +200,24 @@
   int64_t before;
   int i;
 
-  site_open (1);
+  site_start (1);
   prefer_first_worker ();
-  rest_set (member, "{\"kinds\":[\"requests\"],\"status\":503,"
-                    "\"asked\":[\"1\"],\"span_ms\":1000}");
-  ask_often ();
-  ck_assert_int_gt (rests (member), 0);
-  rest_set (member, "{}");
-  before = member_number (member, "runs");
-  for (i = 0; i < WAIT_STEPS && member_number (member, "runs") == before; i++)
+  backoff_set (member, "{\"kinds\":[\"requests\"],\"status\":503,"
+                       "\"asked\":[\"1\"],\"span_ms\":1000}");
+  send_requests ();
+  ck_assert_int_gt (backoff_count (member), 0);
+  backoff_set (member, "{}");
+  before = member_value (member, "runs");
+  for (i = 0; i < WAIT_STEPS_MAX && member_value (member, "runs") == before;
+       i++)
     {
       snprintf (id, sizeof id, "w%d", i);
-      ask (0, "GET", "/look/x", id, &reply);
+      send_request (0, "GET", "/look/x", id, &reply);
       ck_assert_int_eq (reply.status, 200);
       reply_free (&reply);
     }
-  ck_assert_int_gt (member_number (member, "runs"), before);
-  ck_assert_int_eq (rest_count (member, "requests", "in_rest"), 0);
+  ck_assert_int_gt (member_value (member, "runs"), before);
+  ck_assert_int_eq (arrival_count (member, "requests", "in_rest"), 0);
 }
 END_TEST
 
@@ -228,28 +231,28 @@
   size_t i;
 
   site.step_us = "20000";
-  site_open (1);
+  site_start (1);
   stream_start (&first, 0, "s1");
   caller_wait_body (&first, 60);
   for (i = 0; i < SITE_ENGINES; i++)
-    if (member_number (&site.engines[i], "first") == 0
-        && !member_number (&site.engines[i], "runs"))
+    if (member_value (&site.engines[i], "first") == 0
+        && !member_value (&site.engines[i], "runs"))
       other = &site.engines[i];
   ck_assert_ptr_nonnull (other);
-  rest_set (other, "{\"kinds\":[\"requests\"],\"status\":503,"
-                   "\"asked\":[\"1\"],\"span_ms\":1000}");
+  backoff_set (other, "{\"kinds\":[\"requests\"],\"status\":503,"
+                      "\"asked\":[\"1\"],\"span_ms\":1000}");
   for (i = 0; i < SITE_ENGINES; i++)
-    if (member_number (&site.engines[i], "runs"))
+    if (member_value (&site.engines[i], "runs"))
       proc_kill (&site.engines[i]);
-  metric_wait (&site.hosts[0], "elmarch_relay_waits_total", 1);
-  rest_set (other, "{}");
+  metric_wait_min (&site.hosts[0], "elmarch_relay_waits_total", 1);
+  backoff_set (other, "{}");
   caller_join (&first);
-  stream_whole (&first.reply);
+  assert_stream_complete (&first.reply);
   reply_free (&first.reply);
-  ck_assert_int_eq (rest_count (other, "requests", "in_rest"), 0);
+  ck_assert_int_eq (arrival_count (other, "requests", "in_rest"), 0);
   stream_start (&second, 0, "s2");
   caller_join (&second);
-  stream_whole (&second.reply);
+  assert_stream_complete (&second.reply);
   reply_free (&second.reply);
 }
 END_TEST
@@ -258,7 +261,7 @@
 static json_t *
 last_path (const proc_t *engine)
 {
-  json_t *seen = http_json (engine->address, "/seen");
+  json_t *seen = http_get_json (engine->address, "/seen");
   json_t *path = json_incref (json_object_get (seen, "path"));
 
   json_decref (seen);
@@ -267,12 +270,12 @@
 
 /* The first engine that the last of some streams passed. */
 static const proc_t *
-engine_passed_first (void)
+last_entry_engine (void)
 {
   json_t *path;
   size_t i;
 
-  stream_often ();
+  send_streams ();
   for (i = 0; i < SITE_ENGINES; i++)
     {
       path = last_path (&site.engines[i]);
@@ -287,7 +290,7 @@
 /* The engine with the last layers on the path of streams that begin at FIRST.
  */
 static const proc_t *
-engine_passed_last (const proc_t *first)
+last_engine_of_path (const proc_t *first)
 {
   json_t *path = last_path (first);
   const proc_t *last = NULL;
@@ -304,9 +307,9 @@
 
 /* Whether the last request that came to AT first was ID and passed ENGINE. */
 static int
-last_passed (const proc_t *at, const char *id, const proc_t *engine)
+last_request_used (const proc_t *at, const char *id, const proc_t *engine)
 {
-  json_t *seen = http_json (at->address, "/seen");
+  json_t *seen = http_get_json (at->address, "/seen");
   const char *last
       = json_string_value (json_object_get (seen, "x-elmarch-request-id"));
   const char *path = json_string_value (json_object_get (seen, "path"));
@@ -319,7 +322,7 @@
 
 /* Streams from now on are served, and pass ENGINE nowhere. */
 static void
-streams_pass_by (const proc_t *engine)
+assert_streams_avoid (const proc_t *engine)
 {
   char id[16];
   caller_t caller;
@@ -331,10 +334,10 @@
       snprintf (id, sizeof id, "b%zu", i);
       stream_start (&caller, 0, id);
       caller_join (&caller);
-      stream_whole (&caller.reply);
+      assert_stream_complete (&caller.reply);
       reply_free (&caller.reply);
       for (k = 0; k < SITE_ENGINES; k++)
-        ck_assert (!last_passed (&site.engines[k], id, engine));
+        ck_assert (!last_request_used (&site.engines[k], id, engine));
     }
 }
 
@@ -347,18 +350,18 @@
   char text[160];
 
   site.step_us = "1000";
-  site_open (1);
-  first = engine_passed_first ();
-  named = engine_passed_last (first);
+  site_start (1);
+  first = last_entry_engine ();
+  named = last_engine_of_path (first);
   snprintf (text, sizeof text,
             "{\"kinds\":[\"requests\"],\"status\":503,\"asked\":[\"60\"],"
             "\"span_ms\":60000,\"at\":\"%s\"}",
             named->address);
-  rest_set (first, text);
-  stream_often ();
-  ck_assert_int_gt (rests (first), 0);
-  ck_assert_int_eq (rest_count (first, "requests", "in_rest"), 0);
-  streams_pass_by (named);
+  backoff_set (first, text);
+  send_streams ();
+  ck_assert_int_gt (backoff_count (first), 0);
+  ck_assert_int_eq (arrival_count (first, "requests", "in_rest"), 0);
+  assert_streams_avoid (named);
 }
 END_TEST
 
@@ -370,15 +373,15 @@
   int64_t all;
 
   site.step_us = "1000";
-  site_open (1);
+  site_start (1);
   member = engine_with_first_layers ();
-  rest_set (member, "{\"kinds\":[\"reports\"],\"status\":503,"
-                    "\"asked\":[\"60\"],\"span_ms\":60000}");
-  metric_wait (&site.hosts[0], "elmarch_relay_rests_total", 1);
-  all = rest_count (member, "requests", "all");
-  stream_often ();
-  ck_assert_int_eq (rest_count (member, "requests", "all"), all);
-  ck_assert_int_eq (rest_count (member, "reports", "in_rest"), 0);
+  backoff_set (member, "{\"kinds\":[\"reports\"],\"status\":503,"
+                       "\"asked\":[\"60\"],\"span_ms\":60000}");
+  metric_wait_min (&site.hosts[0], "elmarch_relay_rests_total", 1);
+  all = arrival_count (member, "requests", "all");
+  send_streams ();
+  ck_assert_int_eq (arrival_count (member, "requests", "all"), all);
+  ck_assert_int_eq (arrival_count (member, "reports", "in_rest"), 0);
 }
 END_TEST
 
@@ -388,31 +391,32 @@
 {
   int i;
 
-  site_open_unplaced (1);
-  rest_set (&site.engines[0], "{\"kinds\":[\"orders\"],\"status\":503,"
-                              "\"asked\":[\"60\"],\"span_ms\":60000}");
-  metric_wait (&site.hosts[0], "elmarch_relay_rests_total", 1);
-  metric_wait (&site.hosts[0], "elmarch_engines_placed", SITE_ENGINES - 1);
+  site_start_unplaced (1);
+  backoff_set (&site.engines[0], "{\"kinds\":[\"orders\"],\"status\":503,"
+                                 "\"asked\":[\"60\"],\"span_ms\":60000}");
+  metric_wait_min (&site.hosts[0], "elmarch_relay_rests_total", 1);
+  metric_wait_min (&site.hosts[0], "elmarch_engines_placed", SITE_ENGINES - 1);
   for (i = 0; i < ORDER_STEPS; i++)
-    pause_step ();
-  ck_assert_int_eq (rest_count (&site.engines[0], "orders", "all"), 1);
-  ck_assert_int_eq (rest_count (&site.engines[0], "orders", "in_rest"), 0);
+    poll_sleep ();
+  ck_assert_int_eq (arrival_count (&site.engines[0], "orders", "all"), 1);
+  ck_assert_int_eq (arrival_count (&site.engines[0], "orders", "in_rest"), 0);
 }
 END_TEST
 
 /* Requests through HOST until it was told that an endpoint leaves. */
 static void
-ask_until_leaving (size_t host)
+send_until_draining (size_t host)
 {
   char id[16];
   reply_t reply;
   int i;
 
-  for (i = 0; !metric (&site.hosts[host], "elmarch_relay_leaves_total"); i++)
+  for (i = 0; !metric_value (&site.hosts[host], "elmarch_relay_leaves_total");
+       i++)
     {
-      ck_assert_int_lt (i, WAIT_STEPS);
+      ck_assert_int_lt (i, WAIT_STEPS_MAX);
       snprintf (id, sizeof id, "u%d", i);
-      ask (host, "GET", "/look/x", id, &reply);
+      send_request (host, "GET", "/look/x", id, &reply);
       ck_assert_int_eq (reply.status, 200);
       reply_free (&reply);
     }
@@ -425,16 +429,16 @@
   const proc_t *member;
 
   site.step_us = "1000";
-  site_open (2);
+  site_start (2);
   prefer_first_worker ();
   member = _i == 0 ? &site.workers[0] : engine_with_first_layers ();
-  rest_set (member, "{\"leaving\":true}");
+  backoff_set (member, "{\"leaving\":true}");
   if (_i == 0)
-    ask_often ();
+    send_requests ();
   else
-    stream_often ();
-  ck_assert_int_gt (rest_count (member, "requests", "all"), 0);
-  ck_assert_int_eq (rest_count (member, "requests", "after_leaving"), 0);
+    send_streams ();
+  ck_assert_int_gt (arrival_count (member, "requests", "all"), 0);
+  ck_assert_int_eq (arrival_count (member, "requests", "after_leaving"), 0);
 }
 END_TEST
 
@@ -446,19 +450,19 @@
   int64_t all;
   size_t i;
 
-  site_open (2);
+  site_start (2);
   prefer_first_worker ();
-  rest_set (member, "{\"leaving\":true}");
-  ask_until_leaving (0);
-  metric_is (&site.hosts[1], "elmarch_endpoints_leaving", 1);
-  all = rest_count (member, "requests", "all");
-  ask_often ();
+  backoff_set (member, "{\"leaving\":true}");
+  send_until_draining (0);
+  metric_wait_value (&site.hosts[1], "elmarch_endpoints_leaving", 1);
+  all = arrival_count (member, "requests", "all");
+  send_requests ();
   proc_end (&site.hosts[1], SIGKILL);
   site_host_start (1);
-  metric_is (&site.hosts[1], "elmarch_endpoints_leaving", 1);
+  metric_wait_value (&site.hosts[1], "elmarch_endpoints_leaving", 1);
   for (i = 0; i < 2; i++)
-    ask_often ();
-  ck_assert_int_eq (rest_count (member, "requests", "all"), all);
+    send_requests ();
+  ck_assert_int_eq (arrival_count (member, "requests", "all"), all);
 }
 END_TEST
 
@@ -471,20 +475,20 @@
   int64_t all;
   size_t i;
 
-  site_open (1);
+  site_start (1);
   prefer_first_worker ();
-  site_mute (1);
-  rest_set (member, "{\"leaving\":true}");
-  ask_until_leaving (0);
-  all = rest_count (member, "requests", "all");
+  site_store_mute (1);
+  backoff_set (member, "{\"leaving\":true}");
+  send_until_draining (0);
+  all = arrival_count (member, "requests", "all");
   for (i = 0; i < 20; i++)
     {
       snprintf (id, sizeof id, "c%zu", i);
-      ask (0, "POST", "/pay/x", id, &reply);
+      send_request (0, "POST", "/pay/x", id, &reply);
       reply_free (&reply);
     }
-  ck_assert_int_eq (rest_count (member, "requests", "all"), all);
-  site_mute (0);
+  ck_assert_int_eq (arrival_count (member, "requests", "all"), all);
+  site_store_mute (0);
 }
 END_TEST
 
@@ -494,18 +498,18 @@
   int64_t runs;
   int i;
 
-  site.same_ids = 1;
-  site_open (1);
+  site.keep_ids = 1;
+  site_start (1);
   prefer_first_worker ();
-  rest_set (&site.workers[0], "{\"leaving\":true}");
-  ask_until_leaving (0);
+  backoff_set (&site.workers[0], "{\"leaving\":true}");
+  send_until_draining (0);
   proc_end (&site.workers[0], SIGKILL);
   site_worker_start (0);
-  metric_is (&site.hosts[0], "elmarch_endpoints_leaving", 0);
-  runs = member_number (&site.workers[0], "runs");
-  for (i = 0; i < 10 && member_number (&site.workers[0], "runs") == runs; i++)
-    ask_often ();
-  ck_assert_int_gt (member_number (&site.workers[0], "runs"), runs);
+  metric_wait_value (&site.hosts[0], "elmarch_endpoints_leaving", 0);
+  runs = member_value (&site.workers[0], "runs");
+  for (i = 0; i < 10 && member_value (&site.workers[0], "runs") == runs; i++)
+    send_requests ();
+  ck_assert_int_gt (member_value (&site.workers[0], "runs"), runs);
 }
 END_TEST
 
@@ -517,22 +521,22 @@
   size_t i;
 
   site.step_us = "20000";
-  site_open (1);
+  site_start (1);
   stream_start (&caller, 0, "s1");
   caller_wait_body (&caller, 60);
   for (i = 0; i < SITE_ENGINES; i++)
-    if (member_number (&site.engines[i], "runs"))
+    if (member_value (&site.engines[i], "runs"))
       member = &site.engines[i];
   ck_assert_ptr_nonnull (member);
-  rest_set (member, "{\"leaving\":true}");
-  metric_wait (&site.hosts[0], "elmarch_relay_leaves_total", 1);
+  backoff_set (member, "{\"leaving\":true}");
+  metric_wait_min (&site.hosts[0], "elmarch_relay_leaves_total", 1);
   caller_join (&caller);
-  stream_whole (&caller.reply);
+  assert_stream_complete (&caller.reply);
   reply_free (&caller.reply);
-  stream_often ();
-  ck_assert_int_eq (member_number (member, "runs"), 1);
-  ck_assert_uint_eq (metric (&site.hosts[0], "elmarch_relay_rerouted_total"),
-                     0);
+  send_streams ();
+  ck_assert_int_eq (member_value (member, "runs"), 1);
+  ck_assert_uint_eq (
+      metric_value (&site.hosts[0], "elmarch_relay_rerouted_total"), 0);
 }
 END_TEST
 
@@ -543,36 +547,39 @@
 {
   static const char *const busy
       = "{\"fault\":\"busy\",\"times\":1,\"delay_ms\":60000}";
-  char *body = chat_body (QUESTION, 1, MAX_TOKENS, NULL, 0);
+  char *body = chat_body (PROMPT, 1, MAX_TOKENS, NULL, 0);
   char header[64];
   char id[16];
   reply_t reply;
   size_t i;
 
-  cluster_open (&c, 1);
-  fault (&c.workers[0], busy);
-  fault (&c.engines[0][1], busy);
+  cluster_start (&fixture, 1);
+  set_fault (&fixture.workers[0], busy);
+  set_fault (&fixture.engines[0][1], busy);
   for (i = 0; i < STREAMS; i++)
     {
       snprintf (id, sizeof id, "p%zu", i);
-      pay (0, id, NULL, &reply);
-      verdict_is (&reply, 200, "ran");
+      send_payment (0, id, NULL, &reply);
+      assert_verdict (&reply, 200, "ran");
       reply_free (&reply);
-      http ("POST", c.hosts[0].address, CHAT, body, NULL, &reply);
-      stream_is_whole (&reply, 0);
+      http_request ("POST", fixture.hosts[0].address, CHAT_PATH, body, NULL,
+                    &reply);
+      assert_chat_stream (&reply, 0);
       reply_free (&reply);
     }
   free (body);
-  ck_assert_uint_eq (metric (&c.hosts[0], "elmarch_rests_total"), 2);
-  ck_assert_uint_eq (metric (&c.hosts[0], "elmarch_retries_total"), 2);
+  ck_assert_uint_eq (metric_value (&fixture.hosts[0], "elmarch_rests_total"),
+                     2);
+  ck_assert_uint_eq (metric_value (&fixture.hosts[0], "elmarch_retries_total"),
+                     2);
   for (i = 0; i < STREAMS; i++)
     {
       snprintf (id, sizeof id, "p%zu", i);
-      ck_assert_int_eq (runs (&c.workers[0], id), 0);
+      ck_assert_int_eq (payment_runs (&fixture.workers[0], id), 0);
     }
-  fault (&c.workers[1], busy);
-  pay (0, "q", NULL, &reply);
-  verdict_is (&reply, 503, "not-run");
+  set_fault (&fixture.workers[1], busy);
+  send_payment (0, "q", NULL, &reply);
+  assert_verdict (&reply, 503, "not-run");
   reply_header (&reply, "retry-after", header, sizeof header);
   ck_assert (strtod (header, NULL) > 30);
   reply_free (&reply);
@@ -592,16 +599,17 @@
   reply_t reply;
   size_t i;
 
-  cluster_open (&c, 2);
-  session_open (&c.hosts[0], session, sizeof session);
+  cluster_start (&fixture, 2);
+  session_open (&fixture.hosts[0], session, sizeof session);
   for (i = 0; i < 2; i++)
-    fault (&c.workers[i], busy);
-  pay (1, "t1", headers, &reply);
-  verdict_is (&reply, 503, "not-run");
+    set_fault (&fixture.workers[i], busy);
+  send_payment (1, "t1", headers, &reply);
+  assert_verdict (&reply, 503, "not-run");
   reply_header (&reply, "retry-after", header, sizeof header);
   ck_assert (strtod (header, NULL) > 30);
   reply_free (&reply);
-  ck_assert_uint_eq (metric (&c.hosts[1], "elmarch_forwarded_total"), 1);
+  ck_assert_uint_eq (
+      metric_value (&fixture.hosts[1], "elmarch_forwarded_total"), 1);
 }
 END_TEST
 
--- a/tests/t_site.c
+++ b/tests/t_site.c
@@ -15,51 +15,52 @@
 
 /* The engine that runs a stream, that is the first of its line. */
 static size_t
-engine_first (void)
+running_engine (void)
 {
   size_t i;
 
   for (i = 0; i < SITE_ENGINES; i++)
-    if (site.engines[i].pid && member_number (&site.engines[i], "runs"))
+    if (site.engines[i].pid && member_value (&site.engines[i], "runs"))
       return i;
   ck_abort_msg ("no engine runs");
   return 0;
 }
 
 static int64_t
-workers_sum (const char *name)
+workers_total (const char *name)
 {
-  return member_number (&site.workers[0], name)
-         + member_number (&site.workers[1], name);
+  return member_value (&site.workers[0], name)
+         + member_value (&site.workers[1], name);
 }
 
 static void
-workers_fault (const char *json)
+workers_set_fault (const char *json)
 {
-  fault (&site.workers[0], json);
-  fault (&site.workers[1], json);
+  set_fault (&site.workers[0], json);
+  set_fault (&site.workers[1], json);
 }
 
 START_TEST (test_relay_follows_rules_and_keys)
 {
-  const char *stranger[]
+  const char *unknown_key[]
       = { "authorization: Bearer nobody's", "host: rel.example", NULL };
   char header[128];
   reply_t reply;
 
-  site_open (1);
-  ask (0, "GET", "/look/x?y=1", "r1", &reply);
+  site_start (1);
+  send_request (0, "GET", "/look/x?y=1", "r1", &reply);
   ck_assert_int_eq (reply.status, 200);
   reply_header (&reply, "x-elmarch-response-seal", header, sizeof header);
   ck_assert_str_eq (header, "seal.of.a.stand-in");
   reply_free (&reply);
-  ask (0, "GET", "/none/", "r2", &reply);
+  send_request (0, "GET", "/none/", "r2", &reply);
   ck_assert_int_eq (reply.status, 404);
   reply_free (&reply);
-  http ("GET", site.entries[0].address, "/look/", NULL, stranger, &reply);
+  http_request ("GET", site.entry_addrs[0].address, "/look/", NULL,
+                unknown_key, &reply);
   ck_assert_int_eq (reply.status, 401);
   reply_free (&reply);
-  ck_assert_int_eq (workers_sum ("runs"), 1);
+  ck_assert_int_eq (workers_total ("runs"), 1);
 }
 END_TEST
 
@@ -72,13 +73,13 @@
   reply_t reply;
   size_t i;
 
-  site_open (1);
-  ask (0, "POST", "/pay/x", "r1", &reply);
+  site_start (1);
+  send_request (0, "POST", "/pay/x", "r1", &reply);
   ck_assert_int_eq (reply.status, 200);
   reply_free (&reply);
-  i = member_number (&site.workers[0], "runs") ? 0 : 1;
+  i = member_value (&site.workers[0], "runs") ? 0 : 1;
   member_id (&site.workers[i], id, sizeof id);
-  seen = http_json (site.workers[i].address, "/seen");
+  seen = http_get_json (site.workers[i].address, "/seen");
   ck_assert_str_eq (
       json_string_value (json_object_get (seen, "x-elmarch-tenant")),
       "parking");
@@ -98,10 +99,10 @@
 {
   caller_t caller;
 
-  site_open (1);
+  site_start (1);
   stream_start (&caller, 0, "s1");
   caller_join (&caller);
-  stream_whole (&caller.reply);
+  assert_stream_complete (&caller.reply);
   reply_free (&caller.reply);
 }
 END_TEST
@@ -112,15 +113,15 @@
 {
   caller_t caller;
 
-  site_open (1);
+  site_start (1);
   stream_start (&caller, 0, "s1");
   caller_wait_body (&caller, 60);
   if (_i == 0)
-    proc_end (&site.engines[engine_first ()], SIGKILL);
+    proc_end (&site.engines[running_engine ()], SIGKILL);
   else
-    proc_signal (&site.engines[engine_first ()], SIGSTOP);
+    proc_signal (&site.engines[running_engine ()], SIGSTOP);
   caller_join (&caller);
-  stream_whole (&caller.reply);
+  assert_stream_complete (&caller.reply);
   reply_free (&caller.reply);
 }
 END_TEST
@@ -135,21 +136,21 @@
   size_t i;
   int step;
 
-  site_open (1);
+  site_start (1);
   stream_start (&caller, 0, "s1");
   caller_wait_body (&caller, 60);
-  first = engine_first ();
+  first = running_engine ();
   proc_signal (&site.engines[first], SIGSTOP);
-  for (step = 0; step < WAIT_STEPS && second == SITE_ENGINES; step++)
+  for (step = 0; step < WAIT_STEPS_MAX && second == SITE_ENGINES; step++)
     for (i = 0; i < SITE_ENGINES; i++)
-      if (i != first && member_number (&site.engines[i], "runs"))
+      if (i != first && member_value (&site.engines[i], "runs"))
         second = i;
   ck_assert_uint_ne (second, SITE_ENGINES);
   proc_signal (&site.engines[second], SIGSTOP);
-  metric_wait (&site.hosts[0], "elmarch_relay_held_total", 1);
+  metric_wait_min (&site.hosts[0], "elmarch_relay_held_total", 1);
   proc_signal (&site.engines[second], SIGCONT);
   caller_join (&caller);
-  stream_whole (&caller.reply);
+  assert_stream_complete (&caller.reply);
   reply_free (&caller.reply);
 }
 END_TEST
@@ -167,18 +168,18 @@
   size_t first;
   size_t i;
 
-  site_open (1);
+  site_start (1);
   stream_start (&caller, 0, "s1");
   caller_wait_body (&caller, 60);
-  first = engine_first ();
+  first = running_engine ();
   for (i = 0; i < SITE_ENGINES; i++)
-    if (i != first && member_number (&site.engines[i], "first") == 0)
+    if (i != first && member_value (&site.engines[i], "first") == 0)
       proc_kill_wait (&site.engines[i]);
   proc_kill (&site.engines[first]);
-  metric_wait (&site.hosts[0], "elmarch_relay_waits_total", 1);
-  ck_assert_uint_eq (site_engines_back (), 2);
+  metric_wait_min (&site.hosts[0], "elmarch_relay_waits_total", 1);
+  ck_assert_uint_eq (site_engines_replace (), 2);
   caller_join (&caller);
-  stream_whole (&caller.reply);
+  assert_stream_complete (&caller.reply);
   reply_free (&caller.reply);
 }
 END_TEST
@@ -195,17 +196,18 @@
   size_t first;
   size_t i;
 
-  site_open (1);
+  site_start (1);
   stream_start (&caller, 0, "s1");
   caller_wait_body (&caller, 60);
-  first = engine_first ();
-  seen = http_json (site.engines[first].address, "/seen");
+  first = running_engine ();
+  seen = http_get_json (site.engines[first].address, "/seen");
   line = json_string_value (json_object_get (seen, "path"));
   for (i = 0; i < SITE_ENGINES; i++)
     if (i != first && strstr (line, site.engines[i].address))
       {
         snprintf (at, sizeof at, "{\"at\":\"%s\"}", site.engines[i].address);
-        http ("POST", site.engines[first].address, "/stall", at, NULL, &reply);
+        http_request ("POST", site.engines[first].address, "/stall", at, NULL,
+                      &reply);
         reply_free (&reply);
         proc_end (&site.engines[i], SIGKILL);
         break;
@@ -213,11 +215,11 @@
   ck_assert_uint_lt (i, SITE_ENGINES);
   json_decref (seen);
   caller_join (&caller);
-  stream_whole (&caller.reply);
+  assert_stream_complete (&caller.reply);
   reply_free (&caller.reply);
   for (i = 0; i < SITE_ENGINES; i++) /* it was sent to no other one */
     if (site.engines[i].pid)
-      ck_assert_int_eq (member_number (&site.engines[i], "runs"), i == first);
+      ck_assert_int_eq (member_value (&site.engines[i], "runs"), i == first);
 }
 END_TEST
 
@@ -232,20 +234,21 @@
   size_t first;
   size_t i;
 
-  site_open (1);
+  site_start (1);
   stream_start (&caller, 0, "s1");
   caller_wait_body (&caller, 60);
-  first = engine_first ();
-  begin = member_number (&site.engines[first], "end");
+  first = running_engine ();
+  begin = member_value (&site.engines[first], "end");
   for (i = 0; i < SITE_ENGINES; i++)
-    if (member_number (&site.engines[i], "first") == begin)
+    if (member_value (&site.engines[i], "first") == begin)
       {
         snprintf (at, sizeof at, "{\"at\":\"%s\"}", site.engines[i].address);
-        http ("POST", site.engines[first].address, "/stall", at, NULL, &reply);
+        http_request ("POST", site.engines[first].address, "/stall", at, NULL,
+                      &reply);
         reply_free (&reply);
       }
   caller_join (&caller);
-  stream_whole (&caller.reply);
+  assert_stream_complete (&caller.reply);
   reply_free (&caller.reply);
 }
 END_TEST
@@ -255,12 +258,12 @@
 {
   reply_t reply;
 
-  site_open (1);
-  workers_fault ("{\"fault\":\"lose\"}");
-  ask (0, "POST", "/pay/x", "r1", &reply);
+  site_start (1);
+  workers_set_fault ("{\"fault\":\"lose\"}");
+  send_request (0, "POST", "/pay/x", "r1", &reply);
   ck_assert_int_eq (reply.status, 502);
   reply_free (&reply);
-  ck_assert_int_eq (workers_sum ("runs"), 1);
+  ck_assert_int_eq (workers_total ("runs"), 1);
 }
 END_TEST
 
@@ -268,14 +271,14 @@
 {
   reply_t reply;
 
-  site_open (1);
-  fault (&site.workers[0], "{\"fault\":\"down\"}");
-  fault (&site.workers[1], "{\"fault\":\"none\"}");
-  ask (0, "GET", "/look/x", "r1", &reply);
+  site_start (1);
+  set_fault (&site.workers[0], "{\"fault\":\"down\"}");
+  set_fault (&site.workers[1], "{\"fault\":\"none\"}");
+  send_request (0, "GET", "/look/x", "r1", &reply);
   ck_assert_int_eq (reply.status, 200);
   reply_free (&reply);
-  workers_fault ("{\"fault\":\"lose\"}");
-  ask (0, "GET", "/look/x", "r2", &reply);
+  workers_set_fault ("{\"fault\":\"lose\"}");
+  send_request (0, "GET", "/look/x", "r2", &reply);
   ck_assert_int_eq (reply.status, 502);
   reply_free (&reply);
 }
@@ -288,14 +291,14 @@
   char header[64];
   reply_t reply;
 
-  site_open (1);
-  workers_fault ("{\"fault\":\"busy\"}");
-  ask (0, "POST", "/pay/x", "r1", &reply);
+  site_start (1);
+  workers_set_fault ("{\"fault\":\"busy\"}");
+  send_request (0, "POST", "/pay/x", "r1", &reply);
   ck_assert_int_eq (reply.status, 503);
   reply_header (&reply, "retry-after", header, sizeof header);
   ck_assert (strtod (header, NULL) > 0);
   reply_free (&reply);
-  ck_assert_int_eq (workers_sum ("runs"), 0);
+  ck_assert_int_eq (workers_total ("runs"), 0);
 }
 END_TEST
 
@@ -303,9 +306,9 @@
 {
   reply_t reply;
 
-  site_open (1);
-  workers_fault ("{\"fault\":\"cross\"}");
-  ask (0, "POST", "/pay/x", "r1", &reply);
+  site_start (1);
+  workers_set_fault ("{\"fault\":\"cross\"}");
+  send_request (0, "POST", "/pay/x", "r1", &reply);
   ck_assert_int_eq (reply.status, 502);
   reply_free (&reply);
 }
@@ -316,9 +319,9 @@
 {
   reply_t reply;
 
-  site_open (1);
-  workers_fault ("{\"fault\":\"hang\"}");
-  ask (0, "GET", "/look/x", "r1", &reply);
+  site_start (1);
+  workers_set_fault ("{\"fault\":\"hang\"}");
+  send_request (0, "GET", "/look/x", "r1", &reply);
   ck_assert_int_eq (reply.status, 504);
   reply_free (&reply);
 }
@@ -332,18 +335,18 @@
   size_t first;
   int i;
 
-  site_open (1);
+  site_start (1);
   stream_start (&caller, 0, "s1");
   caller_wait_body (&caller, 60);
-  first = engine_first ();
-  caller_vanish (&caller);
+  first = running_engine ();
+  caller_disconnect (&caller);
   caller_join (&caller);
   reply_free (&caller.reply);
-  for (i = 0; i < WAIT_STEPS; i++)
+  for (i = 0; i < WAIT_STEPS_MAX; i++)
     {
-      if (member_number (&site.engines[first], "gone"))
+      if (member_value (&site.engines[first], "gone"))
         return;
-      pause_step ();
+      poll_sleep ();
     }
   ck_abort_msg ("the engine still works");
 }
@@ -358,43 +361,43 @@
   size_t host;
   int i;
 
-  site_open (2);
-  site_config (2, "[\"another-key\"]");
-  for (i = 0; i < WAIT_STEPS && status != 401; i++)
+  site_start (2);
+  site_put_config (2, "[\"another-key\"]");
+  for (i = 0; i < WAIT_STEPS_MAX && status != 401; i++)
     {
-      ask (1, "GET", "/look/x", "r1", &reply);
+      send_request (1, "GET", "/look/x", "r1", &reply);
       status = reply.status;
       reply_free (&reply);
     }
   ck_assert_int_eq (status, 401);
-  site_config (3, "[\"" CUSTOMER_KEY "\"]");
-  for (i = 0; i < WAIT_STEPS && status != 200; i++)
+  site_put_config (3, "[\"" CUSTOMER_KEY "\"]");
+  for (i = 0; i < WAIT_STEPS_MAX && status != 200; i++)
     {
-      ask (1, "GET", "/look/x", "r2", &reply);
+      send_request (1, "GET", "/look/x", "r2", &reply);
       status = reply.status;
       reply_free (&reply);
     }
   ck_assert_int_eq (status, 200);
-  site_mute (1);
+  site_store_mute (1);
   for (host = 0; host < 2; host++) /* one of them hears it from the other */
     {
       status = 200;
-      for (i = 0; i < WAIT_STEPS && status == 200; i++)
+      for (i = 0; i < WAIT_STEPS_MAX && status == 200; i++)
         {
-          ask (host, "GET", "/look/x", "r3", &reply);
+          send_request (host, "GET", "/look/x", "r3", &reply);
           status = reply.status;
           reply_free (&reply);
-          pause_step ();
+          poll_sleep ();
         }
       ck_assert_int_eq (status, 503);
     }
-  site_mute (0);
-  for (i = 0; i < WAIT_STEPS && status != 200; i++)
+  site_store_mute (0);
+  for (i = 0; i < WAIT_STEPS_MAX && status != 200; i++)
     {
-      ask (1, "GET", "/look/x", "r4", &reply);
+      send_request (1, "GET", "/look/x", "r4", &reply);
       status = reply.status;
       reply_free (&reply);
-      pause_step ();
+      poll_sleep ();
     }
   ck_assert_int_eq (status, 200);
 }
@@ -408,16 +411,18 @@
   char *body = el_alloc (65536 + 2);
   reply_t reply;
 
-  site_open (1);
+  site_start (1);
   memset (body, 'b', 65536);
-  http ("POST", site.entries[0].address, "/pay/x", body, headers, &reply);
+  http_request ("POST", site.entry_addrs[0].address, "/pay/x", body, headers,
+                &reply);
   ck_assert_int_eq (reply.status, 200);
   reply_free (&reply);
   body[65536] = 'b';
-  http ("POST", site.entries[0].address, "/pay/x", body, headers, &reply);
+  http_request ("POST", site.entry_addrs[0].address, "/pay/x", body, headers,
+                &reply);
   ck_assert_int_eq (reply.status, 413);
   reply_free (&reply);
-  ck_assert_int_eq (workers_sum ("runs"), 1);
+  ck_assert_int_eq (workers_total ("runs"), 1);
   free (body);
 }
 END_TEST
@@ -429,20 +434,20 @@
   caller_t caller;
   reply_t reply;
 
-  site_open (1);
+  site_start (1);
   proc_end (&site.hosts[0], SIGKILL);
-  site_mute (1);
+  site_store_mute (1);
   site_host_start (0);
-  ask (0, "GET", "/look/x", "r1", &reply);
+  send_request (0, "GET", "/look/x", "r1", &reply);
   ck_assert_int_eq (reply.status, 503);
   reply_free (&reply);
   stream_start (&caller, 0, "s1");
-  metric_wait (&site.hosts[0], "elmarch_relay_requests_total", 2);
-  site_mute (0);
+  metric_wait_min (&site.hosts[0], "elmarch_relay_requests_total", 2);
+  site_store_mute (0);
   caller_join (&caller);
-  stream_whole (&caller.reply);
+  assert_stream_complete (&caller.reply);
   reply_free (&caller.reply);
-  ck_assert_int_eq (workers_sum ("runs"), 0);
+  ck_assert_int_eq (workers_total ("runs"), 0);
 }
 END_TEST
 
@@ -453,18 +458,18 @@
   long status = 0;
   int i;
 
-  site_open (1);
-  site_config (5, "[\"another-key\"]");
-  for (i = 0; i < WAIT_STEPS && status != 401; i++)
+  site_start (1);
+  site_put_config (5, "[\"another-key\"]");
+  for (i = 0; i < WAIT_STEPS_MAX && status != 401; i++)
     {
-      ask (0, "GET", "/look/x", "r1", &reply);
+      send_request (0, "GET", "/look/x", "r1", &reply);
       status = reply.status;
       reply_free (&reply);
     }
-  site_config (4, "[\"" CUSTOMER_KEY "\"]");
+  site_put_config (4, "[\"" CUSTOMER_KEY "\"]");
   for (i = 0; i < 100; i++)
     {
-      ask (0, "GET", "/look/x", "r2", &reply);
+      send_request (0, "GET", "/look/x", "r2", &reply);
       ck_assert_int_eq (reply.status, 401);
       reply_free (&reply);
     }
@@ -481,16 +486,16 @@
   int quiet = 0;
   int i;
 
-  site_open (2);
-  http ("POST", site.workers[0].address, "/leave", "{}", NULL, &reply);
+  site_start (2);
+  http_request ("POST", site.workers[0].address, "/leave", "{}", NULL, &reply);
   reply_free (&reply);
-  for (i = 0; i < WAIT_STEPS && quiet < 200; i++)
+  for (i = 0; i < WAIT_STEPS_MAX && quiet < 200; i++)
     {
       host = (size_t)i % 2;
-      ask (host, "GET", "/look/x", "r1", &reply);
+      send_request (host, "GET", "/look/x", "r1", &reply);
       ck_assert_int_eq (reply.status, 200);
       reply_free (&reply);
-      runs = member_number (&site.workers[0], "runs");
+      runs = member_value (&site.workers[0], "runs");
       quiet = runs == before ? quiet + 1 : 0;
       before = runs;
     }
@@ -503,12 +508,12 @@
 {
   size_t i;
 
-  site_open (3);
+  site_start (3);
   for (i = 0; i < 2; i++)
     proc_end (&site.hosts[i], SIGKILL);
   proc_end (&site.engines[0], SIGKILL);
   site_engine_start (0);
-  site_placed_wait ();
+  site_wait_placed ();
 }
 END_TEST
 
@@ -520,22 +525,22 @@
   size_t i;
 
   site.step_us = "100000";
-  site_open (2);
+  site_start (2);
   for (i = 0; i < 2; i++)
     {
       stream_start (&callers[i], i, i ? "s1" : "s0");
       caller_wait_body (&callers[i], 1);
     }
-  i = metric (&site.hosts[0], "elmarch_planner") ? 0 : 1;
+  i = metric_value (&site.hosts[0], "elmarch_planner") ? 0 : 1;
   proc_signal (&site.hosts[i], SIGTERM);
-  metric_wait (&site.hosts[1 - i], "elmarch_planner", 1);
+  metric_wait_min (&site.hosts[1 - i], "elmarch_planner", 1);
   pthread_mutex_lock (&callers[i].lock);
   ck_assert_int_eq (callers[i].done, 0); /* the host that stops lives */
   pthread_mutex_unlock (&callers[i].lock);
   for (i = 0; i < 2; i++)
     {
       caller_join (&callers[i]);
-      stream_whole (&callers[i].reply);
+      assert_stream_complete (&callers[i].reply);
       reply_free (&callers[i].reply);
     }
 }
@@ -551,31 +556,33 @@
   int listed = 1;
   int i;
 
-  site_open (2);
+  site_start (2);
   stream_start (&caller, 0, "s1");
   caller_wait_body (&caller, 60);
   proc_signal (&site.hosts[0], SIGTERM);
-  for (i = 0; i < WAIT_STEPS && status == 200; i++)
+  for (i = 0; i < WAIT_STEPS_MAX && status == 200; i++)
     {
-      http ("GET", site.readies[0].address, "/elmarch/ready", NULL, NULL,
-            &reply);
+      http_request ("GET", site.ready_addrs[0].address, "/elmarch/ready", NULL,
+                    NULL, &reply);
       status = reply.status;
       reply_free (&reply);
     }
   ck_assert_int_ne (status, 200);
-  for (i = 0; i < WAIT_STEPS && listed; i++)
+  for (i = 0; i < WAIT_STEPS_MAX && listed; i++)
     {
-      http ("GET", site.directories[1].address,
-            "/elmarch/resolve?Name=rel.example&Zone=h", NULL, NULL, &reply);
+      http_request ("GET", site.directory_addrs[1].address,
+                    "/elmarch/resolve?Name=rel.example&Zone=h", NULL, NULL,
+                    &reply);
       ck_assert_int_eq (reply.status, 200);
-      ck_assert_ptr_nonnull (strstr (reply.body.ptr, site.entries[1].address));
-      listed = strstr (reply.body.ptr, site.entries[0].address) != NULL;
+      ck_assert_ptr_nonnull (
+          strstr (reply.body.ptr, site.entry_addrs[1].address));
+      listed = strstr (reply.body.ptr, site.entry_addrs[0].address) != NULL;
       reply_free (&reply);
-      pause_step ();
+      poll_sleep ();
     }
   ck_assert_int_eq (listed, 0);
   caller_join (&caller);
-  stream_whole (&caller.reply);
+  assert_stream_complete (&caller.reply);
   reply_free (&caller.reply);
 }
 END_TEST
--- a/tests/t_stop.c
+++ b/tests/t_stop.c
@@ -15,7 +15,7 @@
 
 /* A stopping host that waits for nobody is gone after this: it looks every
    50 ms. */
-#define STOP_STEPS 200
+#define STOP_WAIT_STEPS 200
 
 /* kill() returns before the host has handled its signal, so what is sent right
    after it may still be served. Wait until the host takes nothing new: it
@@ -28,10 +28,10 @@
 
   do
     {
-      pay (host, "probe", NULL, &reply);
+      send_payment (host, "probe", NULL, &reply);
       status = reply.status;
       if (status == 503)
-        verdict_is (&reply, 503, "not-run");
+        assert_verdict (&reply, 503, "not-run");
       reply_free (&reply);
     }
   while (status == 200);
@@ -41,25 +41,26 @@
    not run. */
 START_TEST (test_planned_stop_cuts_nothing)
 {
-  char *body = chat_body (QUESTION, 1, MAX_TOKENS, NULL, 0);
+  char *body = chat_body (PROMPT, 1, MAX_TOKENS, NULL, 0);
   caller_t caller;
   reply_t reply;
 
-  c.step_us = 4000;
-  cluster_open (&c, 1);
-  caller_start (&caller, c.hosts[0].address, CHAT, body, NULL, 0);
+  fixture.step_us = 4000;
+  cluster_start (&fixture, 1);
+  caller_start (&caller, fixture.hosts[0].address, CHAT_PATH, body, NULL, 0);
   caller_wait_body (&caller, 100);
-  proc_signal (&c.hosts[0], SIGTERM);
+  proc_signal (&fixture.hosts[0], SIGTERM);
   do
     {
-      http ("POST", c.hosts[0].address, CHAT, body, NULL, &reply);
+      http_request ("POST", fixture.hosts[0].address, CHAT_PATH, body, NULL,
+                    &reply);
       if (reply.status == 503)
-        verdict_is (&reply, 503, "not-run");
+        assert_verdict (&reply, 503, "not-run");
       reply_free (&reply);
     }
   while (reply.status == 200);
   caller_join (&caller);
-  stream_is_whole (&caller.reply, 0);
+  assert_chat_stream (&caller.reply, 0);
   reply_free (&caller.reply);
   free (body);
 }
@@ -75,40 +76,41 @@
   reply_t reply;
   size_t i;
 
-  cluster_open (&c, 3);
-  entries_wait (0, 3);
-  session_open (&c.hosts[0], session, sizeof session);
-  pay (0, "t1", first, &reply);
-  verdict_is (&reply, 200, "ran");
+  cluster_start (&fixture, 3);
+  entry_hosts_wait (0, 3);
+  session_open (&fixture.hosts[0], session, sizeof session);
+  send_payment (0, "t1", first, &reply);
+  assert_verdict (&reply, 200, "ran");
   reply_free (&reply);
-  ck_assert_int_eq (proc_end (&c.hosts[0], SIGTERM), 0);
+  ck_assert_int_eq (proc_end (&fixture.hosts[0], SIGTERM), 0);
   for (i = 1; i < 3; i++)
     {
       do /* until the successor's news has come */
         {
-          pay (i, "t1", first, &reply);
+          send_payment (i, "t1", first, &reply);
           if (reply.status != 200)
-            verdict_is (&reply, 409, "may-have-run");
+            assert_verdict (&reply, 409, "may-have-run");
           reply_free (&reply);
         }
       while (reply.status != 200);
-      pay (i, "t1", first, &reply);
-      verdict_is (&reply, 200, "ran");
+      send_payment (i, "t1", first, &reply);
+      assert_verdict (&reply, 200, "ran");
       ck_assert_ptr_nonnull (strstr (reply.body.ptr, "\"run\":1"));
       reply_free (&reply);
-      pay (i, "t2", second, &reply);
-      verdict_is (&reply, 200, "ran");
+      send_payment (i, "t2", second, &reply);
+      assert_verdict (&reply, 200, "ran");
       reply_free (&reply);
     }
-  ck_assert_int_eq (proc_end (&c.hosts[1], SIGTERM), 0);
-  pay (2, "t1", first, &reply); /* the last one, by whatever way they took */
-  verdict_is (&reply, 200, "ran");
+  ck_assert_int_eq (proc_end (&fixture.hosts[1], SIGTERM), 0);
+  send_payment (2, "t1", first,
+                &reply); /* the last one, by whatever way they took */
+  assert_verdict (&reply, 200, "ran");
   reply_free (&reply);
-  pay (2, "t2", second, &reply);
-  verdict_is (&reply, 200, "ran");
+  send_payment (2, "t2", second, &reply);
+  assert_verdict (&reply, 200, "ran");
   reply_free (&reply);
-  ck_assert_int_eq (runs_all ("t1"), 1);
-  ck_assert_int_eq (runs_all ("t2"), 1);
+  ck_assert_int_eq (payment_runs_total ("t1"), 1);
+  ck_assert_int_eq (payment_runs_total ("t2"), 1);
 }
 END_TEST
 
@@ -123,31 +125,33 @@
   reply_t reply;
   size_t i;
 
-  cluster_open (&c, 2);
-  entries_wait (0, 2);
-  session_open (&c.hosts[0], session, sizeof session);
+  cluster_start (&fixture, 2);
+  entry_hosts_wait (0, 2);
+  session_open (&fixture.hosts[0], session, sizeof session);
   for (i = 0; i < 2; i++)
-    fault (&c.workers[i], "{\"fault\":\"slow\",\"delay_ms\":1500}");
-  caller_start (&caller, c.hosts[0].address, PAY, "{\"id\":\"t1\"}", first, 0);
-  metric_wait (&c.hosts[0], "elmarch_calls_total", 1);
+    set_fault (&fixture.workers[i], "{\"fault\":\"slow\",\"delay_ms\":1500}");
+  caller_start (&caller, fixture.hosts[0].address, PAY_PATH, "{\"id\":\"t1\"}",
+                first, 0);
+  metric_wait_min (&fixture.hosts[0], "elmarch_calls_total", 1);
   for (i = 0; i < 2; i++)
-    fault (&c.workers[i], "{\"fault\":\"none\"}");
-  proc_signal (&c.hosts[0], SIGTERM);
-  metric_wait (&c.hosts[1], "elmarch_sessions", 1);
-  pay (1, "t2", second, &reply);
-  verdict_is (&reply, 200, "ran");
+    set_fault (&fixture.workers[i], "{\"fault\":\"none\"}");
+  proc_signal (&fixture.hosts[0], SIGTERM);
+  metric_wait_min (&fixture.hosts[1], "elmarch_sessions", 1);
+  send_payment (1, "t2", second, &reply);
+  assert_verdict (&reply, 200, "ran");
   reply_free (&reply);
-  pay (0, "t2", second, &reply); /* the old home knows where it went */
-  verdict_is (&reply, 200, "ran");
+  send_payment (0, "t2", second,
+                &reply); /* the old home knows where it went */
+  assert_verdict (&reply, 200, "ran");
   reply_free (&reply);
-  pay (1, "t1", first, &reply);
-  verdict_is (&reply, 200, "ran");
+  send_payment (1, "t1", first, &reply);
+  assert_verdict (&reply, 200, "ran");
   reply_free (&reply);
   caller_join (&caller);
-  verdict_is (&caller.reply, 200, "ran");
+  assert_verdict (&caller.reply, 200, "ran");
   reply_free (&caller.reply);
-  ck_assert_int_eq (runs_all ("t1"), 1);
-  ck_assert_int_eq (runs_all ("t2"), 1);
+  ck_assert_int_eq (payment_runs_total ("t1"), 1);
+  ck_assert_int_eq (payment_runs_total ("t2"), 1);
 }
 END_TEST
 
@@ -162,40 +166,40 @@
   unsigned doubts = 0;
   reply_t reply;
 
-  cluster_open (&c, 2);
-  entries_wait (0, 2);
-  session_open (&c.hosts[0], session, sizeof session);
+  cluster_start (&fixture, 2);
+  entry_hosts_wait (0, 2);
+  session_open (&fixture.hosts[0], session, sizeof session);
   if (_i == 0)
-    proc_signal (&c.hosts[1], SIGSTOP);
+    proc_signal (&fixture.hosts[1], SIGSTOP);
   else
-    proc_end (&c.hosts[1], SIGKILL);
-  proc_signal (&c.hosts[0], SIGTERM);
+    proc_end (&fixture.hosts[1], SIGKILL);
+  proc_signal (&fixture.hosts[0], SIGTERM);
   host_wait_stopping (0);
   do
     {
-      pay (0, "t1", first, &reply);
+      send_payment (0, "t1", first, &reply);
       if (reply.status == 503)
-        verdict_is (&reply, 503, "not-run");
+        assert_verdict (&reply, 503, "not-run");
       else if (reply.status)
         {
-          verdict_is (&reply, 409, "may-have-run");
+          assert_verdict (&reply, 409, "may-have-run");
           doubts++;
         }
       reply_free (&reply);
     }
   while (reply.status);
   ck_assert (_i == 1 || doubts);
-  ck_assert_int_eq (runs_all ("t1"), 0);
+  ck_assert_int_eq (payment_runs_total ("t1"), 0);
   if (_i == 0)
     {
-      proc_signal (&c.hosts[1], SIGCONT);
+      proc_signal (&fixture.hosts[1], SIGCONT);
       first[2] = NULL;
-      pay (1, "t1", first, &reply);
+      send_payment (1, "t1", first, &reply);
       reply_free (&reply);
-      pay (1, "t1", first, &reply);
+      send_payment (1, "t1", first, &reply);
       reply_free (&reply);
     }
-  ck_assert_int_le (runs_all ("t1"), 1);
+  ck_assert_int_le (payment_runs_total ("t1"), 1);
 }
 END_TEST
 
@@ -208,20 +212,20 @@
   reply_t reply;
   int i;
 
-  cluster_open (&c, 1);
-  caller_start (&caller, c.hosts[0].address,
+  cluster_start (&fixture, 1);
+  caller_start (&caller, fixture.hosts[0].address,
                 "/services/zahl-app/big?bytes=7340032", NULL, NULL, 1);
   caller_wait_body (&caller, 1);
-  proc_signal (&c.hosts[0], SIGTERM);
+  proc_signal (&fixture.hosts[0], SIGTERM);
   do
     {
-      pay (0, "t1", NULL, &reply);
+      send_payment (0, "t1", NULL, &reply);
       reply_free (&reply);
     }
   while (reply.status == 200);
-  for (i = 0; i < STOP_STEPS; i++)
-    pause_step ();
-  caller_release (&caller);
+  for (i = 0; i < STOP_WAIT_STEPS; i++)
+    poll_sleep ();
+  caller_resume (&caller);
   caller_join (&caller);
   ck_assert_int_eq (caller.reply.status, 200);
   ck_assert_uint_eq (caller.reply.body.len, bytes);
@@ -233,12 +237,12 @@
    them. */
 START_TEST (test_entry_hosts_are_the_live_ones)
 {
-  cluster_open (&c, 3);
-  entries_wait (0, 3);
-  proc_end (&c.hosts[2], SIGKILL);
-  entries_wait (0, 2);
-  host_start (&c, 2);
-  entries_wait (0, 3);
+  cluster_start (&fixture, 3);
+  entry_hosts_wait (0, 3);
+  proc_end (&fixture.hosts[2], SIGKILL);
+  entry_hosts_wait (0, 2);
+  host_start (&fixture, 2);
+  entry_hosts_wait (0, 3);
 }
 END_TEST
 
--- a/tests/t_stream.c
+++ b/tests/t_stream.c
@@ -15,13 +15,14 @@
 #include "test.h"
 
 static void
-chat_whole (size_t host)
+assert_chat_complete (size_t host)
 {
-  char *body = chat_body (QUESTION, 1, MAX_TOKENS, NULL, 0);
+  char *body = chat_body (PROMPT, 1, MAX_TOKENS, NULL, 0);
   reply_t reply;
 
-  http ("POST", c.hosts[host].address, CHAT, body, NULL, &reply);
-  stream_is_whole (&reply, 0);
+  http_request ("POST", fixture.hosts[host].address, CHAT_PATH, body, NULL,
+                &reply);
+  assert_chat_stream (&reply, 0);
   reply_free (&reply);
   free (body);
 }
@@ -45,8 +46,9 @@
 
   for (i = 0; i < 60; i++)
     {
-      chat_whole (0);
-      if (metric (&c.hosts[0], "elmarch_rebuilds_total") >= rebuilds)
+      assert_chat_complete (0);
+      if (metric_value (&fixture.hosts[0], "elmarch_rebuilds_total")
+          >= rebuilds)
         return;
     }
   ck_abort_msg ("the fault was not met");
@@ -56,58 +58,59 @@
    over the other line, token for token. */
 START_TEST (test_stage_fault_leaves_the_answer_whole)
 {
-  c.extra[0] = "--call-limit-ms=300";
-  cluster_open (&c, 1);
-  fault (&c.engines[0][_i % STAGES], stage_faults[_i / STAGES]);
+  fixture.extra_flags[0] = "--call-limit-ms=300";
+  cluster_start (&fixture, 1);
+  set_fault (&fixture.engines[0][_i % STAGES], stage_faults[_i / STAGES]);
   chat_until_rebuilt (1);
-  chat_whole (0);
+  assert_chat_complete (0);
 }
 END_TEST
 
 /* Stall the stream on whichever line it runs, then take that engine away. */
 static void
-stall_and (int signal)
+stall_then_signal (int signal)
 {
-  char *body = chat_body (QUESTION, 1, MAX_TOKENS, NULL, 0);
+  char *body = chat_body (PROMPT, 1, MAX_TOKENS, NULL, 0);
   caller_t caller;
-  int line;
+  int pipeline;
 
-  c.extra[0] = "--call-limit-ms=1000";
-  cluster_open (&c, 1);
-  for (line = 0; line < LINES; line++)
-    fault (&c.engines[line][1],
-           "{\"fault\":\"hang\",\"after\":5,\"times\":1}");
-  caller_start (&caller, c.hosts[0].address, CHAT, body, NULL, 0);
+  fixture.extra_flags[0] = "--call-limit-ms=1000";
+  cluster_start (&fixture, 1);
+  for (pipeline = 0; pipeline < PIPELINES; pipeline++)
+    set_fault (&fixture.engines[pipeline][1],
+               "{\"fault\":\"hang\",\"after\":5,\"times\":1}");
+  caller_start (&caller, fixture.hosts[0].address, CHAT_PATH, body, NULL, 0);
   caller_wait_body (&caller, 100);
-  for (line = 0; line < LINES; line++)
+  for (pipeline = 0; pipeline < PIPELINES; pipeline++)
     {
-      json_t *stats = http_json (c.engines[line][1].address, "/stats");
+      json_t *stats
+          = http_get_json (fixture.engines[pipeline][1].address, "/stats");
 
       if (json_integer_value (json_object_get (stats, "calls")) == 6)
         {
-          proc_signal (&c.engines[line][1], signal);
+          proc_signal (&fixture.engines[pipeline][1], signal);
           if (signal == SIGKILL)
-            proc_end (&c.engines[line][1], SIGKILL);
+            proc_end (&fixture.engines[pipeline][1], SIGKILL);
         }
       else
-        fault (&c.engines[line][1], "{\"fault\":\"none\"}");
+        set_fault (&fixture.engines[pipeline][1], "{\"fault\":\"none\"}");
       json_decref (stats);
     }
   caller_join (&caller);
-  stream_is_whole (&caller.reply, 0);
+  assert_chat_stream (&caller.reply, 0);
   reply_free (&caller.reply);
   free (body);
 }
 
 START_TEST (test_engine_killed_mid_stream_leaves_the_answer_whole)
 {
-  stall_and (SIGKILL);
+  stall_then_signal (SIGKILL);
 }
 END_TEST
 
 START_TEST (test_engine_frozen_mid_stream_leaves_the_answer_whole)
 {
-  stall_and (SIGSTOP);
+  stall_then_signal (SIGSTOP);
 }
 END_TEST
 
@@ -115,21 +118,22 @@
    whole once one is back. */
 START_TEST (test_stream_outlives_the_loss_of_all_routes)
 {
-  char *body = chat_body (QUESTION, 1, MAX_TOKENS, NULL, 0);
+  char *body = chat_body (PROMPT, 1, MAX_TOKENS, NULL, 0);
   caller_t caller;
-  int line;
+  int pipeline;
 
-  cluster_open (&c, 1);
-  for (line = 0; line < LINES; line++)
-    fault (&c.engines[line][2], "{\"fault\":\"hang\",\"after\":3}");
-  caller_start (&caller, c.hosts[0].address, CHAT, body, NULL, 0);
+  cluster_start (&fixture, 1);
+  for (pipeline = 0; pipeline < PIPELINES; pipeline++)
+    set_fault (&fixture.engines[pipeline][2],
+               "{\"fault\":\"hang\",\"after\":3}");
+  caller_start (&caller, fixture.hosts[0].address, CHAT_PATH, body, NULL, 0);
   caller_wait_body (&caller, 100);
-  for (line = 0; line < LINES; line++)
-    proc_end (&c.engines[line][2], SIGKILL);
-  metric_wait (&c.hosts[0], "elmarch_rebuilds_total", 8);
-  engine_start (&c, 1, 2);
+  for (pipeline = 0; pipeline < PIPELINES; pipeline++)
+    proc_end (&fixture.engines[pipeline][2], SIGKILL);
+  metric_wait_min (&fixture.hosts[0], "elmarch_rebuilds_total", 8);
+  engine_start (&fixture, 1, 2);
   caller_join (&caller);
-  stream_is_whole (&caller.reply, 0);
+  assert_chat_stream (&caller.reply, 0);
   reply_free (&caller.reply);
   free (body);
 }
@@ -142,16 +146,18 @@
   char content[64];
   size_t i;
 
-  c.step_us = 500;
-  cluster_open (&c, 2);
-  fault (&c.engines[0][0], "{\"fault\":\"cross\",\"after\":30,\"times\":5}");
+  fixture.step_us = 500;
+  cluster_start (&fixture, 2);
+  set_fault (&fixture.engines[0][0],
+             "{\"fault\":\"cross\",\"after\":30,\"times\":5}");
   for (i = 0; i < ncallers; i++)
     {
       char *body;
 
       snprintf (content, sizeof content, "Question of caller %zu", i);
       body = chat_body (content, 0, MAX_TOKENS, NULL, 0);
-      caller_start (&callers[i], c.hosts[i % 2].address, CHAT, body, NULL, 0);
+      caller_start (&callers[i], fixture.hosts[i % 2].address, CHAT_PATH, body,
+                    NULL, 0);
       free (body);
     }
   for (i = 0; i < ncallers; i++)
@@ -174,35 +180,36 @@
 
 /* Wait until at least one engine dropped what it held for a caller. */
 static void
-abandoned_wait (void)
+wait_abandoned (void)
 {
   json_int_t abandoned = 0;
   int i;
 
-  for (i = 0; i < WAIT_STEPS && !abandoned; i++)
+  for (i = 0; i < WAIT_STEPS_MAX && !abandoned; i++)
     {
-      json_t *stats = http_json (c.engines[i % LINES][0].address, "/stats");
+      json_t *stats = http_get_json (fixture.engines[i % PIPELINES][0].address,
+                                     "/stats");
 
       abandoned = json_integer_value (json_object_get (stats, "abandoned"));
       json_decref (stats);
-      pause_step ();
+      poll_sleep ();
     }
   ck_assert_int_ge (abandoned, 1);
 }
 
 START_TEST (test_caller_that_vanishes_is_cancelled_down_to_the_engine)
 {
-  char *body = chat_body (QUESTION, 1, 1000, NULL, 0);
+  char *body = chat_body (PROMPT, 1, 1000, NULL, 0);
   caller_t caller;
 
-  c.step_us = 2000;
-  cluster_open (&c, 1);
-  caller_start (&caller, c.hosts[0].address, CHAT, body, NULL, 0);
+  fixture.step_us = 2000;
+  cluster_start (&fixture, 1);
+  caller_start (&caller, fixture.hosts[0].address, CHAT_PATH, body, NULL, 0);
   caller_wait_body (&caller, 100);
-  caller_vanish (&caller);
+  caller_disconnect (&caller);
   caller_join (&caller);
-  metric_wait (&c.hosts[0], "elmarch_cancelled_total", 1);
-  abandoned_wait ();
+  metric_wait_min (&fixture.hosts[0], "elmarch_cancelled_total", 1);
+  wait_abandoned ();
   reply_free (&caller.reply);
   free (body);
 }
@@ -211,19 +218,21 @@
 /* The same over HTTP/2: a stream, a call, a whole answer. */
 START_TEST (test_callers_may_speak_http2)
 {
-  char *body = chat_body (QUESTION, 0, 1000, NULL, 0);
+  char *body = chat_body (PROMPT, 0, 1000, NULL, 0);
   reply_t reply;
 
-  cluster_open (&c, 1);
-  http2 = 1;
-  chat_whole (0);
-  http ("POST", c.hosts[0].address, PAY, "{\"id\":\"t1\"}", NULL, &reply);
+  cluster_start (&fixture, 1);
+  use_http2 = 1;
+  assert_chat_complete (0);
+  http_request ("POST", fixture.hosts[0].address, PAY_PATH, "{\"id\":\"t1\"}",
+                NULL, &reply);
   ck_assert_int_eq (reply.status, 200);
   reply_free (&reply);
-  http ("POST", c.hosts[0].address, CHAT, body, NULL, &reply);
+  http_request ("POST", fixture.hosts[0].address, CHAT_PATH, body, NULL,
+                &reply);
   ck_assert_int_eq (reply.status, 200);
   reply_free (&reply);
-  http2 = 0;
+  use_http2 = 0;
   free (body);
 }
 END_TEST
@@ -234,30 +243,34 @@
 {
   char session[640];
   const char *headers[] = { session, "x-elmarch-sequence: 1", NULL };
-  char *body = chat_body (QUESTION, 1, MAX_TOKENS, NULL, 0);
-  uint64_t have[MAX_TOKENS];
+  char *body = chat_body (PROMPT, 1, MAX_TOKENS, NULL, 0);
+  uint64_t received[MAX_TOKENS];
   caller_t caller;
   reply_t reply;
   size_t n;
   int done;
 
-  c.step_us = 3000;
-  cluster_open (&c, 2);
-  session_open (&c.hosts[0], session, sizeof session);
-  caller_start (&caller, c.hosts[0].address, CHAT, body, headers, 0);
+  fixture.step_us = 3000;
+  cluster_start (&fixture, 2);
+  session_open (&fixture.hosts[0], session, sizeof session);
+  caller_start (&caller, fixture.hosts[0].address, CHAT_PATH, body, headers,
+                0);
   caller_wait_body (&caller, 300);
-  caller_vanish (&caller);
+  caller_disconnect (&caller);
   caller_join (&caller);
-  while (metric (&c.hosts[0], "elmarch_callers"))
+  while (metric_value (&fixture.hosts[0], "elmarch_callers"))
     ; /* until the host has seen that the caller is gone */
-  n = stream_tokens (&caller.reply.body, have, MAX_TOKENS, &done);
+  n = stream_tokens (&caller.reply.body, received, MAX_TOKENS, &done);
   ck_assert_uint_ge (n, 1);
   free (body);
-  body = chat_body (QUESTION, 1, MAX_TOKENS, have, n);
-  http ("POST", c.hosts[_i].address, CHAT, body, headers, &reply);
-  stream_is_whole (&reply, n);
-  ck_assert_uint_eq (metric (&c.hosts[0], "elmarch_joined_total"), 1);
-  ck_assert_uint_eq (metric (&c.hosts[0], "elmarch_requests_total"), 1);
+  body = chat_body (PROMPT, 1, MAX_TOKENS, received, n);
+  http_request ("POST", fixture.hosts[_i].address, CHAT_PATH, body, headers,
+                &reply);
+  assert_chat_stream (&reply, n);
+  ck_assert_uint_eq (metric_value (&fixture.hosts[0], "elmarch_joined_total"),
+                     1);
+  ck_assert_uint_eq (
+      metric_value (&fixture.hosts[0], "elmarch_requests_total"), 1);
   reply_free (&reply);
   reply_free (&caller.reply);
   free (body);
@@ -269,28 +282,30 @@
 {
   char session[640];
   const char *headers[] = { session, "x-elmarch-sequence: 1", NULL };
-  char *body = chat_body (QUESTION, 1, MAX_TOKENS, NULL, 0);
-  uint64_t have[MAX_TOKENS];
+  char *body = chat_body (PROMPT, 1, MAX_TOKENS, NULL, 0);
+  uint64_t received[MAX_TOKENS];
   caller_t caller;
   reply_t reply;
   size_t n;
   int done;
 
-  c.step_us = 3000;
-  cluster_open (&c, 2);
-  session_open (&c.hosts[0], session, sizeof session);
-  caller_start (&caller, c.hosts[0].address, CHAT, body, headers, 0);
+  fixture.step_us = 3000;
+  cluster_start (&fixture, 2);
+  session_open (&fixture.hosts[0], session, sizeof session);
+  caller_start (&caller, fixture.hosts[0].address, CHAT_PATH, body, headers,
+                0);
   caller_wait_body (&caller, 300);
-  proc_end (&c.hosts[0], SIGKILL);
+  proc_end (&fixture.hosts[0], SIGKILL);
   caller_join (&caller);
-  n = stream_tokens (&caller.reply.body, have, MAX_TOKENS, &done);
+  n = stream_tokens (&caller.reply.body, received, MAX_TOKENS, &done);
   ck_assert (!done);
   free (body);
-  body = chat_body (QUESTION, 1, MAX_TOKENS, have, n);
+  body = chat_body (PROMPT, 1, MAX_TOKENS, received, n);
   if (_i == 1)
-    host_start (&c, 0); /* a later incarnation at the same address */
-  http ("POST", c.hosts[1].address, CHAT, body, headers, &reply);
-  stream_is_whole (&reply, n);
+    host_start (&fixture, 0); /* a later incarnation at the same address */
+  http_request ("POST", fixture.hosts[1].address, CHAT_PATH, body, headers,
+                &reply);
+  assert_chat_stream (&reply, n);
   reply_free (&reply);
   reply_free (&caller.reply);
   free (body);
