--- a/tests/cluster.c
+++ b/tests/cluster.c
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Real processes for the tests.
+ * Starts and stops the processes of the tests, and sends requests to them.
  */
 #include "cluster.h"
 
@@ -32,7 +32,7 @@
 
 static int network_id;
 
-/** One step of a wait for a condition. */
+/** Sleeps between two polls of a condition. */
 void
 poll_sleep (void)
 {
@@ -41,7 +41,7 @@
   nanosleep (&step, NULL);
 }
 
-/** Give a process an address of this test's own network. */
+/** Assigns an address from this test's own loopback network. */
 void
 address_set (proc_t *proc, unsigned last)
 {
@@ -51,7 +51,7 @@
             100 + (network_id >> 8) % 100, network_id & 0xff, last);
 }
 
-/** Start a program of the build with its arguments. */
+/** Starts a program of the build. ARGS begins with its name. */
 void
 proc_spawn (proc_t *proc, const char **args)
 {
@@ -64,7 +64,7 @@
                     0);
 }
 
-/** Wait until the process answers. */
+/** Waits until the process responds to GET PATH. */
 void
 proc_wait_ready (const proc_t *proc, const char *path)
 {
@@ -172,8 +172,8 @@
   proc_wait_ready (proc, "/metrics");
 }
 
-/** Start everything and wait until each host has the configuration. Fields
-    that are set before the call are kept. */
+/** Starts all processes and waits until every host has the configuration.
+    Fields of CLUSTER that are set before the call are kept. */
 void
 cluster_start (cluster_t *cluster, size_t nhosts)
 {
@@ -252,7 +252,7 @@
   el_buf_free (&spec);
 }
 
-/** Declare all resources and wait until they are in force on each host. */
+/** Creates all resources and waits until every host has applied them. */
 void
 cluster_configure (cluster_t *cluster)
 {
@@ -281,11 +281,11 @@
     metric_wait_min (&cluster->hosts[i], "elmarch_config_revision", revision);
 }
 
-/** End a process; gives its exit status, or minus the signal. One that is
-    paused goes on first: a SIGCONT that came after the signal would take away
-    the stop by which the leak check at a process's end looks at it, and the
-    check would wait for ever. Beside 12 busy loops on 8 cores that happened in
-    5 of 40 runs of a test. */
+/** Ends a process. Returns its exit status, or minus the signal that killed
+    it. A stopped process is continued before the signal is sent: the leak
+    check at process exit stops the process to inspect it, and a SIGCONT that
+    arrived then would undo that stop and hang the check. With 12 busy loops on
+    8 cores this occurred in 5 of 40 runs of a test. */
 int
 proc_end (proc_t *proc, int signal)
 {
@@ -300,15 +300,14 @@
   return WIFEXITED (status) ? WEXITSTATUS (status) : -WTERMSIG (status);
 }
 
-/** Kill a process, and do not wait for it. */
+/** Kills a process without waiting for its end. */
 void
 proc_kill (const proc_t *proc)
 {
   kill (proc->pid, SIGKILL);
 }
 
-/** Kill a process and wait until it is gone; that it ended is still to be
-    taken in. */
+/** Kills a process and waits until it has ended, but does not reap it. */
 void
 proc_kill_wait (const proc_t *proc)
 {
@@ -325,7 +324,8 @@
   ck_assert_int_eq (kill (proc->pid, signal), 0);
 }
 
-/** End everything. Hosts are drained, and must end without a leak. */
+/** Ends all processes. Hosts drain, and must exit with status 0, that is
+    without a leak. */
 void
 cluster_stop (cluster_t *cluster)
 {
@@ -377,7 +377,7 @@
   return disconnect ? 0 : size * n;
 }
 
-/* A caller that is held takes little in advance. */
+/* Limits how much of a response is buffered for a paused caller. */
 static int
 limit_receive_buffer (void *arg, curl_socket_t fd, curlsocktype purpose)
 {
@@ -433,7 +433,7 @@
   curl_easy_cleanup (curl);
 }
 
-/** One exchange. */
+/** Sends a request and waits for the response. */
 void
 http_request (const char *method, const char *address, const char *path,
               const char *body, const char *const *headers, reply_t *reply)
@@ -453,7 +453,8 @@
   el_buf_free (&reply->body);
 }
 
-/** The value of a header, NAME in lower case; empty without. */
+/** Copies the value of a response header. NAME is in lower case. OUT is empty
+    if the header is missing. */
 void
 reply_header (const reply_t *reply, const char *name, char *out, size_t size)
 {
@@ -479,7 +480,7 @@
   return json;
 }
 
-/** Tell a stand-in what to do wrong. */
+/** Sets the fault that a stand-in injects. */
 void
 set_fault (const proc_t *proc, const char *json)
 {
@@ -490,7 +491,7 @@
   reply_free (&reply);
 }
 
-/** An operator's exchange; gives the status. */
+/** Sends a request to the admin API. Returns the status. */
 long
 admin_request (const cluster_t *cluster, size_t host, const char *method,
                const char *path, const char *body, reply_t *reply)
@@ -522,7 +523,7 @@
   return value;
 }
 
-/** Wait until a host's metric has reached LEAST. */
+/** Waits until a host's metric is LEAST or more. */
 void
 metric_wait_min (const proc_t *host, const char *name, uint64_t least)
 {
@@ -540,7 +541,7 @@
                 name, value, least);
 }
 
-/** Wait until a figure of a host is VALUE. */
+/** Waits until a host's metric equals VALUE. */
 void
 metric_wait_value (const proc_t *host, const char *name, uint64_t value)
 {
@@ -571,8 +572,8 @@
   return NULL;
 }
 
-/** Begin a request in a thread; HOLD has it read nothing past the first piece
-    of the answer until caller_resume. */
+/** Starts a request in a thread. If PAUSED, it stops reading after the first
+    chunk of the body until caller_resume. */
 void
 caller_start (caller_t *caller, const char *address, const char *path,
               const char *body, const char *const *headers, int paused)
@@ -593,7 +594,8 @@
   pthread_create (&caller->thread, NULL, caller_run, caller);
 }
 
-/** Wait until that much of the answer has come, or all of it. */
+/** Waits until BYTES of the body have arrived. Fails if the response is
+    shorter. */
 void
 caller_wait_body (caller_t *caller, size_t bytes)
 {
@@ -612,7 +614,7 @@
   ck_assert_uint_ge (len, bytes);
 }
 
-/** Let a caller that was held read on. */
+/** Lets a paused caller continue reading. */
 void
 caller_resume (caller_t *caller)
 {
@@ -661,7 +663,8 @@
   return text;
 }
 
-/** The tokens of a stream's events; DONE tells whether its end is there. */
+/** Extracts the tokens of a stream's events. DONE is set if the stream has its
+    end marker. */
 size_t
 stream_tokens (const el_buf_t *raw, uint64_t *tokens, size_t most, int *done)
 {
@@ -688,7 +691,7 @@
   return n;
 }
 
-/** Open a session and write its header. */
+/** Opens a session and writes its request header. */
 void
 session_open (const proc_t *host, char *header, size_t size)
 {
@@ -704,7 +707,7 @@
   reply_free (&reply);
 }
 
-/** How often a worker ran a payment. */
+/** Number of times that a worker ran a payment. */
 json_int_t
 payment_runs (const proc_t *worker, const char *id)
 {
--- a/tests/cluster.h
+++ b/tests/cluster.h
@@ -3,8 +3,9 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Real processes for the tests: a platform, engines, workers, hosts, and
- * callers. Every wait is for a condition, bounded far above what it takes.
+ * Real processes for the tests: a platform, engines, workers, hosts and
+ * callers. The wait functions poll for a condition; their limit is far
+ * above what it takes.
  */
 #ifndef ELMARCH_CLUSTER_H
 #define ELMARCH_CLUSTER_H
@@ -20,7 +21,7 @@
 #define STAGES 3
 #define HOSTS_MAX 9
 #define LAYERS 12
-/** Steps that a wait for a condition takes at the most: 30 s. */
+/** Most polls of a wait function: 30 s. */
 #define WAIT_STEPS_MAX 6000
 #define CUSTOMER_KEY "a-customer's-key"
 
@@ -34,7 +35,7 @@
 
 typedef struct proc
 {
-  pid_t pid; /* 0 once ended */
+  pid_t pid; /* 0 after its end */
   char address[32];
 } proc_t;
 
@@ -46,18 +47,18 @@
   proc_t hosts[HOSTS_MAX];
   size_t nhosts;
   uint64_t step_us;
-  const char *extra_flags[8]; /* further flags of the hosts */
+  const char *extra_flags[8]; /* more flags for the hosts */
 } cluster_t;
 
-/** An answer. */
+/** An HTTP response. */
 typedef struct reply
 {
-  long status; /* 0 without one */
+  long status; /* 0: no response */
   el_buf_t head;
   el_buf_t body;
 } reply_t;
 
-/** A caller in a thread of its own. */
+/** An HTTP request that runs in its own thread. */
 typedef struct caller
 {
   pthread_t thread;
@@ -66,8 +67,8 @@
   char url[256];
   char *body;
   char *headers[4];
-  int disconnect; /* end the connection at the next piece of the answer */
-  int paused;     /* read no further */
+  int disconnect; /* close the connection at the next chunk of the body */
+  int paused;     /* stop reading the response */
   int done;
   reply_t reply;
 } caller_t;
@@ -77,10 +78,10 @@
 #define PROMPT "Which visit is next?"
 #define MAX_TOKENS 20
 
-/** The processes of the test that runs. */
+/** Processes of the current test. */
 extern cluster_t fixture;
 
-/** Set to have callers speak HTTP/2. */
+/** Makes all requests use HTTP/2. */
 extern int use_http2;
 
 void poll_sleep (void);
--- a/tests/expect.c
+++ b/tests/expect.c
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * What the tests with processes expect of answers.
+ * Assertions on responses, for the tests with processes.
  */
 #include <stdio.h>
 #include <string.h>
@@ -27,7 +27,8 @@
   cluster_stop (&fixture);
 }
 
-/** The answer must be the model's own, token for token, with its end. */
+/** The response must hold the model's tokens from SKIP on, and the end marker.
+ */
 void
 assert_chat_stream (const reply_t *reply, size_t skip)
 {
@@ -43,7 +44,7 @@
   ck_assert (memcmp (want + skip, got, m * sizeof *got) == 0);
 }
 
-/** The answer must have a status and a verdict. */
+/** The response must have this status and verdict. */
 void
 assert_verdict (const reply_t *reply, long status, const char *want)
 {
@@ -55,7 +56,7 @@
                  reply->body.ptr ? reply->body.ptr : "");
 }
 
-/** How often the workers that live ran a payment. */
+/** Number of times that the running workers ran a payment. */
 json_int_t
 payment_runs_total (const char *id)
 {
@@ -64,7 +65,7 @@
                                    : 0);
 }
 
-/** Send a payment. */
+/** Sends a payment through a host. */
 void
 send_payment (size_t host, const char *id, const char *const *headers,
               reply_t *reply)
@@ -76,7 +77,7 @@
                 reply);
 }
 
-/** Wait until a host gives that many entry addresses. */
+/** Waits until a host lists WANT entry addresses. */
 void
 entry_hosts_wait (size_t host, size_t want)
 {
--- a/tests/known_red.c
+++ b/tests/known_red.c
@@ -3,9 +3,9 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Tests that fail for a fault which is not mended yet: KNOWN-RED.txt at the
- * root has a line for each, "TEST | cause | issue | command and seed | what
- * was seen". They are passed over, and printed; ELMARCH_TEST runs one all the
+ * Skips and prints tests with a known failure that is not fixed yet.
+ * KNOWN-RED.txt at the root has a line for each: "TEST | cause | issue |
+ * command and seed | what was seen". ELMARCH_TEST runs such a test all the
  * same.
  */
 #include <stdio.h>
@@ -34,8 +34,8 @@
   return found;
 }
 
-/** Whether a test is to run: the one that ELMARCH_TEST names, or all that are
-    not known to fail. */
+/** Whether a test runs: the one that ELMARCH_TEST names, or without it all
+    that have no known failure. */
 int
 test_wanted (const char *name)
 {
--- a/tests/proc_main.c
+++ b/tests/proc_main.c
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Runs the tests that need processes.
+ * Runs the tests that start processes.
  */
 #include <stdlib.h>
 
--- a/tests/site.c
+++ b/tests/site.c
@@ -3,7 +3,8 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Real processes for the tests of relayed requests.
+ * Starts and stops the processes of the tests of relayed requests, and
+ * sends requests to them.
  */
 #include "site.h"
 
@@ -103,8 +104,8 @@
   reply_free (&reply);
 }
 
-/* Whether a member's process has ended, by itself or by proc_end; its entry
-   lapses then. */
+/* Whether a member's process has ended, by itself or through proc_end. If so,
+   its registration is removed from the store. */
 static int
 member_reap (proc_t *proc, const char *id)
 {
@@ -115,7 +116,7 @@
   return 1;
 }
 
-/** Wait until all hosts but EXCEPT have a metric at VALUE. */
+/** Waits until a metric equals VALUE on all hosts except EXCEPT. */
 void
 site_wait_metric_except (size_t except, const char *name, uint64_t value)
 {
@@ -126,16 +127,16 @@
       metric_wait_value (&site.hosts[i], name, value);
 }
 
-/** Wait until all hosts have a metric at VALUE. */
+/** Waits until a metric equals VALUE on all hosts. */
 void
 site_wait_metric (const char *name, uint64_t value)
 {
   site_wait_metric_except (site.nhosts, name, value);
 }
 
-/** Start the engines again whose processes have ended, as other ones; the
-    former entries lapse before. Gives how many there were, once all hold
-    layers and the hosts know. */
+/** Replaces the engines whose processes have ended by new ones, after their
+    registrations are removed. Returns their number once all engines hold
+    layers and all hosts know it. */
 size_t
 site_engines_replace (void)
 {
@@ -157,8 +158,8 @@
   return n;
 }
 
-/** Start the engines again whose processes have ended, as other ones, and wait
-    for nothing; gives how many there were. */
+/** Replaces the engines whose processes have ended by new ones without waiting
+    for the hosts. Returns their number. */
 size_t
 site_engines_replace_nowait (void)
 {
@@ -174,7 +175,8 @@
   return n;
 }
 
-/** The same for the workers. */
+/** Replaces the workers whose processes have ended by new ones. Returns their
+    number once all hosts know the new ones. */
 size_t
 site_workers_replace (void)
 {
@@ -195,7 +197,7 @@
   return n;
 }
 
-/** What a host answers an operator. */
+/** Sends a request to a host's admin API. Returns the response body. */
 json_t *
 site_admin_request (size_t host, const char *method, const char *path)
 {
@@ -210,7 +212,7 @@
   return json;
 }
 
-/* The same host under another port. */
+/* Copies a host's address with the last digit of the port replaced. */
 static void
 address_with_port (const proc_t *host, proc_t *out, char digit)
 {
@@ -218,7 +220,7 @@
   out->address[strlen (out->address) - 1] = digit;
 }
 
-/** Start a host; it may not have its configuration yet. */
+/** Starts a host. It may not have received its configuration yet on return. */
 void
 site_host_start (size_t i)
 {
@@ -268,7 +270,8 @@
   proc_wait_ready (&site.hosts[i], "/metrics");
 }
 
-/** The operators' configuration, with the customer's KEYS as a JSON list. */
+/** Writes the operators' configuration to the store. KEYS is a JSON list of
+    the customer's keys. */
 void
 site_put_config (int version, const char *keys)
 {
@@ -301,7 +304,7 @@
   reply_free (&reply);
 }
 
-/* Wait until a host takes relayed requests. */
+/* Waits until a host is ready for relayed requests. */
 static void
 site_wait_ready (size_t host)
 {
@@ -320,7 +323,7 @@
   ck_assert_int_eq (status, 200);
 }
 
-/** All machines lose power at one moment, and start again. */
+/** Kills all processes at once, as a power failure does, and restarts them. */
 void
 site_power_cycle (void)
 {
@@ -357,7 +360,7 @@
   site_wait_metric ("elmarch_engines_placed", SITE_ENGINES);
 }
 
-/** A number that a member tells of itself. */
+/** A number from a member's own status. */
 int64_t
 member_value (const proc_t *member, const char *name)
 {
@@ -377,7 +380,7 @@
   json_decref (json);
 }
 
-/** Wait until all engines that run hold layers. */
+/** Waits until every running engine holds layers. */
 void
 site_wait_placed (void)
 {
@@ -413,7 +416,7 @@
   reply_free (&reply);
 }
 
-/** Start everything and wait until all hosts take requests. */
+/** Starts all processes and waits until all hosts are ready for requests. */
 void
 site_start_unplaced (size_t nhosts)
 {
@@ -444,7 +447,7 @@
     site_wait_ready (i);
 }
 
-/** The same, and wait until the layers are placed. */
+/** Like site_start_unplaced, but also waits until the layers are placed. */
 void
 site_start (size_t nhosts)
 {
@@ -456,7 +459,8 @@
     metric_wait_min (&site.hosts[i], "elmarch_engines_placed", SITE_ENGINES);
 }
 
-/** End everything. Hosts are drained, and must end without a leak. */
+/** Ends all processes. Hosts drain, and must exit with status 0, that is
+    without a leak. */
 void
 site_teardown (void)
 {
@@ -474,8 +478,8 @@
     unlink (site.record_file);
 }
 
-/* The headers of a request through a host: its id, and for the stand-ins which
-   host it passed. */
+/* Headers of a request through a host: its id, and the number of the host,
+   which the stand-ins record. */
 typedef struct request_headers
 {
   char id[96];
@@ -494,7 +498,7 @@
   head->list[3] = NULL;
 }
 
-/** One request through a host. */
+/** Sends a request through a host. */
 void
 send_request (size_t host, const char *method, const char *path,
               const char *id, reply_t *reply)
@@ -507,7 +511,7 @@
                 reply);
 }
 
-/** One request with BODY through a host. */
+/** Sends a POST request with BODY through a host. */
 void
 send_request_body (size_t host, const char *path, const char *body,
                    const char *id, reply_t *reply)
@@ -519,7 +523,7 @@
                 reply);
 }
 
-/** Begin a stream through a host. */
+/** Starts a stream through a host. */
 void
 stream_start (caller_t *caller, size_t host, const char *id)
 {
@@ -530,7 +534,7 @@
                 head.list, 0);
 }
 
-/** Every event once and in order. */
+/** The stream must have every event once and in order. */
 void
 assert_stream_complete (const reply_t *reply)
 {
--- a/tests/site.h
+++ b/tests/site.h
@@ -4,7 +4,7 @@
  */
 /** @file
  * Real processes for the tests of relayed requests: a store, engines and
- * workers that enter themselves in it, hosts.
+ * workers that register themselves in it, and hosts.
  */
 #ifndef ELMARCH_SITE_TEST_H
 #define ELMARCH_SITE_TEST_H
@@ -14,7 +14,7 @@
 #define SITE_ENGINES 4
 #define SITE_WORKERS 2
 #define SITE_HOSTS 3
-/** Events of one stream of the stand-in. */
+/** Number of events in a stream of the stand-in. */
 #define SITE_EVENTS 40
 
 typedef struct site
@@ -22,15 +22,16 @@
   proc_t store;
   proc_t engines[SITE_ENGINES];
   proc_t workers[SITE_WORKERS];
-  proc_t hosts[SITE_HOSTS]; /* where operators and metrics are */
+  proc_t hosts[SITE_HOSTS]; /* address of the admin API and the metrics */
   proc_t entry_addrs[SITE_HOSTS];
   proc_t ready_addrs[SITE_HOSTS];
   proc_t directory_addrs[SITE_HOSTS];
   size_t nhosts;
-  const char *step_us;    /* between two events */
-  const char *max_layers; /* engines end under an order of more; NULL: none */
-  int keep_ids;           /* engines and workers start again under their ids */
-  char record_file[64];   /* file of the store; empty: it keeps nothing */
+  const char *step_us;    /* time between two events */
+  const char *max_layers; /* engines crash on an order for more layers; NULL:
+                             no limit */
+  int keep_ids;         /* engines and workers keep their ids over a restart */
+  char record_file[64]; /* file of the store; empty: not persistent */
   char engine_ids[SITE_ENGINES][96];
   char worker_ids[SITE_WORKERS][96];
 } site_t;
--- a/tests/t_again.c
+++ b/tests/t_again.c
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Endpoints that start again under their ids, entries by other writers, and
- * all power lost at once, with real processes.
+ * Tests of endpoints that restart with their ids, of registrations by other
+ * writers, and of a power failure of all machines, with real processes.
  */
 #include <signal.h>
 #include <stdio.h>
@@ -37,8 +37,8 @@
   reply_free (&caller.reply);
 }
 
-/* Each engine says that it leaves, ends, and starts again under its id: it is
-   another one, gets layers, and takes streams. */
+/* Each engine announces that it drains, ends, and restarts with the same id:
+   it counts as a new engine, gets layers, and serves streams. */
 START_TEST (test_engines_that_start_again_are_used_again)
 {
   reply_t reply;
@@ -62,8 +62,8 @@
 }
 END_TEST
 
-/* A stream's first engine starts again under its id in the middle of it, with
-   no layers: the stream goes on at another one. */
+/* A stream's first engine restarts with the same id during the stream, without
+   layers: the stream resumes on another engine. */
 START_TEST (test_stream_outlives_an_engine_that_starts_again)
 {
   caller_t caller;
@@ -86,8 +86,8 @@
 }
 END_TEST
 
-/* Entries that name no endpoint stand in the store, also in place of one that
-   did: the others serve. */
+/* The store holds invalid registrations, one of them in place of a valid one:
+   the other endpoints serve. */
 START_TEST (test_entries_by_another_writer_name_no_endpoint)
 {
   char id[16];
@@ -119,9 +119,9 @@
 }
 END_TEST
 
-/* All machines lose power at one moment, the store and the endpoints included:
-   what was acknowledged is there again, all is served, and a request that was
-   blocked stays so. */
+/* All machines lose power at once, the store and the endpoints included:
+   acknowledged writes are kept, requests are served, and a blocked request
+   stays blocked. */
 START_TEST (test_all_power_lost_at_once_is_outlived)
 {
   char id[16];
--- a/tests/t_agree.c
+++ b/tests/t_agree.c
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Tests with real processes of what hosts agree on: configuration, leaving
- * endpoints, and what is left without the platform.
+ * Tests of the state that hosts share, with real processes: configuration,
+ * draining endpoints, and operation without the platform.
  */
 #include <signal.h>
 #include <stdio.h>
@@ -35,7 +35,7 @@
   return admin_request (&fixture, host, "PUT", "customers/other", body, reply);
 }
 
-/* The weight of the customer that the tests change, as a host has it. */
+/* The weight of the test customer, as a host knows it. */
 static json_int_t
 weight_at (size_t host)
 {
@@ -74,7 +74,8 @@
   return version;
 }
 
-/* Five hosts of one hall: a change reaches all, and two of them watch. */
+/* Five hosts of one hall: a change reaches all of them, although only two
+   watch the platform. */
 START_TEST (test_change_reaches_hosts_that_do_not_watch)
 {
   unsigned watching = 0;
@@ -99,7 +100,7 @@
       int k;
 
       for (k = 0; k < 200; k++)
-        poll_sleep (); /* two looks at the host list */
+        poll_sleep (); /* two polls of the host list */
       watching
           += metric_value (&fixture.hosts[i], "elmarch_platform_calls_total")
              > calls;
@@ -108,8 +109,8 @@
 }
 END_TEST
 
-/* Operators race with one version in hand: one wins, the other is told what
-   is now in force, and nothing goes back. */
+/* Operators write concurrently with the same version: one succeeds, the others
+   get a conflict with the current version, and no older value returns. */
 START_TEST (test_racing_operators_get_a_conflict)
 {
   caller_t writers[4];
@@ -155,8 +156,8 @@
 }
 END_TEST
 
-/* The platform takes the write and its answer is lost: the change's id tells
-   that it was taken. */
+/* The platform applies a write but its response is lost: the change id shows
+   that the write was applied. */
 START_TEST (test_lost_answer_of_a_write_is_settled_by_its_id)
 {
   reply_t reply;
@@ -192,8 +193,9 @@
   free (body);
 }
 
-/* Without the platform requests go on; a change is refused as not run when
-   nothing could be sent, and as unknown when it may have been taken. */
+/* Requests are served without the platform. A configuration change is refused
+   as not run if it could not be sent, else its outcome is reported as unknown.
+   */
 START_TEST (test_platform_away_leaves_requests_alone)
 {
   reply_t reply;
@@ -215,8 +217,9 @@
 }
 END_TEST
 
-/* A host that starts while the platform is away takes the configuration from
-   the others; alone, it says that it has none and runs nothing. */
+/* A host that starts while the platform is down gets the configuration from
+   the other hosts. Without any, it reports that it has no configuration and
+   runs nothing. */
 START_TEST (test_host_starts_without_the_platform)
 {
   reply_t reply;
@@ -241,8 +244,8 @@
 }
 END_TEST
 
-/* A host that does not ask the platform: its calls stand still over two looks
-   at the host list. */
+/* Finds a host that does not watch the platform: its number of platform calls
+   does not change during two polls of the host list. */
 static size_t
 host_not_watching (void)
 {
@@ -263,8 +266,9 @@
   return 0;
 }
 
-/* A removal that one host slept through does not stay in force there, also
-   when the only host that can tell it has learned of the rest later. */
+/* A removal also reaches a host that was stopped at the time, even if the only
+   host left that can tell it has started since and read the configuration
+   without the removed entry. */
 START_TEST (test_removal_reaches_a_host_that_slept)
 {
   reply_t reply;
@@ -286,10 +290,10 @@
   for (i = 0; i < 4; i++)
     if (i != paused)
       proc_end (&fixture.hosts[i], SIGKILL);
-  host_start (&fixture,
-              restarted); /* reads all of it anew, without the removal */
+  host_start (&fixture, restarted); /* reads the configuration, which has
+                                       no trace of the removal */
   metric_wait_min (&fixture.hosts[restarted], "elmarch_config_revision", 1);
-  proc_end (&fixture.platform, SIGKILL); /* only that host can tell it */
+  proc_end (&fixture.platform, SIGKILL); /* leaves the restarted host */
   proc_signal (&fixture.hosts[paused], SIGCONT);
   weight_wait (paused, 0);
 }
@@ -308,7 +312,7 @@
   reply_free (&reply);
 }
 
-/* Whether a host's dump holds an endpoint in a state. */
+/* Whether a host's dump shows an endpoint in a state. */
 static int
 endpoint_in_state (size_t host, const char *endpoint, const char *state)
 {
@@ -340,8 +344,9 @@
   ck_assert (endpoint_in_state (host, endpoint, state));
 }
 
-/* The list names a worker as leaving, or the worker says so itself to one
-   host, or an operator drains it: no host sends it anything more. */
+/* A worker is draining: the platform's host list says so, or the worker does
+   in a response to one host, or an operator sets it. No host sends it new
+   requests. */
 START_TEST (test_leaving_endpoint_is_left_by_all_hosts)
 {
   static const char *const states[] = { "leaving", "leaving", "draining" };
@@ -398,9 +403,9 @@
   close (fd);
 }
 
-/* Messages that no host of ours sent: not sealed, oversized, truncated, of
-   another version, of a host with another key. Each is refused and counted,
-   and requests go on. */
+/* Messages that no host of the cluster sent: not sealed, oversized, truncated,
+   of another version, or from a host with another key. Each is refused and
+   counted, and requests are served. */
 START_TEST (test_foreign_messages_harm_nothing)
 {
   static const char call[]
@@ -424,7 +429,7 @@
   send_raw ("\xff\xff\xff\xff....", 8, SOCK_STREAM);
   send_raw ("GET / HTTP/1.1\r\n\r\n", 18, SOCK_STREAM);
   metric_wait_min (&fixture.hosts[0], "elmarch_rpc_refused_total", 6);
-  fixture.nhosts = 2; /* a host with another key never becomes a member */
+  fixture.nhosts = 2; /* a host with another key must not become a member */
   snprintf (fixture.hosts[1].address, sizeof fixture.hosts[1].address, "%s",
             fixture.hosts[0].address);
   snprintf (strrchr (fixture.hosts[1].address, ':'), 6, ":8000");
--- a/tests/t_ends.c
+++ b/tests/t_ends.c
@@ -3,15 +3,15 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Requests that end the endpoints which run them, with real processes.
+ * Tests of requests that crash the endpoints which run them, with real
+ * processes.
  *
  * One caller sent the same request again and again, and each engine that
- * began to run it ended, with the fifty streams that it carried. Every arrival
- * was a new request to the host that took it: sent once, sent again elsewhere,
- * and forgotten with its answer. On one day 14 engines ended under one
- * request, and twice no engine with the first layers was left for four
- * seconds. What settled it were two lines of one host, and others like them
- * elsewhere:
+ * started it crashed, along with the fifty streams that it ran. Hosts
+ * treated every arrival as a new request: they sent it, retried it on
+ * another engine, and forgot it with the response. On one day 14 engines
+ * crashed under one request, and twice no engine with the first layers was
+ * left for four seconds. Log lines of a host, with similar ones on others:
  *
  *   event=attempt_failed endpoint=i-e27376682a net=broken status=200
  *     attempt=1 events=0 next=again
@@ -27,20 +27,21 @@
 #include "test.h"
 
 #define CRASHING_BODY "a deadly roster"
-/* Arrivals of it, at the hosts in turn. */
+/* Number of times that it is sent, to the hosts in turn. */
 #define ARRIVALS 8
-/* Ends under one request that can be told from chance. */
+/* Most engines that one request may crash: fewer crashes may be a coincidence.
+ */
 #define CRASHES_MAX 3
-/* Engines that end under one kind of order: all four are given it at once, and
-   again before the first three are known to have ended. */
+/* Most engines that crash under one kind of order: all four receive it at
+   once, and again before the first three crashes are known. */
 #define ORDER_CRASHES_MAX (2 * SITE_ENGINES)
-/* Steps without an end: engines are given orders every 0.2 s. */
+/* Polls without a crash; the planner sends orders every 0.2 s. */
 #define QUIET_STEPS 600
-/* From an engine's end to its next start; on the platform it takes seconds. */
+/* Polls from an engine's crash to its restart; on the platform it takes
+   seconds. */
 #define RESTART_STEPS 150
 
-/* From now on the engines cut their streams first and then take 0.3 s to end.
- */
+/* Makes crashing engines close their streams first and exit 0.3 s later. */
 static void
 engines_crash_slowly (void)
 {
@@ -55,9 +56,9 @@
     }
 }
 
-/* Engines that ended under the arrival which REPLY answers, started again. One
-   at least is ending when it had run; its process may take a moment longer
-   than the answer. */
+/* Replaces the engines that crashed under the request that REPLY answers, and
+   returns their number. If the request ran, at least one is crashing; its
+   process may end a moment after the response. */
 static size_t
 crashed_engines_replace (const reply_t *reply)
 {
@@ -72,8 +73,9 @@
   return n;
 }
 
-/* Each arrival finds all engines back, and the hosts have had the time to tell
-   each other. From the second arrival on engines end SLOWLY. */
+/* Each request is sent once all engines are back and the hosts have had time
+   to gossip. If SLOW_CRASH, engines crash slowly from the second request on.
+   */
 static void
 assert_few_crashes (int slow_crash)
 {
@@ -115,26 +117,29 @@
 }
 END_TEST
 
-/* A fourth engine ended under one request, whose blame was plain after the
-   third. The third engine had cut its streams and still held its port: nothing
-   told yet that it was ending, and the request was sent on at once, as after a
-   broken connection. The host of the second arrival heard of the third end
-   when it had sent the request to the fourth engine 40 ms before:
-   event=endpoint_ended endpoint=e0-6be99d7ed4 sign=gone runs=1
-   event=endpoint_ended endpoint=e3-6beb4e4f24 sign=gone runs=1
-   event=request_blocked by=ends ends=4
-   event=blocked_for_end endpoint=e0-6be99d7ed4 age_us=120487 ran_us=31018
-   event=blocked_for_end endpoint=e3-6beb4e4f24 age_us=80613 ran_us=33991
-   A suspect now waits until its last run is known to have ended its endpoint,
-   or not. */
+/* A fourth engine crashed under one request, although the third crash had
+   identified the request as the cause. The third engine had closed its streams
+   but still held its port: nothing showed yet that it was crashing, and the
+   request was retried at once, as after a broken connection. The host that got
+   the second arrival learned of the third crash 40 ms after it had sent the
+   request to the fourth engine:
+
+     event=endpoint_ended endpoint=e0-6be99d7ed4 sign=gone runs=1
+     event=endpoint_ended endpoint=e3-6beb4e4f24 sign=gone runs=1
+     event=request_blocked by=ends ends=4
+     event=blocked_for_end endpoint=e0-6be99d7ed4 age_us=120487 ran_us=31018
+     event=blocked_for_end endpoint=e3-6beb4e4f24 age_us=80613 ran_us=33991
+
+   A suspect request now waits until it is known whether its last run crashed
+   the endpoint. */
 START_TEST (test_request_that_ends_engines_slowly_is_not_sent_for_ever)
 {
   assert_few_crashes (1);
 }
 END_TEST
 
-/* Send it until it is refused as being to blame; gives the engines that ended
-   on the way. */
+/* Sends the crashing request until it is refused as blocked. Returns the
+   number of engines that crashed. */
 static size_t
 send_until_blocked (void)
 {
@@ -158,7 +163,7 @@
   return 0;
 }
 
-/* It is refused by HOST, and ends nothing. */
+/* HOST must refuse the crashing request, and no engine may crash. */
 static void
 assert_blocked (size_t host, const char *id)
 {
@@ -171,8 +176,8 @@
   ck_assert_uint_eq (site_engines_replace (), 0);
 }
 
-/* A host that starts has been told before it serves; so has each of them when
-   all were lost at once, as the store has kept it. */
+/* A host that starts learns of a blocked request before it serves. So do all
+   hosts after all were lost at once, as the store keeps the block. */
 START_TEST (test_blocked_request_is_known_to_hosts_that_start)
 {
   size_t i;
@@ -191,8 +196,9 @@
 }
 END_TEST
 
-/* Others of the same customer and rule run on engines that it ends: each of
-   their streams comes whole, and none is taken for it. */
+/* Other requests of the same customer and rule run on the engines that crash:
+   none of their streams that begins is incomplete, and no host blocks more
+   than one request. */
 START_TEST (test_streams_beside_a_deadly_request_come_whole)
 {
   caller_t callers[6];
@@ -236,7 +242,7 @@
 }
 END_TEST
 
-/* The operator sees it, and lets it in again at all hosts. */
+/* An operator sees the blocked request and unblocks it on all hosts. */
 START_TEST (test_blocked_request_is_let_in_by_an_operator)
 {
   char path[64];
@@ -260,7 +266,7 @@
   json_decref (list);
   before = 0;
   for (i = 0; i < WAIT_STEPS_MAX && !before; i++)
-    { /* the other host hears of it in a moment */
+    { /* the other host learns of it a moment later */
       send_request_body (0, "/chat/x", CRASHING_BODY, "g", &reply);
       before = reply.status != 503;
       reply_free (&reply);
@@ -270,7 +276,7 @@
 }
 END_TEST
 
-/* Plain workers, and a request that runs once only: three of them end. */
+/* Workers, and a request that is never retried: four of them crash at most. */
 START_TEST (test_request_that_ends_workers_is_not_sent_for_ever)
 {
   char id[16];
@@ -294,9 +300,9 @@
 }
 END_TEST
 
-/* What the operators say of the card is wrong: each engine ends under its
-   order and starts again empty. They are not given it for ever, also not by
-   the host that plans next. */
+/* The operators' memory size of the card is wrong: each engine crashes under
+   its order and restarts empty. The planner stops sending the order, and so
+   does the planner that takes over. */
 START_TEST (test_order_that_ends_engines_is_not_given_for_ever)
 {
   size_t ended = 0;
@@ -328,7 +334,8 @@
 }
 END_TEST
 
-/* The payment hangs at a worker, which is killed; gives how many ended. */
+/* The payment hangs at a worker, which is then killed. Returns the number of
+   workers that ended. */
 static size_t
 crash_worker_during_payment (size_t host, const char *id)
 {
@@ -357,16 +364,17 @@
   return site_workers_replace ();
 }
 
-/* A payment that comes often was under way at one host when an endpoint ended,
-   and again at the next end a while later; in between another host, or the
-   same, had it served well. It was refused for ten minutes as the one that
-   ends endpoints. A host told the others that a request ran well only if it
-   had run under two ends by then, so that those who heard of two ends took it
-   for one that had done nothing but end endpoints: request_blocked by=ends
-   ends=2 odds=24 holds=1 left_us=599724755 blocked_for_end
-   endpoint=w1-5dde3a43f5 age_us=876151 ran_us=5829 first=1 blocked_for_end
-   endpoint=w0-5dddd9c771 age_us=275259 ran_us=585 first=1 request_blocked
-   by="another host" ends=1 odds=0 holds=1 */
+/* A frequent payment was running when an endpoint ended, and again when
+   another did a while later. In between, another host or the same one had run
+   it successfully. It was blocked for ten minutes as a request that crashes
+   endpoints: hosts gossiped a successful run only if the request had run under
+   two crashes by then, so hosts that learned of two crashes knew of no
+   success:
+
+     request_blocked by=ends ends=2 odds=24 holds=1 left_us=599724755
+     blocked_for_end endpoint=w1-5dde3a43f5 age_us=876151 ran_us=5829 first=1
+     blocked_for_end endpoint=w0-5dddd9c771 age_us=275259 ran_us=585 first=1
+     request_blocked by="another host" ends=1 odds=0 holds=1 */
 START_TEST (test_request_that_ran_well_elsewhere_is_not_blocked)
 {
   reply_t reply;
--- a/tests/t_era.c
+++ b/tests/t_era.c
@@ -3,7 +3,8 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * A store that goes on from an older copy, with real processes.
+ * Tests of a store that is restored from an older copy, with real
+ * processes.
  */
 #include <signal.h>
 #include <stdio.h>
@@ -14,7 +15,7 @@
 #define HOSTS 3
 #define LOST_WRITES 8
 #define REQUESTS_PER_HOST 12
-/* One each 5 ms or more. */
+/* At most one request per 5 ms. */
 #define REQUESTS_DURING_RESTORE 600
 #define REQUESTS_AFTER_START 200
 #define CRASH_REQUESTS_MAX 12
@@ -41,7 +42,8 @@
   reply_free (&reply);
 }
 
-/* The store holds a copy, and all hosts know of revisions beyond it. */
+/* Starts the site and has the store copy its contents. All hosts know
+   revisions after the copy. */
 static void
 site_start_ahead_of_backup (void)
 {
@@ -61,8 +63,8 @@
   site_wait_metric ("elmarch_endpoints", SITE_ENGINES + SITE_WORKERS + 1);
 }
 
-/* Guards against requests to a leaving endpoint by hosts that ask another host
-   for changes after a revision that the store has given out again. */
+/* Guards against requests to a draining endpoint by hosts that ask another
+   host for changes after a revision that the store has used again. */
 START_TEST (test_leave_under_a_reused_revision_reaches_all_hosts)
 {
   int64_t before;
@@ -135,8 +137,8 @@
     = { restore_first_host_paused, restore_other_host_paused, restore_twice,
         restore_and_restart_hosts };
 
-/* Guards against a leave that a host misses which was frozen or started as the
-   store returned, or saw it return twice. */
+/* Guards against a host that misses that an endpoint drains, as the host was
+   stopped or restarted during the restore, or saw two restores. */
 START_TEST (test_leave_reaches_hosts_however_the_store_returned)
 {
   reply_t reply;
@@ -149,7 +151,7 @@
 }
 END_TEST
 
-/* The number of the lease of the planner's key; 0 where there is none. */
+/* The lease of the planner's key; 0 if there is no such key. */
 static json_int_t
 planner_lease (void)
 {
@@ -189,8 +191,8 @@
   return sum;
 }
 
-/* Guards against a planner that goes on by a lease which the store has lost,
-   beside the one that has the duty then. */
+/* Guards against a planner that continues under a lease which the store has
+   lost, while another host is the planner. */
 START_TEST (test_planner_of_a_lost_lease_stops_before_the_next_one)
 {
   char path[64];
@@ -223,8 +225,8 @@
 }
 END_TEST
 
-/* Guards against requests that are refused, or sent to workers of before, as
-   the copy lacks the workers of now and has those. */
+/* Guards against requests that are refused, or sent to former workers, as the
+   copy has those and lacks the current ones. */
 START_TEST (test_workers_newer_than_the_copy_are_used_meanwhile)
 {
   char id[32];
@@ -252,8 +254,8 @@
 }
 END_TEST
 
-/* Guards against requests by a host that starts before the leave is written
-   again, and reads the copy. */
+/* Guards against requests to a draining endpoint from a host that starts
+   before the endpoint has announced it again, and reads the copy. */
 START_TEST (test_host_started_after_the_copy_knows_who_left)
 {
   char id[32];
@@ -282,8 +284,8 @@
 }
 END_TEST
 
-/* Guards against a key that was taken away and that a host lets in again, as
-   it starts before the configuration is written again and reads the copy. */
+/* Guards against a revoked key that a host accepts again, as it starts before
+   the configuration is written again, and reads the copy. */
 START_TEST (test_host_started_after_the_copy_lets_no_former_key_in)
 {
   char id[32];
@@ -337,8 +339,8 @@
   ck_assert_uint_gt (stored_blocked_count (), 0);
 }
 
-/* Guards against a request that ends engines and is let in again by hosts that
-   start, as the store has lost that it is blocked. */
+/* Guards against a crashing request that hosts accept again after a restart,
+   as the store has lost the block. */
 START_TEST (test_blocked_request_is_kept_again_after_the_copy)
 {
   char id[32];
--- a/tests/t_once.c
+++ b/tests/t_once.c
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Calls that may not be repeated, and refusals, before real processes that
- * fail.
+ * Tests of calls that must run at most once, and of refusals, over real
+ * processes that fail.
  */
 #include <signal.h>
 #include <stdio.h>
@@ -14,7 +14,8 @@
 #include "cluster.h"
 #include "test.h"
 
-/* Open a session that is not used, once the host has a configuration. */
+/* Opens an unused session on a host, once it has a configuration. Does nothing
+   if the host is not running. */
 static void
 open_unused_session (size_t host)
 {
@@ -32,8 +33,8 @@
   ck_assert_int_eq (reply.status, 201);
 }
 
-/* Duplicates: in a row and crossed with the first, at the home and at another
-   host. All get one answer; the worker ran it once. */
+/* Duplicates, sequential and concurrent, at the session's home and at other
+   hosts, all get the same response, and the worker runs the call once. */
 START_TEST (test_duplicates_run_once)
 {
   char session[640];
@@ -66,8 +67,8 @@
 }
 END_TEST
 
-/* The home restarts, or stays dead, after the first arrival ran: a duplicate
-   at any host is told that it may have run, and does not run. */
+/* The session's home restarts, or stays down, after the call ran: a duplicate
+   at any host is answered with "may have run", and does not run. */
 START_TEST (test_duplicate_after_the_home_is_gone_never_runs)
 {
   char session[640];
@@ -83,7 +84,7 @@
   proc_end (&fixture.hosts[0], SIGKILL);
   if (_i == 1)
     host_start (&fixture, 0);
-  for (i = 0; i < 2; i++) /* sessions of the same number at the others */
+  for (i = 0; i < 2; i++) /* sessions with the same number as the lost one */
     open_unused_session (i);
   for (i = 0; i < 2; i++)
     {
@@ -97,8 +98,9 @@
 }
 END_TEST
 
-/* The home is frozen, not dead: the answer comes at once when its time is
-   over, it does not run elsewhere, and the home that thaws runs it once. */
+/* The session's home is stopped, not dead: another host answers at the
+   request's deadline and does not run the call. Once the home continues, the
+   call runs at most once. */
 START_TEST (test_duplicate_while_the_home_is_frozen_never_runs_elsewhere)
 {
   char session[640];
@@ -129,8 +131,8 @@
   const char *fault;
   long status;
   const char *verdict;
-  json_int_t runs; /* at the workers that live; -1 when the one that ran it
-                      died */
+  json_int_t runs; /* at the running workers; -1 if the worker that ran it has
+                      crashed */
 } worker_faults[] = {
   { "{\"fault\":\"die-before\",\"times\":1}", 502, "may-have-run", -1 },
   { "{\"fault\":\"die-after\",\"times\":1}", 502, "may-have-run", -1 },
@@ -141,9 +143,9 @@
   { "{\"fault\":\"down\"}", 500, "ran", 0 },
 };
 
-/* The worker fails before, during or after the call, or loses its answer:
-   sent three times over, the payment runs at most once, and "not run" is said
-   only when it did not run. */
+/* The worker fails before, during or after the call, or its response is lost.
+   Sent three times, the payment runs at most once, and "not run" is reported
+   only if it did not run. */
 START_TEST (test_worker_fault_runs_at_most_once)
 {
   char session[640];
@@ -166,14 +168,14 @@
   if (worker_faults[_i].runs >= 0)
     ck_assert_int_eq (payment_runs_total ("t1"), worker_faults[_i].runs);
   else
-    /* One of them died with the call; the other never got it. */
+    /* One worker crashed with the call; the other one never received it. */
     ck_assert_int_eq (metric_value (&fixture.hosts[0], "elmarch_calls_total"),
                       1);
 }
 END_TEST
 
-/* Nothing listens at the workers: refused as not run, and true. When one is
-   back, the same request, sent again, runs once. */
+/* No worker listens: the call is refused as not run, which is true. Sent again
+   after a worker has started, it runs once. */
 START_TEST (test_not_run_is_true_and_may_be_sent_again)
 {
   char session[640];
@@ -280,7 +282,8 @@
     "not-an-operator" },
 };
 
-/* Each gets a clear answer, as not run, and nothing reaches an endpoint. */
+/* Each gets a specific error and "not run", and nothing reaches an endpoint.
+ */
 START_TEST (test_bad_requests_run_nothing)
 {
   size_t i;
@@ -294,7 +297,7 @@
                     bad_requests[i].path, bad_requests[i].body,
                     (const char *const[]){ bad_requests[i].headers[0], NULL },
                     &reply);
-      /* A request that names a session may have come before. */
+      /* A request with a session may be a duplicate of one that ran. */
       assert_verdict (
           &reply, bad_requests[i].status,
           strstr (bad_requests[i].headers[0] ? bad_requests[i].headers[0] : "",
--- a/tests/t_rest.c
+++ b/tests/t_rest.c
@@ -3,26 +3,27 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Endpoints that ask a host for rest, or say in their answers that they leave,
- * with real processes; what arrives in spite of it is counted by them.
+ * Tests of endpoints that ask for backoff, or announce in their responses
+ * that they drain, with real processes. The endpoints count the requests
+ * that arrive in spite of it.
  *
- * An engine with the first layers turned its requests away and asked each host
- * for three seconds of rest. The hosts went on sending to it: in 6 s 102
- * requests of seven hosts were turned away there, 70 of them between half a
- * second after the host was asked and the end of the three seconds. The lines
- * of one host:
+ * An engine with the first layers refused requests and asked each host for
+ * three seconds of backoff. The hosts continued to send to it: in 6 s it
+ * refused 102 requests of seven hosts, 70 of them between half a second
+ * after the host was asked and the end of the three seconds. Log lines of
+ * one host:
  *
  *   6.0754 event=attempt_failed endpoint=i-0762f0bff0 status=503 attempt=1
  *   6.2355 event=attempt_failed endpoint=i-0762f0bff0 status=503 attempt=1
  *   7.0104 event=attempt_failed endpoint=i-0762f0bff0 status=503 attempt=1
  *
- * The time that the answers named was read by nobody: what an endpoint asks of
- * a host was heard with one answer and lost with it. A refusal set the engine
- * aside for 100 ms, whatever it asked for, and each stream that ended well
- * there, of the hundreds that had begun before, ended that, too: one host was
- * turned away at 6.7184 and again at 6.7642, with two good ends between. That
- * an endpoint leaves was known from its entry in the store alone, though it
- * says so in every answer.
+ * No code read the time in the responses, and the request for backoff was
+ * forgotten with the response that held it. A refusal set the engine aside
+ * for 100 ms, whatever it asked for, and each of the hundreds of streams
+ * already running that completed there lifted even that: one host was
+ * refused at 6.7184 and again at 6.7642, with two completed streams in
+ * between. Draining endpoints were known from their registrations in the
+ * store alone, although they announce it in every response.
  */
 #include <signal.h>
 #include <stdio.h>
@@ -32,13 +33,13 @@
 #include "site.h"
 #include "test.h"
 
-/* Requests through the hosts in turn, far fewer than a rest lasts. */
+/* Number of requests through the hosts in turn; they take far less time than a
+   backoff. */
 #define REQUESTS 80
 #define STREAMS 40
-/* A good deal longer than until an order that came to nothing is given again.
- */
+/* Polls for a good deal longer than until a failed order is sent again. */
 #define ORDER_STEPS 800
-/* Far longer than a test's requests take. */
+/* Far longer than the requests of a test take. */
 #define LONG_BACKOFF                                                          \
   "{\"kinds\":[\"requests\"],\"status\":503,\"asked\":[\"60\"],"              \
   "\"span_ms\":60000}"
@@ -53,7 +54,7 @@
   reply_free (&reply);
 }
 
-/* What arrived of KIND at a member, as far as NAME says. */
+/* Number of arrivals of KIND at a member, as counted under NAME. */
 static int64_t
 arrival_count (const proc_t *member, const char *kind, const char *name)
 {
@@ -75,7 +76,7 @@
   return count;
 }
 
-/* One of the engines with the first layers. */
+/* An engine with the first layers. */
 static const proc_t *
 engine_with_first_layers (void)
 {
@@ -88,7 +89,7 @@
   return NULL;
 }
 
-/* Requests through the hosts in turn; all are served. */
+/* Sends requests through the hosts in turn. All must be served. */
 static void
 send_requests (void)
 {
@@ -106,7 +107,8 @@
     }
 }
 
-/* Have the hosts know that the first plain endpoint is the quicker one. */
+/* Slows the second worker down, and sends requests until the hosts prefer the
+   first one. */
 static void
 prefer_first_worker (void)
 {
@@ -114,7 +116,7 @@
   send_requests ();
 }
 
-/* Streams through the hosts in turn; all come whole. */
+/* Runs streams through the hosts in turn. All must be complete. */
 static void
 send_streams (void)
 {
@@ -132,8 +134,8 @@
     }
 }
 
-/* A plain endpoint, then an engine, asks each of two hosts for rest once:
-   after that nothing of a caller comes there from them. */
+/* A worker, then an engine, asks each of two hosts once for backoff: no
+   requests of callers arrive there from these hosts until it expires. */
 START_TEST (test_endpoint_that_asks_for_rest_gets_none_in_it)
 {
   const proc_t *member;
@@ -152,8 +154,8 @@
 }
 END_TEST
 
-/* All plain endpoints ask for rest: who comes then is refused at once, with
-   the time until the first rest is over, and nothing arrives. */
+/* All workers ask for backoff: new requests are refused at once, with the time
+   until the first backoff expires, and nothing arrives at the workers. */
 START_TEST (test_all_endpoints_rest_and_callers_are_told_for_how_long)
 {
   char header[64];
@@ -191,7 +193,7 @@
 }
 END_TEST
 
-/* It gets work again when its rest is over. */
+/* An endpoint receives requests again after its backoff. */
 START_TEST (test_endpoint_gets_work_again_after_its_rest)
 {
   const proc_t *member = &site.workers[0];
@@ -221,8 +223,9 @@
 }
 END_TEST
 
-/* Its engine ends and the other one with the first layers rests: the stream
-   waits until that is over, as its caller has a part of it. */
+/* A stream's engine crashes while the other engine with the first layers is in
+   backoff: the stream waits for the end of the backoff, as its caller has
+   already received a part. */
 START_TEST (test_stream_begun_waits_for_the_end_of_a_rest)
 {
   const proc_t *other = NULL;
@@ -257,7 +260,7 @@
 }
 END_TEST
 
-/* The path of the last request that came to an engine first. */
+/* The path of the last request that used ENGINE as its first engine. */
 static json_t *
 last_path (const proc_t *engine)
 {
@@ -268,7 +271,7 @@
   return path;
 }
 
-/* The first engine that the last of some streams passed. */
+/* Runs streams, and returns an engine that was the first of a path. */
 static const proc_t *
 last_entry_engine (void)
 {
@@ -287,8 +290,7 @@
   return NULL;
 }
 
-/* The engine with the last layers on the path of streams that begin at FIRST.
- */
+/* The last engine on the path of the last stream that began at FIRST. */
 static const proc_t *
 last_engine_of_path (const proc_t *first)
 {
@@ -305,7 +307,7 @@
   return last;
 }
 
-/* Whether the last request that came to AT first was ID and passed ENGINE. */
+/* Whether the last request that began at AT was ID and used ENGINE. */
 static int
 last_request_used (const proc_t *at, const char *id, const proc_t *engine)
 {
@@ -320,7 +322,7 @@
   return passed;
 }
 
-/* Streams from now on are served, and pass ENGINE nowhere. */
+/* New streams must be served without ENGINE. */
 static void
 assert_streams_avoid (const proc_t *engine)
 {
@@ -341,8 +343,8 @@
     }
 }
 
-/* A refusal names another engine of the line as the one at fault, and does not
-   say whose rest it is: no line passes either of them. */
+/* A refusal names another engine of the pipeline as the one at fault, and does
+   not say which of the two asks for backoff: no stream uses either of them. */
 START_TEST (test_rest_of_an_engine_further_down_the_line)
 {
   const proc_t *first;
@@ -365,8 +367,8 @@
 }
 END_TEST
 
-/* A report is turned away with a rest: callers' requests are kept back, too,
-   and so are further reports. */
+/* A load report is refused with a backoff: callers' requests are held back as
+   well, and so are further reports. */
 START_TEST (test_rest_asked_for_by_a_report)
 {
   const proc_t *member;
@@ -385,8 +387,9 @@
 }
 END_TEST
 
-/* Empty engines turn their first order away with a rest: they get no further
-   one in it, and the others with the same card get theirs. */
+/* An empty engine refuses its first order with a backoff: it receives no other
+   order until the backoff expires, and the other engines with the same card
+   receive theirs. */
 START_TEST (test_rest_asked_for_by_an_order)
 {
   int i;
@@ -403,7 +406,7 @@
 }
 END_TEST
 
-/* Requests through HOST until it was told that an endpoint leaves. */
+/* Sends requests through HOST until it learns that an endpoint is draining. */
 static void
 send_until_draining (size_t host)
 {
@@ -422,8 +425,8 @@
     }
 }
 
-/* One says in its answers that it leaves, and its entry in the store does not:
-   nothing new comes there. */
+/* An endpoint announces draining in its responses but not in its registration:
+   it receives no new requests. */
 START_TEST (test_endpoint_that_says_it_leaves_gets_nothing_new)
 {
   const proc_t *member;
@@ -442,8 +445,8 @@
 }
 END_TEST
 
-/* One host was told: the other one keeps away, too, before an answer tells it,
-   and so does a host that starts after that. */
+/* One host is told that an endpoint is draining: the other host avoids it
+   before any response says so, and so does a host that starts later. */
 START_TEST (test_endpoint_that_leaves_is_known_to_the_other_hosts)
 {
   const proc_t *member = &site.workers[0];
@@ -466,7 +469,7 @@
 }
 END_TEST
 
-/* The host does not reach the store: what the answer said holds. */
+/* A host that can't reach the store keeps to what the response said. */
 START_TEST (test_endpoint_that_leaves_is_left_by_a_host_cut_off)
 {
   const proc_t *member = &site.workers[0];
@@ -492,7 +495,7 @@
 }
 END_TEST
 
-/* The next start under its id has not said so. */
+/* An endpoint that restarts with its id is no longer draining. */
 START_TEST (test_endpoint_that_left_and_started_again_gets_work)
 {
   int64_t runs;
@@ -513,7 +516,7 @@
 }
 END_TEST
 
-/* What runs there when it says so ends there, whole. */
+/* A stream that runs on an engine that starts to drain completes there. */
 START_TEST (test_stream_ends_where_it_runs_though_its_engine_leaves)
 {
   const proc_t *member = NULL;
@@ -540,9 +543,9 @@
 }
 END_TEST
 
-/* The product's own doors: a worker that refuses a call, and an engine that
-   refuses a stage, with a rest get nothing in it; when both workers rest, the
-   caller is told for how long. */
+/* The session and service APIs: a worker that refuses a call, and an engine
+   that refuses a stage, with a backoff receive nothing until it expires. When
+   both workers are in backoff, the caller is told for how long. */
 START_TEST (test_rest_is_kept_to_at_the_own_doors)
 {
   static const char *const busy
@@ -586,9 +589,8 @@
 }
 END_TEST
 
-/* A call of a session comes to another host than the session's home, which
-   refuses it as all endpoints rest: the caller is told for how long all the
-   same. */
+/* A session's call arrives at another host than its home, which refuses it as
+   all endpoints are in backoff: the caller is still told for how long. */
 START_TEST (test_time_of_a_refusal_comes_through_another_host)
 {
   static const char *const busy
--- a/tests/t_site.c
+++ b/tests/t_site.c
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Relayed requests, with real processes.
+ * Tests of relayed requests, with real processes.
  */
 #include <signal.h>
 #include <stdio.h>
@@ -13,7 +13,7 @@
 #include "site.h"
 #include "test.h"
 
-/* The engine that runs a stream, that is the first of its line. */
+/* The engine that runs a stream, which is the first of its pipeline. */
 static size_t
 running_engine (void)
 {
@@ -64,8 +64,8 @@
 }
 END_TEST
 
-/* What an endpoint gets: the customer's name and not its key, its own id, the
-   time that is left. */
+/* An endpoint receives the customer's name but not the key, its own id, and
+   the time left until the deadline. */
 START_TEST (test_relay_tells_endpoints_what_they_need)
 {
   char id[96];
@@ -107,8 +107,8 @@
 }
 END_TEST
 
-/* The first engine dies or is frozen in the middle: the same answer goes on at
-   another line. */
+/* The first engine is killed or stopped during a stream: the stream resumes on
+   another pipeline. */
 START_TEST (test_stream_goes_on_when_its_first_engine_is_lost)
 {
   caller_t caller;
@@ -126,8 +126,9 @@
 }
 END_TEST
 
-/* Both engines that can be first are frozen in turn, and the rule allows two
-   attempts: the second one is not broken off, as its engine may wake. */
+/* Both engines with the first layers are stopped in turn, and the rule allows
+   two attempts: the second attempt is not aborted, as its engine may continue.
+   */
 START_TEST (test_stream_waits_where_it_may_not_be_sent_again)
 {
   caller_t caller;
@@ -155,13 +156,13 @@
 }
 END_TEST
 
-/* Both engines with the first layers end while a stream runs, and others get
-   those layers a moment later: the stream goes on there. A host whose other
-   engines had no room broke such streams off 8 ms after the end
-   (reason="no endpoint to go on at" events=106). The one without the stream
-   ends first: where it was sent there in the instant of that end (sent_us=153
-   net=broken), two attempts may have run, which is all that the rule allows,
-   and it is broken off. */
+/* Both engines with the first layers crash during a stream, and other engines
+   get these layers a moment later: the stream resumes there. A host whose
+   other engines had no capacity aborted such streams 8 ms after the crash
+   (reason="no endpoint to go on at" events=106). The engine without the stream
+   is killed first: if the stream were sent to it just as it ends (sent_us=153
+   net=broken), two attempts might have run, which is the rule's maximum, and
+   the stream would be aborted. */
 START_TEST (test_stream_waits_for_somewhere_to_go_on)
 {
   caller_t caller;
@@ -184,8 +185,8 @@
 }
 END_TEST
 
-/* An engine further down dies: the stream stays where it is and is moved
-   around it. */
+/* An engine after the first is killed: the stream stays at its first engine
+   and is rerouted around the lost one. */
 START_TEST (test_stream_is_moved_around_a_lost_engine)
 {
   char at[64];
@@ -217,14 +218,14 @@
   caller_join (&caller);
   assert_stream_complete (&caller.reply);
   reply_free (&caller.reply);
-  for (i = 0; i < SITE_ENGINES; i++) /* it was sent to no other one */
+  for (i = 0; i < SITE_ENGINES; i++) /* no other engine received the request */
     if (site.engines[i].pid)
       ck_assert_int_eq (member_value (&site.engines[i], "runs"), i == first);
 }
 END_TEST
 
-/* The engine lives but is out of its neighbour's reach: only the first one
-   knows. */
+/* An engine is alive, but the one before it can't reach it; only the first
+   engine knows. */
 START_TEST (test_stream_is_moved_around_an_engine_out_of_reach)
 {
   char at[64];
@@ -253,7 +254,8 @@
 }
 END_TEST
 
-/* A payment whose answer is lost is not sent again, and not called refused. */
+/* A payment whose response is lost is not retried, and is not reported as
+   refused. */
 START_TEST (test_relay_unsafe_runs_once_when_its_answer_is_lost)
 {
   reply_t reply;
@@ -284,8 +286,8 @@
 }
 END_TEST
 
-/* All refuse: the caller is told at once that nothing ran, and when to come
-   back. */
+/* All workers refuse: the caller is told at once that nothing ran, and when to
+   retry. */
 START_TEST (test_relay_refusal_is_true_and_says_when)
 {
   char header[64];
@@ -314,7 +316,7 @@
 }
 END_TEST
 
-/* A hanging worker: the answer comes at the rule's time limit. */
+/* The workers hang: the response is sent at the rule's timeout. */
 START_TEST (test_relay_ends_at_the_time_limit)
 {
   reply_t reply;
@@ -327,8 +329,8 @@
 }
 END_TEST
 
-/* The caller leaves while its request waits, or its stream runs: the work is
-   ended at the endpoint. */
+/* The caller disconnects during its stream: the work is cancelled at the
+   endpoint. */
 START_TEST (test_relay_caller_that_leaves_ends_the_work)
 {
   caller_t caller;
@@ -352,8 +354,8 @@
 }
 END_TEST
 
-/* A key that was taken away is refused by all hosts, and a host that can't
-   know refuses too. */
+/* A revoked key is refused by all hosts. A host that can't reach the store
+   refuses requests too. */
 START_TEST (test_relay_key_taken_away_is_refused)
 {
   reply_t reply;
@@ -379,7 +381,7 @@
     }
   ck_assert_int_eq (status, 200);
   site_store_mute (1);
-  for (host = 0; host < 2; host++) /* one of them hears it from the other */
+  for (host = 0; host < 2; host++) /* one learns it from the other */
     {
       status = 200;
       for (i = 0; i < WAIT_STEPS_MAX && status == 200; i++)
@@ -403,7 +405,7 @@
 }
 END_TEST
 
-/* The operators' bound of a body. */
+/* The limit of the body size, from the operators' configuration. */
 START_TEST (test_relay_body_over_the_bound_is_refused)
 {
   const char *headers[]
@@ -427,8 +429,8 @@
 }
 END_TEST
 
-/* A request that comes before the host knows its configuration is served once
-   it does; when the store does not answer, it is refused as not run. */
+/* A request that arrives before the host has its configuration waits and is
+   then served. If the store does not respond, it is refused as not run. */
 START_TEST (test_relay_waits_for_the_first_configuration)
 {
   caller_t caller;
@@ -451,7 +453,7 @@
 }
 END_TEST
 
-/* A configuration with a lower version changes nothing. */
+/* A configuration with a lower version is ignored. */
 START_TEST (test_relay_configuration_never_goes_back)
 {
   reply_t reply;
@@ -476,7 +478,7 @@
 }
 END_TEST
 
-/* An endpoint that leaves gets nothing new, from no host. */
+/* No host sends new requests to a draining endpoint. */
 START_TEST (test_relay_leaving_endpoint_gets_nothing_new)
 {
   reply_t reply;
@@ -503,7 +505,7 @@
 }
 END_TEST
 
-/* The planner's host dies: another one places layers on a new engine. */
+/* The planner's host is killed: another host places layers on a new engine. */
 START_TEST (test_planner_is_taken_over)
 {
   size_t i;
@@ -517,8 +519,8 @@
 }
 END_TEST
 
-/* The planner's host is stopped as planned while its stream runs on: it gives
-   the duty up at once. */
+/* The planner's host is stopped gracefully while its stream runs: it releases
+   the planner role at once. */
 START_TEST (test_planner_that_stops_gives_its_duty_up)
 {
   caller_t callers[2];
@@ -535,7 +537,7 @@
   proc_signal (&site.hosts[i], SIGTERM);
   metric_wait_min (&site.hosts[1 - i], "elmarch_planner", 1);
   pthread_mutex_lock (&callers[i].lock);
-  ck_assert_int_eq (callers[i].done, 0); /* the host that stops lives */
+  ck_assert_int_eq (callers[i].done, 0); /* the stopping host is still alive */
   pthread_mutex_unlock (&callers[i].lock);
   for (i = 0; i < 2; i++)
     {
@@ -546,8 +548,8 @@
 }
 END_TEST
 
-/* A planned stop: out of readiness and entry addresses at once, the stream
-   that runs ends whole. */
+/* A graceful stop: the host is no longer ready or listed as an entry address
+   at once, and its running stream completes. */
 START_TEST (test_relay_planned_stop_cuts_nothing)
 {
   caller_t caller;
--- a/tests/t_stop.c
+++ b/tests/t_stop.c
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Planned stops and entry addresses, with real processes.
+ * Tests of graceful stops and of entry addresses, with real processes.
  */
 #include <signal.h>
 #include <stdio.h>
@@ -13,13 +13,13 @@
 #include "cluster.h"
 #include "test.h"
 
-/* A stopping host that waits for nobody is gone after this: it looks every
-   50 ms. */
+/* Polls within which a stopping host that waits for no caller has exited: it
+   checks every 50 ms. */
 #define STOP_WAIT_STEPS 200
 
-/* kill() returns before the host has handled its signal, so what is sent right
-   after it may still be served. Wait until the host takes nothing new: it
-   refuses a request of no session, or it is gone. */
+/* kill() returns before the host has handled the signal, so requests sent
+   right after it may still be served. Waits until the host refuses a request
+   without a session, or has exited. */
 static void
 host_wait_stopping (size_t host)
 {
@@ -37,8 +37,8 @@
   while (status == 200);
 }
 
-/* SIGTERM while a stream runs: it ends whole, and what is new is refused as
-   not run. */
+/* SIGTERM during a stream: the stream completes, and new requests are refused
+   as not run. */
 START_TEST (test_planned_stop_cuts_nothing)
 {
   char *body = chat_body (PROMPT, 1, MAX_TOKENS, NULL, 0);
@@ -66,8 +66,9 @@
 }
 END_TEST
 
-/* A planned stop hands sessions and ledger to a successor: what ran is
-   answered as before, what is new runs there, through any host. */
+/* A graceful stop hands sessions and ledger over to a successor: calls that
+   ran get the same response again, and new calls run there, through any host.
+   */
 START_TEST (test_planned_stop_hands_the_sessions_over)
 {
   char session[640];
@@ -85,7 +86,7 @@
   ck_assert_int_eq (proc_end (&fixture.hosts[0], SIGTERM), 0);
   for (i = 1; i < 3; i++)
     {
-      do /* until the successor's news has come */
+      do /* until the host has learned of the handover */
         {
           send_payment (i, "t1", first, &reply);
           if (reply.status != 200)
@@ -102,8 +103,8 @@
       reply_free (&reply);
     }
   ck_assert_int_eq (proc_end (&fixture.hosts[1], SIGTERM), 0);
-  send_payment (2, "t1", first,
-                &reply); /* the last one, by whatever way they took */
+  send_payment (2, "t1", first, &reply); /* the last host has the sessions,
+                                            whichever hosts they passed */
   assert_verdict (&reply, 200, "ran");
   reply_free (&reply);
   send_payment (2, "t2", second, &reply);
@@ -114,8 +115,8 @@
 }
 END_TEST
 
-/* A call runs on at the host that stops; a duplicate through the successor
-   joins it, and a new one meanwhile runs at the successor. */
+/* A call continues on the stopping host. A duplicate sent to the successor
+   joins it, and a new call runs on the successor meanwhile. */
 START_TEST (test_planned_stop_with_a_call_under_way_runs_it_once)
 {
   char session[640];
@@ -140,8 +141,7 @@
   send_payment (1, "t2", second, &reply);
   assert_verdict (&reply, 200, "ran");
   reply_free (&reply);
-  send_payment (0, "t2", second,
-                &reply); /* the old home knows where it went */
+  send_payment (0, "t2", second, &reply); /* the home knows its successor */
   assert_verdict (&reply, 200, "ran");
   reply_free (&reply);
   send_payment (1, "t1", first, &reply);
@@ -155,9 +155,9 @@
 }
 END_TEST
 
-/* The successor does not answer: it may have taken the sessions. Sealed means
-   sealed: the old home runs nothing of them any more, whether the successor
-   comes back or is dead. */
+/* The successor does not respond and may have taken the sessions over. Once
+   they are sealed, the former home runs no call of theirs, whether the
+   successor continues or is dead. */
 START_TEST (test_handover_in_doubt_runs_nothing_twice)
 {
   char session[640];
@@ -203,8 +203,8 @@
 }
 END_TEST
 
-/* A stop waits until a slow caller has read its whole answer, which is more
-   than the connection holds on its way. */
+/* A graceful stop waits until a slow caller has read its whole response, which
+   is larger than the socket buffers. */
 START_TEST (test_planned_stop_waits_for_a_slow_caller)
 {
   static const size_t bytes = 7 << 20;
@@ -233,8 +233,8 @@
 }
 END_TEST
 
-/* A dead host leaves the entry addresses, a new one at its address joins
-   them. */
+/* A dead host is removed from the entry addresses; a new one at its address is
+   added. */
 START_TEST (test_entry_hosts_are_the_live_ones)
 {
   cluster_start (&fixture, 3);
--- a/tests/t_stream.c
+++ b/tests/t_stream.c
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Streams before real processes that fail.
+ * Tests of streams over real processes that fail.
  */
 #include <signal.h>
 #include <stdio.h>
@@ -38,7 +38,8 @@
   "{\"fault\":\"busy\",\"times\":1}",
 };
 
-/* Ask until the fault was met; each answer is whole all the same. */
+/* Sends requests until one has met the fault. Every response must be complete.
+ */
 static void
 chat_until_rebuilt (uint64_t rebuilds)
 {
@@ -54,8 +55,8 @@
   ck_abort_msg ("the fault was not met");
 }
 
-/* Each fault, at the first, a middle and the last stage: the stream goes on
-   over the other line, token for token. */
+/* Each fault, at the first, a middle and the last stage: the stream continues
+   on the other pipeline, with the same tokens. */
 START_TEST (test_stage_fault_leaves_the_answer_whole)
 {
   fixture.extra_flags[0] = "--call-limit-ms=300";
@@ -66,7 +67,8 @@
 }
 END_TEST
 
-/* Stall the stream on whichever line it runs, then take that engine away. */
+/* Stalls the stream on either pipeline, then sends SIGNAL to the engine where
+   it is stalled. */
 static void
 stall_then_signal (int signal)
 {
@@ -114,8 +116,8 @@
 }
 END_TEST
 
-/* Both engines of a stage die: the session is not dropped but waits, and ends
-   whole once one is back. */
+/* Both engines of a stage are killed: the stream is not aborted but waits, and
+   completes once one engine is back. */
 START_TEST (test_stream_outlives_the_loss_of_all_routes)
 {
   char *body = chat_body (PROMPT, 1, MAX_TOKENS, NULL, 0);
@@ -178,7 +180,8 @@
 }
 END_TEST
 
-/* Wait until at least one engine dropped what it held for a caller. */
+/* Waits until at least one engine has dropped the state of a cancelled
+   request. */
 static void
 wait_abandoned (void)
 {
@@ -215,7 +218,7 @@
 }
 END_TEST
 
-/* The same over HTTP/2: a stream, a call, a whole answer. */
+/* HTTP/2: a stream, a service call and a response without streaming. */
 START_TEST (test_callers_may_speak_http2)
 {
   char *body = chat_body (PROMPT, 0, 1000, NULL, 0);
@@ -237,8 +240,9 @@
 }
 END_TEST
 
-/* The connection is cut; the caller comes back with what it has, to the home
-   or to another host, which points to the home. */
+/* The caller loses its connection and resumes with the tokens that it
+   received, at the session's home or at another host, which redirects to the
+   home. */
 START_TEST (test_session_stream_resumes_after_a_cut_connection)
 {
   char session[640];
@@ -259,7 +263,7 @@
   caller_disconnect (&caller);
   caller_join (&caller);
   while (metric_value (&fixture.hosts[0], "elmarch_callers"))
-    ; /* until the host has seen that the caller is gone */
+    ; /* until the host has noticed the disconnect */
   n = stream_tokens (&caller.reply.body, received, MAX_TOKENS, &done);
   ck_assert_uint_ge (n, 1);
   free (body);
@@ -277,7 +281,8 @@
 }
 END_TEST
 
-/* The home dies: another host goes on from the tokens that the caller has. */
+/* The session's home is killed: another host resumes the stream after the
+   tokens that the caller has. */
 START_TEST (test_session_stream_resumes_after_its_host_died)
 {
   char session[640];
@@ -302,7 +307,7 @@
   free (body);
   body = chat_body (PROMPT, 1, MAX_TOKENS, received, n);
   if (_i == 1)
-    host_start (&fixture, 0); /* a later incarnation at the same address */
+    host_start (&fixture, 0); /* a new incarnation at the same address */
   http_request ("POST", fixture.hosts[1].address, CHAT_PATH, body, headers,
                 &reply);
   assert_chat_stream (&reply, n);
--- a/tests/test.h
+++ b/tests/test.h
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * What the tests share.
+ * Declarations that the test programs share.
  */
 #ifndef ELMARCH_TEST_H
 #define ELMARCH_TEST_H
@@ -47,7 +47,7 @@
 Suite *stop_suite (void);
 Suite *agree_suite (void);
 
-/* Add a test unless ELMARCH_TEST names another. */
+/* Add a test if test_wanted admits it. */
 #define ADD(tcase, fn)                                                        \
   do                                                                          \
     {                                                                         \
