--- a/tests/expect.c
+++ b/tests/expect.c
@@ -39,7 +39,7 @@
   size_t m = stream_tokens (&reply->body, got, MAX_TOKENS, &done);
 
   ck_assert_int_eq (reply->status, 200);
-  ck_assert_msg (done, "no end: %s", reply->body.ptr);
+  ck_assert_msg (done, "no end marker: %s", reply->body.ptr);
   ck_assert_uint_eq (m, n - skip);
   ck_assert (memcmp (want + skip, got, m * sizeof *got) == 0);
 }
--- a/tests/site.c
+++ b/tests/site.c
@@ -403,7 +403,7 @@
         return;
       poll_sleep ();
     }
-  ck_abort_msg ("%zu engines hold layers", placed);
+  ck_abort_msg ("only %zu engines hold layers", placed);
 }
 
 void
--- a/tests/t_agree.c
+++ b/tests/t_agree.c
@@ -262,7 +262,7 @@
     if (metric_value (&fixture.hosts[i], "elmarch_platform_calls_total")
         == before[i])
       return i;
-  ck_abort_msg ("all hosts ask the platform");
+  ck_abort_msg ("all hosts watch the platform");
   return 0;
 }
 
--- a/tests/t_ends.c
+++ b/tests/t_ends.c
@@ -159,7 +159,7 @@
                         "elmarch_relay_barred_total"))
         return ended;
     }
-  ck_abort_msg ("it is not blocked");
+  ck_abort_msg ("the request was not blocked");
   return 0;
 }
 
--- a/tests/t_rest.c
+++ b/tests/t_rest.c
@@ -273,7 +273,7 @@
 
 /* Runs streams, and returns an engine that was the first of a path. */
 static const proc_t *
-last_entry_engine (void)
+entry_engine (void)
 {
   json_t *path;
   size_t i;
@@ -286,13 +286,13 @@
       if (path)
         return &site.engines[i];
     }
-  ck_abort_msg ("no engine was passed first");
+  ck_abort_msg ("no engine was the first of a path");
   return NULL;
 }
 
-/* The last engine on the path of the last stream that began at FIRST. */
+/* An engine after FIRST on the path of the last stream that began there. */
 static const proc_t *
-last_engine_of_path (const proc_t *first)
+later_engine_of_path (const proc_t *first)
 {
   json_t *path = last_path (first);
   const proc_t *last = NULL;
@@ -353,8 +353,8 @@
 
   site.step_us = "1000";
   site_start (1);
-  first = last_entry_engine ();
-  named = last_engine_of_path (first);
+  first = entry_engine ();
+  named = later_engine_of_path (first);
   snprintf (text, sizeof text,
             "{\"kinds\":[\"requests\"],\"status\":503,\"asked\":[\"60\"],"
             "\"span_ms\":60000,\"at\":\"%s\"}",
--- a/tests/t_site.c
+++ b/tests/t_site.c
@@ -22,7 +22,7 @@
   for (i = 0; i < SITE_ENGINES; i++)
     if (site.engines[i].pid && member_value (&site.engines[i], "runs"))
       return i;
-  ck_abort_msg ("no engine runs");
+  ck_abort_msg ("no engine runs a stream");
   return 0;
 }
 
@@ -350,7 +350,7 @@
         return;
       poll_sleep ();
     }
-  ck_abort_msg ("the engine still works");
+  ck_abort_msg ("the engine did not cancel the request");
 }
 END_TEST
 
--- a/tests/t_stream.c
+++ b/tests/t_stream.c
@@ -52,7 +52,7 @@
           >= rebuilds)
         return;
     }
-  ck_abort_msg ("the fault was not met");
+  ck_abort_msg ("no request met the fault");
 }
 
 /* Each fault, at the first, a middle and the last stage: the stream continues
