--- a/tests/t_ends.c
+++ b/tests/t_ends.c
@@ -3,15 +3,15 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Requests that end the endpoints which run them, with real processes.
+ * Tests of requests that crash the endpoints which run them, with real
+ * processes.
  *
  * One caller sent the same request again and again, and each engine that
- * began to run it ended, with the fifty streams that it carried. Every arrival
- * was a new request to the host that took it: sent once, sent again elsewhere,
- * and forgotten with its answer. On one day 14 engines ended under one
- * request, and twice no engine with the first layers was left for four
- * seconds. What settled it were two lines of one host, and others like them
- * elsewhere:
+ * started it crashed, along with the fifty streams that it ran. Hosts
+ * treated every arrival as a new request: they sent it, retried it on
+ * another engine, and forgot it with the response. On one day 14 engines
+ * crashed under one request, and twice no engine with the first layers was
+ * left for four seconds. Log lines of a host, with similar ones on others:
  *
  *   event=attempt_failed endpoint=i-e27376682a net=broken status=200
  *     attempt=1 events=0 next=again
@@ -26,55 +26,58 @@
 #include "site.h"
 #include "test.h"
 
-#define DEADLY "a deadly roster"
-/* Arrivals of it, at the hosts in turn. */
+#define CRASHING_BODY "a deadly roster"
+/* Number of times that it is sent, to the hosts in turn. */
 #define ARRIVALS 8
-/* Ends under one request that can be told from chance. */
-#define ENDS_MOST 3
-/* Engines that end under one kind of order: all four are given it at once, and
-   again before the first three are known to have ended. */
-#define FALLS_MOST (2 * SITE_ENGINES)
-/* Steps without an end: engines are given orders every 0.2 s. */
+/* Most engines that one request may crash: fewer crashes may be a coincidence.
+ */
+#define CRASHES_MAX 3
+/* Most engines that crash under one kind of order: all four receive it at
+   once, and again before the first three crashes are known. */
+#define ORDER_CRASHES_MAX (2 * SITE_ENGINES)
+/* Polls without a crash; the planner sends orders every 0.2 s. */
 #define QUIET_STEPS 600
-/* From an engine's end to its next start; on the platform it takes seconds. */
-#define BACK_STEPS 150
+/* Polls from an engine's crash to its restart; on the platform it takes
+   seconds. */
+#define RESTART_STEPS 150
 
-/* From now on the engines cut their streams first and then take 0.3 s to end.
- */
+/* Makes crashing engines close their streams first and exit 0.3 s later. */
 static void
-engines_linger (void)
+engines_crash_slowly (void)
 {
   reply_t reply;
   size_t i;
 
   for (i = 0; i < SITE_ENGINES; i++)
     {
-      http ("POST", site.engines[i].address, "/linger", "{}", NULL, &reply);
+      http_request ("POST", site.engines[i].address, "/linger", "{}", NULL,
+                    &reply);
       reply_free (&reply);
     }
 }
 
-/* Engines that ended under the arrival which REPLY answers, started again. One
-   at least is ending when it had run; its process may take a moment longer
-   than the answer. */
+/* Replaces the engines that crashed under the request that REPLY answers, and
+   returns their number. If the request ran, at least one is crashing; its
+   process may end a moment after the response. */
 static size_t
-ends_back (const reply_t *reply)
+crashed_engines_replace (const reply_t *reply)
 {
-  size_t n = site_engines_back ();
+  size_t n = site_engines_replace ();
   size_t i;
 
-  for (i = 0; i < WAIT_STEPS && n == 0 && reply->status == 502; i++)
+  for (i = 0; i < WAIT_STEPS_MAX && n == 0 && reply->status == 502; i++)
     {
-      pause_step ();
-      n = site_engines_back ();
+      poll_sleep ();
+      n = site_engines_replace ();
     }
   return n;
 }
 
-/* Each arrival finds all engines back, and the hosts have had the time to tell
-   each other. From the second arrival on engines end SLOWLY. */
+/* Each request is sent once all engines are back and the hosts have had time
+   to gossip. If SLOW_CRASH, engines crash slowly from the second request on.
+   */
 static void
-ends_few (int slowly)
+assert_few_crashes (int slow_crash)
 {
   char id[16];
   char header[64];
@@ -84,15 +87,15 @@
   long status = 0;
   size_t i;
 
-  site_open (2);
+  site_start (2);
   for (i = 0; i < ARRIVALS; i++)
     {
       snprintf (id, sizeof id, "d%zu", i);
-      if (slowly && i)
-        engines_linger ();
-      ask_body (i % 2, "/chat/x", DEADLY, id, &reply);
-      ended += ends_back (&reply);
-      ck_assert_uint_le (ended, ENDS_MOST);
+      if (slow_crash && i)
+        engines_crash_slowly ();
+      send_request_body (i % 2, "/chat/x", CRASHING_BODY, id, &reply);
+      ended += crashed_engines_replace (&reply);
+      ck_assert_uint_le (ended, CRASHES_MAX);
       status = reply.status;
       reply_header (&reply, "retry-after", header, sizeof header);
       reply_free (&reply);
@@ -103,39 +106,42 @@
     {
       stream_start (&caller, i, "s1");
       caller_join (&caller);
-      stream_whole (&caller.reply);
+      assert_stream_complete (&caller.reply);
       reply_free (&caller.reply);
     }
 }
 
 START_TEST (test_request_that_ends_engines_is_not_sent_for_ever)
 {
-  ends_few (0);
+  assert_few_crashes (0);
 }
 END_TEST
 
-/* A fourth engine ended under one request, whose blame was plain after the
-   third. The third engine had cut its streams and still held its port: nothing
-   told yet that it was ending, and the request was sent on at once, as after a
-   broken connection. The host of the second arrival heard of the third end
-   when it had sent the request to the fourth engine 40 ms before:
-   event=endpoint_ended endpoint=e0-6be99d7ed4 sign=gone runs=1
-   event=endpoint_ended endpoint=e3-6beb4e4f24 sign=gone runs=1
-   event=request_blocked by=ends ends=4
-   event=blocked_for_end endpoint=e0-6be99d7ed4 age_us=120487 ran_us=31018
-   event=blocked_for_end endpoint=e3-6beb4e4f24 age_us=80613 ran_us=33991
-   A suspect now waits until its last run is known to have ended its endpoint,
-   or not. */
+/* A fourth engine crashed under one request, although the third crash had
+   identified the request as the cause. The third engine had closed its streams
+   but still held its port: nothing showed yet that it was crashing, and the
+   request was retried at once, as after a broken connection. The host that got
+   the second arrival learned of the third crash 40 ms after it had sent the
+   request to the fourth engine:
+
+     event=endpoint_ended endpoint=e0-6be99d7ed4 sign=gone runs=1
+     event=endpoint_ended endpoint=e3-6beb4e4f24 sign=gone runs=1
+     event=request_blocked by=ends ends=4
+     event=blocked_for_end endpoint=e0-6be99d7ed4 age_us=120487 ran_us=31018
+     event=blocked_for_end endpoint=e3-6beb4e4f24 age_us=80613 ran_us=33991
+
+   A suspect request now waits until it is known whether its last run crashed
+   the endpoint. */
 START_TEST (test_request_that_ends_engines_slowly_is_not_sent_for_ever)
 {
-  ends_few (1);
+  assert_few_crashes (1);
 }
 END_TEST
 
-/* Send it until it is refused as being to blame; gives the engines that ended
-   on the way. */
+/* Sends the crashing request until it is refused as blocked. Returns the
+   number of engines that crashed. */
 static size_t
-deadly_block (void)
+send_until_blocked (void)
 {
   char id[16];
   reply_t reply;
@@ -145,51 +151,54 @@
   for (i = 0; i < ARRIVALS; i++)
     {
       snprintf (id, sizeof id, "d%zu", i);
-      ask_body (i % site.nhosts, "/chat/x", DEADLY, id, &reply);
-      ended += site_engines_back ();
+      send_request_body (i % site.nhosts, "/chat/x", CRASHING_BODY, id,
+                         &reply);
+      ended += site_engines_replace ();
       reply_free (&reply);
-      if (metric (&site.hosts[i % site.nhosts], "elmarch_relay_barred_total"))
+      if (metric_value (&site.hosts[i % site.nhosts],
+                        "elmarch_relay_barred_total"))
         return ended;
     }
-  ck_abort_msg ("it is not blocked");
+  ck_abort_msg ("the request was not blocked");
   return 0;
 }
 
-/* It is refused by HOST, and ends nothing. */
+/* HOST must refuse the crashing request, and no engine may crash. */
 static void
-deadly_barred (size_t host, const char *id)
+assert_blocked (size_t host, const char *id)
 {
   reply_t reply;
 
-  ask_body (host, "/chat/x", DEADLY, id, &reply);
+  send_request_body (host, "/chat/x", CRASHING_BODY, id, &reply);
   ck_assert_int_eq (reply.status, 503);
   ck_assert_ptr_nonnull (strstr (reply.body.ptr, "ends endpoints"));
   reply_free (&reply);
-  ck_assert_uint_eq (site_engines_back (), 0);
+  ck_assert_uint_eq (site_engines_replace (), 0);
 }
 
-/* A host that starts has been told before it serves; so has each of them when
-   all were lost at once, as the store has kept it. */
+/* A host that starts learns of a blocked request before it serves. So do all
+   hosts after all were lost at once, as the store keeps the block. */
 START_TEST (test_blocked_request_is_known_to_hosts_that_start)
 {
   size_t i;
 
-  site_open (2);
-  deadly_block ();
+  site_start (2);
+  send_until_blocked ();
   proc_end (&site.hosts[1], SIGKILL);
   site_host_start (1);
-  deadly_barred (1, "e1");
+  assert_blocked (1, "e1");
   for (i = 0; i < 2; i++)
     proc_end (&site.hosts[i], SIGKILL);
   for (i = 0; i < 2; i++)
     site_host_start (i);
   for (i = 0; i < 2; i++)
-    deadly_barred (i, i ? "f1" : "f0");
+    assert_blocked (i, i ? "f1" : "f0");
 }
 END_TEST
 
-/* Others of the same customer and rule run on engines that it ends: each of
-   their streams comes whole, and none is taken for it. */
+/* Other requests of the same customer and rule run on the engines that crash:
+   none of their streams that begins is incomplete, and no host blocks more
+   than one request. */
 START_TEST (test_streams_beside_a_deadly_request_come_whole)
 {
   caller_t callers[6];
@@ -199,7 +208,7 @@
   size_t k;
 
   site.step_us = "20000";
-  site_open (2);
+  site_start (2);
   for (k = 0; k < 4; k++)
     {
       for (i = 0; i < 6; i++)
@@ -210,30 +219,30 @@
       for (i = 0; i < 6; i++)
         caller_wait_body (&callers[i], 30);
       snprintf (id, sizeof id, "d%zu", k);
-      ask_body (k % 2, "/chat/x", DEADLY, id, &reply);
+      send_request_body (k % 2, "/chat/x", CRASHING_BODY, id, &reply);
       reply_free (&reply);
       for (i = 0; i < 6; i++)
         {
           caller_join (&callers[i]);
           if (callers[i].reply.status == 200)
-            stream_whole (&callers[i].reply);
+            assert_stream_complete (&callers[i].reply);
           reply_free (&callers[i].reply);
         }
-      site_engines_back ();
+      site_engines_replace ();
     }
   for (i = 0; i < 2; i++)
     {
       ck_assert_uint_le (
-          metric (&site.hosts[i], "elmarch_relay_blocked_total"), 1);
+          metric_value (&site.hosts[i], "elmarch_relay_blocked_total"), 1);
       stream_start (&callers[0], i, "t");
       caller_join (&callers[0]);
-      stream_whole (&callers[0].reply);
+      assert_stream_complete (&callers[0].reply);
       reply_free (&callers[0].reply);
     }
 }
 END_TEST
 
-/* The operator sees it, and lets it in again at all hosts. */
+/* An operator sees the blocked request and unblocks it on all hosts. */
 START_TEST (test_blocked_request_is_let_in_by_an_operator)
 {
   char path[64];
@@ -243,9 +252,9 @@
   size_t before;
   int i;
 
-  site_open (2);
-  deadly_block ();
-  list = site_oper (0, "GET", "/admin/v1/blocked");
+  site_start (2);
+  send_until_blocked ();
+  list = site_admin_request (0, "GET", "/admin/v1/blocked");
   ck_assert_uint_eq (json_array_size (list), 1);
   digest = json_string_value (
       json_object_get (json_array_get (list, 0), "digest"));
@@ -253,21 +262,21 @@
       json_string_value (json_object_get (json_array_get (list, 0), "state")),
       "blocked");
   snprintf (path, sizeof path, "/admin/v1/blocked/%s", digest);
-  json_decref (site_oper (1, "DELETE", path));
+  json_decref (site_admin_request (1, "DELETE", path));
   json_decref (list);
   before = 0;
-  for (i = 0; i < WAIT_STEPS && !before; i++)
-    { /* the other host hears of it in a moment */
-      ask_body (0, "/chat/x", DEADLY, "g", &reply);
+  for (i = 0; i < WAIT_STEPS_MAX && !before; i++)
+    { /* the other host learns of it a moment later */
+      send_request_body (0, "/chat/x", CRASHING_BODY, "g", &reply);
       before = reply.status != 503;
       reply_free (&reply);
     }
   ck_assert_uint_eq (before, 1);
-  ck_assert_uint_ge (site_engines_back (), 1);
+  ck_assert_uint_ge (site_engines_replace (), 1);
 }
 END_TEST
 
-/* Plain workers, and a request that runs once only: three of them end. */
+/* Workers, and a request that is never retried: four of them crash at most. */
 START_TEST (test_request_that_ends_workers_is_not_sent_for_ever)
 {
   char id[16];
@@ -275,25 +284,25 @@
   size_t ended = 0;
   size_t i;
 
-  site_open (2);
+  site_start (2);
   for (i = 0; i < ARRIVALS; i++)
     {
       snprintf (id, sizeof id, "w%zu", i);
-      ask_body (i % 2, "/pay/x", DEADLY, id, &reply);
+      send_request_body (i % 2, "/pay/x", CRASHING_BODY, id, &reply);
       ck_assert_int_ne (reply.status, 200);
-      ended += site_workers_back ();
-      ck_assert_uint_le (ended, ENDS_MOST + 1);
+      ended += site_workers_replace ();
+      ck_assert_uint_le (ended, CRASHES_MAX + 1);
       reply_free (&reply);
     }
-  ask (0, "POST", "/pay/x", "p", &reply);
+  send_request (0, "POST", "/pay/x", "p", &reply);
   ck_assert_int_eq (reply.status, 200);
   reply_free (&reply);
 }
 END_TEST
 
-/* What the operators say of the card is wrong: each engine ends under its
-   order and starts again empty. They are not given it for ever, also not by
-   the host that plans next. */
+/* The operators' memory size of the card is wrong: each engine crashes under
+   its order and restarts empty. The planner stops sending the order, and so
+   does the planner that takes over. */
 START_TEST (test_order_that_ends_engines_is_not_given_for_ever)
 {
   size_t ended = 0;
@@ -301,33 +310,34 @@
   size_t i;
   int quiet;
 
-  site.layers_most = "1";
-  site_open_unplaced (2);
+  site.max_layers = "1";
+  site_start_unplaced (2);
   for (quiet = 0; quiet < QUIET_STEPS; quiet++)
     {
       last = ended;
-      if (quiet % BACK_STEPS == BACK_STEPS - 1)
-        ended += site_engines_restart ();
-      ck_assert_uint_le (ended, FALLS_MOST);
+      if (quiet % RESTART_STEPS == RESTART_STEPS - 1)
+        ended += site_engines_replace_nowait ();
+      ck_assert_uint_le (ended, ORDER_CRASHES_MAX);
       if (ended != last)
         quiet = 0;
-      pause_step ();
+      poll_sleep ();
     }
-  ck_assert_uint_ge (ended, ENDS_MOST);
-  i = metric (&site.hosts[0], "elmarch_planner") ? 0 : 1;
+  ck_assert_uint_ge (ended, CRASHES_MAX);
+  i = metric_value (&site.hosts[0], "elmarch_planner") ? 0 : 1;
   proc_end (&site.hosts[i], SIGKILL);
-  metric_wait (&site.hosts[1 - i], "elmarch_planner", 1);
+  metric_wait_min (&site.hosts[1 - i], "elmarch_planner", 1);
   for (quiet = 0; quiet < QUIET_STEPS; quiet++)
     {
-      ck_assert_uint_eq (site_engines_restart (), 0);
-      pause_step ();
+      ck_assert_uint_eq (site_engines_replace_nowait (), 0);
+      poll_sleep ();
     }
 }
 END_TEST
 
-/* The payment hangs at a worker, which is killed; gives how many ended. */
+/* The payment hangs at a worker, which is then killed. Returns the number of
+   workers that ended. */
 static size_t
-pay_under_an_end (size_t host, const char *id)
+crash_worker_during_payment (size_t host, const char *id)
 {
   caller_t caller;
   const char *headers[] = { "host: rel.example", id, NULL };
@@ -336,48 +346,51 @@
 
   for (i = 0; i < SITE_WORKERS; i++)
     {
-      ran[i] = member_number (&site.workers[i], "runs");
-      fault (&site.workers[i], "{\"fault\":\"hang\"}");
+      ran[i] = member_value (&site.workers[i], "runs");
+      set_fault (&site.workers[i], "{\"fault\":\"hang\"}");
     }
-  caller_start (&caller, site.entries[host].address, "/pay/x", "body", headers,
-                0);
-  for (i = 0; member_number (&site.workers[i], "runs") == ran[i];
+  caller_start (&caller, site.entry_addrs[host].address, "/pay/x", "body",
+                headers, 0);
+  for (i = 0; member_value (&site.workers[i], "runs") == ran[i];
        i = (i + 1) % SITE_WORKERS)
-    pause_step ();
+    poll_sleep ();
   proc_end (&site.workers[i], SIGKILL);
   caller_join (&caller);
   ck_assert_int_eq (caller.reply.status, 502);
   reply_free (&caller.reply);
   for (i = 0; i < SITE_WORKERS; i++)
     if (site.workers[i].pid)
-      fault (&site.workers[i], "{\"fault\":\"none\"}");
-  return site_workers_back ();
+      set_fault (&site.workers[i], "{\"fault\":\"none\"}");
+  return site_workers_replace ();
 }
 
-/* A payment that comes often was under way at one host when an endpoint ended,
-   and again at the next end a while later; in between another host, or the
-   same, had it served well. It was refused for ten minutes as the one that
-   ends endpoints. A host told the others that a request ran well only if it
-   had run under two ends by then, so that those who heard of two ends took it
-   for one that had done nothing but end endpoints: request_blocked by=ends
-   ends=2 odds=24 holds=1 left_us=599724755 blocked_for_end
-   endpoint=w1-5dde3a43f5 age_us=876151 ran_us=5829 first=1 blocked_for_end
-   endpoint=w0-5dddd9c771 age_us=275259 ran_us=585 first=1 request_blocked
-   by="another host" ends=1 odds=0 holds=1 */
+/* A frequent payment was running when an endpoint ended, and again when
+   another did a while later. In between, another host or the same one had run
+   it successfully. It was blocked for ten minutes as a request that crashes
+   endpoints: hosts gossiped a successful run only if the request had run under
+   two crashes by then, so hosts that learned of two crashes knew of no
+   success:
+
+     request_blocked by=ends ends=2 odds=24 holds=1 left_us=599724755
+     blocked_for_end endpoint=w1-5dde3a43f5 age_us=876151 ran_us=5829 first=1
+     blocked_for_end endpoint=w0-5dddd9c771 age_us=275259 ran_us=585 first=1
+     request_blocked by="another host" ends=1 odds=0 holds=1 */
 START_TEST (test_request_that_ran_well_elsewhere_is_not_blocked)
 {
   reply_t reply;
   size_t i;
 
-  site_open (2);
-  ck_assert_uint_eq (pay_under_an_end (1, "x-elmarch-request-id: p1"), 1);
-  ask ((size_t)_i, "POST", "/pay/x", "p2", &reply);
+  site_start (2);
+  ck_assert_uint_eq (
+      crash_worker_during_payment (1, "x-elmarch-request-id: p1"), 1);
+  send_request ((size_t)_i, "POST", "/pay/x", "p2", &reply);
   ck_assert_int_eq (reply.status, 200);
   reply_free (&reply);
-  ck_assert_uint_eq (pay_under_an_end (1, "x-elmarch-request-id: p3"), 1);
+  ck_assert_uint_eq (
+      crash_worker_during_payment (1, "x-elmarch-request-id: p3"), 1);
   for (i = 0; i < 2; i++)
     {
-      ask (i, "POST", "/pay/x", i ? "p4" : "p5", &reply);
+      send_request (i, "POST", "/pay/x", i ? "p4" : "p5", &reply);
       ck_assert_msg (reply.status == 200, "%ld %s", reply.status,
                      reply.body.ptr);
       reply_free (&reply);
--- a/tests/t_once.c
+++ b/tests/t_once.c
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Calls that may not be repeated, and refusals, before real processes that
- * fail.
+ * Tests of calls that must run at most once, and of refusals, over real
+ * processes that fail.
  */
 #include <signal.h>
 #include <stdio.h>
@@ -14,25 +14,27 @@
 #include "cluster.h"
 #include "test.h"
 
-/* Open a session that is not used, once the host has a configuration. */
+/* Opens an unused session on a host, once it has a configuration. Does nothing
+   if the host is not running. */
 static void
-session_open_at (size_t host)
+open_unused_session (size_t host)
 {
   reply_t reply;
 
-  if (!c.hosts[host].pid)
+  if (!fixture.hosts[host].pid)
     return;
   do
     {
-      http ("POST", c.hosts[host].address, "/v1/sessions", "", NULL, &reply);
+      http_request ("POST", fixture.hosts[host].address, "/v1/sessions", "",
+                    NULL, &reply);
       reply_free (&reply);
     }
   while (reply.status == 503);
   ck_assert_int_eq (reply.status, 201);
 }
 
-/* Duplicates: in a row and crossed with the first, at the home and at another
-   host. All get one answer; the worker ran it once. */
+/* Duplicates, sequential and concurrent, at the session's home and at other
+   hosts, all get the same response, and the worker runs the call once. */
 START_TEST (test_duplicates_run_once)
 {
   char session[640];
@@ -41,32 +43,32 @@
   reply_t reply;
   size_t i;
 
-  cluster_open (&c, 3);
+  cluster_start (&fixture, 3);
   for (i = 0; i < 2; i++)
-    fault (&c.workers[i], "{\"fault\":\"slow\",\"delay_ms\":150}");
-  session_open (&c.hosts[0], session, sizeof session);
+    set_fault (&fixture.workers[i], "{\"fault\":\"slow\",\"delay_ms\":150}");
+  session_open (&fixture.hosts[0], session, sizeof session);
   for (i = 0; i < 6; i++)
-    caller_start (&callers[i], c.hosts[i % 3].address, PAY, "{\"id\":\"t1\"}",
-                  headers, 0);
+    caller_start (&callers[i], fixture.hosts[i % 3].address, PAY_PATH,
+                  "{\"id\":\"t1\"}", headers, 0);
   for (i = 0; i < 6; i++)
     {
       caller_join (&callers[i]);
-      verdict_is (&callers[i].reply, 200, "ran");
+      assert_verdict (&callers[i].reply, 200, "ran");
       ck_assert_ptr_nonnull (strstr (callers[i].reply.body.ptr, "\"run\":1"));
       reply_free (&callers[i].reply);
     }
   for (i = 0; i < 3; i++)
     {
-      pay (i, "t1", headers, &reply);
-      verdict_is (&reply, 200, "ran");
+      send_payment (i, "t1", headers, &reply);
+      assert_verdict (&reply, 200, "ran");
       reply_free (&reply);
     }
-  ck_assert_int_eq (runs_all ("t1"), 1);
+  ck_assert_int_eq (payment_runs_total ("t1"), 1);
 }
 END_TEST
 
-/* The home restarts, or stays dead, after the first arrival ran: a duplicate
-   at any host is told that it may have run, and does not run. */
+/* The session's home restarts, or stays down, after the call ran: a duplicate
+   at any host is answered with "may have run", and does not run. */
 START_TEST (test_duplicate_after_the_home_is_gone_never_runs)
 {
   char session[640];
@@ -74,30 +76,31 @@
   reply_t reply;
   size_t i;
 
-  cluster_open (&c, 2);
-  session_open (&c.hosts[0], session, sizeof session);
-  pay (0, "t1", headers, &reply);
-  verdict_is (&reply, 200, "ran");
+  cluster_start (&fixture, 2);
+  session_open (&fixture.hosts[0], session, sizeof session);
+  send_payment (0, "t1", headers, &reply);
+  assert_verdict (&reply, 200, "ran");
   reply_free (&reply);
-  proc_end (&c.hosts[0], SIGKILL);
+  proc_end (&fixture.hosts[0], SIGKILL);
   if (_i == 1)
-    host_start (&c, 0);
-  for (i = 0; i < 2; i++) /* sessions of the same number at the others */
-    session_open_at (i);
+    host_start (&fixture, 0);
+  for (i = 0; i < 2; i++) /* sessions with the same number as the lost one */
+    open_unused_session (i);
   for (i = 0; i < 2; i++)
     {
-      if (!c.hosts[i].pid)
+      if (!fixture.hosts[i].pid)
         continue;
-      pay (i, "t1", headers, &reply);
-      verdict_is (&reply, 409, "may-have-run");
+      send_payment (i, "t1", headers, &reply);
+      assert_verdict (&reply, 409, "may-have-run");
       reply_free (&reply);
     }
-  ck_assert_int_eq (runs_all ("t1"), 1);
+  ck_assert_int_eq (payment_runs_total ("t1"), 1);
 }
 END_TEST
 
-/* The home is frozen, not dead: the answer comes at once when its time is
-   over, it does not run elsewhere, and the home that thaws runs it once. */
+/* The session's home is stopped, not dead: another host answers at the
+   request's deadline and does not run the call. Once the home continues, the
+   call runs at most once. */
 START_TEST (test_duplicate_while_the_home_is_frozen_never_runs_elsewhere)
 {
   char session[640];
@@ -105,21 +108,21 @@
                             "x-elmarch-deadline-ms: 300", NULL };
   reply_t reply;
 
-  cluster_open (&c, 2);
-  session_open (&c.hosts[0], session, sizeof session);
-  session_open_at (1);
-  proc_signal (&c.hosts[0], SIGSTOP);
-  pay (1, "t1", headers, &reply);
-  verdict_is (&reply, 409, "may-have-run");
+  cluster_start (&fixture, 2);
+  session_open (&fixture.hosts[0], session, sizeof session);
+  open_unused_session (1);
+  proc_signal (&fixture.hosts[0], SIGSTOP);
+  send_payment (1, "t1", headers, &reply);
+  assert_verdict (&reply, 409, "may-have-run");
   reply_free (&reply);
-  ck_assert_int_eq (runs_all ("t1"), 0);
-  proc_signal (&c.hosts[0], SIGCONT);
+  ck_assert_int_eq (payment_runs_total ("t1"), 0);
+  proc_signal (&fixture.hosts[0], SIGCONT);
   headers[2] = NULL;
-  pay (1, "t1", headers, &reply);
+  send_payment (1, "t1", headers, &reply);
   reply_free (&reply);
-  pay (0, "t1", headers, &reply);
+  send_payment (0, "t1", headers, &reply);
   reply_free (&reply);
-  ck_assert_int_le (runs_all ("t1"), 1);
+  ck_assert_int_le (payment_runs_total ("t1"), 1);
 }
 END_TEST
 
@@ -128,8 +131,8 @@
   const char *fault;
   long status;
   const char *verdict;
-  json_int_t runs; /* at the workers that live; -1 when the one that ran it
-                      died */
+  json_int_t runs; /* at the running workers; -1 if the worker that ran it has
+                      crashed */
 } worker_faults[] = {
   { "{\"fault\":\"die-before\",\"times\":1}", 502, "may-have-run", -1 },
   { "{\"fault\":\"die-after\",\"times\":1}", 502, "may-have-run", -1 },
@@ -140,9 +143,9 @@
   { "{\"fault\":\"down\"}", 500, "ran", 0 },
 };
 
-/* The worker fails before, during or after the call, or loses its answer:
-   sent three times over, the payment runs at most once, and "not run" is said
-   only when it did not run. */
+/* The worker fails before, during or after the call, or its response is lost.
+   Sent three times, the payment runs at most once, and "not run" is reported
+   only if it did not run. */
 START_TEST (test_worker_fault_runs_at_most_once)
 {
   char session[640];
@@ -151,46 +154,48 @@
   reply_t reply;
   int i;
 
-  cluster_open (&c, 2);
-  session_open (&c.hosts[0], session, sizeof session);
-  fault (&c.workers[0], worker_faults[_i].fault);
-  fault (&c.workers[1], worker_faults[_i].fault);
+  cluster_start (&fixture, 2);
+  session_open (&fixture.hosts[0], session, sizeof session);
+  set_fault (&fixture.workers[0], worker_faults[_i].fault);
+  set_fault (&fixture.workers[1], worker_faults[_i].fault);
   for (i = 0; i < 3; i++)
     {
-      pay ((size_t)i % 2, "t1", headers, &reply);
-      verdict_is (&reply, worker_faults[_i].status, worker_faults[_i].verdict);
+      send_payment ((size_t)i % 2, "t1", headers, &reply);
+      assert_verdict (&reply, worker_faults[_i].status,
+                      worker_faults[_i].verdict);
       reply_free (&reply);
     }
   if (worker_faults[_i].runs >= 0)
-    ck_assert_int_eq (runs_all ("t1"), worker_faults[_i].runs);
+    ck_assert_int_eq (payment_runs_total ("t1"), worker_faults[_i].runs);
   else
-    /* One of them died with the call; the other never got it. */
-    ck_assert_int_eq (metric (&c.hosts[0], "elmarch_calls_total"), 1);
+    /* One worker crashed with the call; the other one never received it. */
+    ck_assert_int_eq (metric_value (&fixture.hosts[0], "elmarch_calls_total"),
+                      1);
 }
 END_TEST
 
-/* Nothing listens at the workers: refused as not run, and true. When one is
-   back, the same request, sent again, runs once. */
+/* No worker listens: the call is refused as not run, which is true. Sent again
+   after a worker has started, it runs once. */
 START_TEST (test_not_run_is_true_and_may_be_sent_again)
 {
   char session[640];
   const char *headers[] = { session, "x-elmarch-sequence: 1", NULL };
   reply_t reply;
 
-  cluster_open (&c, 1);
-  session_open (&c.hosts[0], session, sizeof session);
-  proc_end (&c.workers[0], SIGKILL);
-  proc_end (&c.workers[1], SIGKILL);
-  pay (0, "t1", headers, &reply);
-  verdict_is (&reply, 503, "not-run");
+  cluster_start (&fixture, 1);
+  session_open (&fixture.hosts[0], session, sizeof session);
+  proc_end (&fixture.workers[0], SIGKILL);
+  proc_end (&fixture.workers[1], SIGKILL);
+  send_payment (0, "t1", headers, &reply);
+  assert_verdict (&reply, 503, "not-run");
   ck_assert_ptr_nonnull (strstr (reply.head.ptr, "retry-after:"));
   reply_free (&reply);
-  worker_start (&c, 0);
-  ck_assert_int_eq (runs_all ("t1"), 0);
-  pay (0, "t1", headers, &reply);
-  verdict_is (&reply, 200, "ran");
+  worker_start (&fixture, 0);
+  ck_assert_int_eq (payment_runs_total ("t1"), 0);
+  send_payment (0, "t1", headers, &reply);
+  assert_verdict (&reply, 200, "ran");
   reply_free (&reply);
-  ck_assert_int_eq (runs_all ("t1"), 1);
+  ck_assert_int_eq (payment_runs_total ("t1"), 1);
 }
 END_TEST
 
@@ -203,54 +208,69 @@
   long status;
   const char *code;
 } bad_requests[] = {
-  { "POST", CHAT, { "authorization: Bearer nobody" }, "{}", 401, "unknown" },
-  { "POST", CHAT, { "authorization: Basic x" }, "{}", 401, "unknown" },
   { "POST",
-    PAY,
+    CHAT_PATH,
+    { "authorization: Bearer nobody" },
+    "{}",
+    401,
+    "unknown" },
+  { "POST", CHAT_PATH, { "authorization: Basic x" }, "{}", 401, "unknown" },
+  { "POST",
+    PAY_PATH,
     { "authorization: Bearer nobody" },
     "{\"id\":\"x\"}",
     401,
     "unknown" },
-  { "POST", CHAT, { NULL }, "{", 400, "bad-json" },
-  { "POST", CHAT, { NULL }, "[]", 400, "bad-json" },
-  { "POST", CHAT, { NULL }, "", 400, "bad-json" },
-  { "POST", CHAT, { NULL }, "{\"model\":\"sprach\"}", 400, "messages" },
-  { "POST", CHAT, { NULL }, "{\"model\":7,\"messages\":[]}", 400, "model" },
+  { "POST", CHAT_PATH, { NULL }, "{", 400, "bad-json" },
+  { "POST", CHAT_PATH, { NULL }, "[]", 400, "bad-json" },
+  { "POST", CHAT_PATH, { NULL }, "", 400, "bad-json" },
+  { "POST", CHAT_PATH, { NULL }, "{\"model\":\"sprach\"}", 400, "messages" },
+  { "POST",
+    CHAT_PATH,
+    { NULL },
+    "{\"model\":7,\"messages\":[]}",
+    400,
+    "model" },
   { "POST",
-    CHAT,
+    CHAT_PATH,
     { NULL },
     "{\"model\":\"a\",\"model\":\"b\"}",
     400,
     "bad-json" },
   { "POST",
-    CHAT,
+    CHAT_PATH,
     { NULL },
     "{\"model\":\"sprach\",\"messages\":[{\"role\":\"user\",\"content\":"
     "\"x\"}],\"wrong\":1}",
     400,
     "wrong: unknown field" },
   { "POST",
-    CHAT,
+    CHAT_PATH,
     { NULL },
     "{\"model\":\"sprach\",\"messages\":[{\"role\":\"user\",\"content\":"
     "\"x\"}],\"max_tokens\":0}",
     400,
     "max_tokens" },
   { "POST",
-    CHAT,
+    CHAT_PATH,
     { NULL },
     "{\"model\":\"none\",\"messages\":[{\"role\":\"user\",\"content\":"
     "\"x\"}]}",
     404,
     "not-found" },
-  { "POST", CHAT, { "x-elmarch-deadline-ms: soon" }, "{}", 400, "deadline" },
   { "POST",
-    CHAT,
+    CHAT_PATH,
+    { "x-elmarch-deadline-ms: soon" },
+    "{}",
+    400,
+    "deadline" },
+  { "POST",
+    CHAT_PATH,
     { "x-elmarch-session: v1~forged" },
     "{}",
     400,
     "bad-session" },
-  { "GET", CHAT, { NULL }, NULL, 405, "bad-method" },
+  { "GET", CHAT_PATH, { NULL }, NULL, 405, "bad-method" },
   { "GET", "/nothing", { NULL }, NULL, 404, "not-found" },
   { "POST", "/services/none/pay", { NULL }, "{}", 404, "not-found" },
   { "GET", "/admin/v1/customers", { NULL }, NULL, 401, "not-an-operator" },
@@ -262,21 +282,23 @@
     "not-an-operator" },
 };
 
-/* Each gets a clear answer, as not run, and nothing reaches an endpoint. */
+/* Each gets a specific error and "not run", and nothing reaches an endpoint.
+ */
 START_TEST (test_bad_requests_run_nothing)
 {
   size_t i;
   char *big = malloc (2 << 20);
   reply_t reply;
 
-  cluster_open (&c, 1);
+  cluster_start (&fixture, 1);
   for (i = 0; i < sizeof bad_requests / sizeof *bad_requests; i++)
     {
-      http (bad_requests[i].method, c.hosts[0].address, bad_requests[i].path,
-            bad_requests[i].body,
-            (const char *const[]){ bad_requests[i].headers[0], NULL }, &reply);
-      /* A request that names a session may have come before. */
-      verdict_is (
+      http_request (bad_requests[i].method, fixture.hosts[0].address,
+                    bad_requests[i].path, bad_requests[i].body,
+                    (const char *const[]){ bad_requests[i].headers[0], NULL },
+                    &reply);
+      /* A request with a session may be a duplicate of one that ran. */
+      assert_verdict (
           &reply, bad_requests[i].status,
           strstr (bad_requests[i].headers[0] ? bad_requests[i].headers[0] : "",
                   "session")
@@ -288,11 +310,13 @@
     }
   memset (big, 'x', 2 << 20);
   big[(2 << 20) - 1] = '\0';
-  http ("POST", c.hosts[0].address, CHAT, big, NULL, &reply);
+  http_request ("POST", fixture.hosts[0].address, CHAT_PATH, big, NULL,
+                &reply);
   ck_assert_int_eq (reply.status, 413);
   reply_free (&reply);
   free (big);
-  ck_assert_uint_eq (metric (&c.hosts[0], "elmarch_calls_total"), 0);
+  ck_assert_uint_eq (metric_value (&fixture.hosts[0], "elmarch_calls_total"),
+                     0);
 }
 END_TEST
 
--- a/tests/t_rest.c
+++ b/tests/t_rest.c
@@ -3,26 +3,27 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Endpoints that ask a host for rest, or say in their answers that they leave,
- * with real processes; what arrives in spite of it is counted by them.
+ * Tests of endpoints that ask for backoff, or announce in their responses
+ * that they drain, with real processes. The endpoints count the requests
+ * that arrive in spite of it.
  *
- * An engine with the first layers turned its requests away and asked each host
- * for three seconds of rest. The hosts went on sending to it: in 6 s 102
- * requests of seven hosts were turned away there, 70 of them between half a
- * second after the host was asked and the end of the three seconds. The lines
- * of one host:
+ * An engine with the first layers refused requests and asked each host for
+ * three seconds of backoff. The hosts continued to send to it: in 6 s it
+ * refused 102 requests of seven hosts, 70 of them between half a second
+ * after the host was asked and the end of the three seconds. Log lines of
+ * one host:
  *
  *   6.0754 event=attempt_failed endpoint=i-0762f0bff0 status=503 attempt=1
  *   6.2355 event=attempt_failed endpoint=i-0762f0bff0 status=503 attempt=1
  *   7.0104 event=attempt_failed endpoint=i-0762f0bff0 status=503 attempt=1
  *
- * The time that the answers named was read by nobody: what an endpoint asks of
- * a host was heard with one answer and lost with it. A refusal set the engine
- * aside for 100 ms, whatever it asked for, and each stream that ended well
- * there, of the hundreds that had begun before, ended that, too: one host was
- * turned away at 6.7184 and again at 6.7642, with two good ends between. That
- * an endpoint leaves was known from its entry in the store alone, though it
- * says so in every answer.
+ * No code read the time in the responses, and the request for backoff was
+ * forgotten with the response that held it. A refusal set the engine aside
+ * for 100 ms, whatever it asked for, and each of the hundreds of streams
+ * already running that completed there lifted even that: one host was
+ * refused at 6.7184 and again at 6.7642, with two completed streams in
+ * between. Draining endpoints were known from their registrations in the
+ * store alone, although they announce it in every response.
  */
 #include <signal.h>
 #include <stdio.h>
@@ -32,32 +33,32 @@
 #include "site.h"
 #include "test.h"
 
-/* Requests through the hosts in turn, far fewer than a rest lasts. */
-#define ASKED 80
+/* Number of requests through the hosts in turn; they take far less time than a
+   backoff. */
+#define REQUESTS 80
 #define STREAMS 40
-/* A good deal longer than until an order that came to nothing is given again.
- */
+/* Polls for a good deal longer than until a failed order is sent again. */
 #define ORDER_STEPS 800
-/* Far longer than a test's requests take. */
-#define LONG_REST                                                             \
+/* Far longer than the requests of a test take. */
+#define LONG_BACKOFF                                                          \
   "{\"kinds\":[\"requests\"],\"status\":503,\"asked\":[\"60\"],"              \
   "\"span_ms\":60000}"
 
 static void
-rest_set (const proc_t *member, const char *json)
+backoff_set (const proc_t *member, const char *json)
 {
   reply_t reply;
 
-  http ("POST", member->address, "/rest", json, NULL, &reply);
+  http_request ("POST", member->address, "/rest", json, NULL, &reply);
   ck_assert_int_eq (reply.status, 204);
   reply_free (&reply);
 }
 
-/* What arrived of KIND at a member, as far as NAME says. */
+/* Number of arrivals of KIND at a member, as counted under NAME. */
 static int64_t
-rest_count (const proc_t *member, const char *kind, const char *name)
+arrival_count (const proc_t *member, const char *kind, const char *name)
 {
-  json_t *json = http_json (member->address, "/rests");
+  json_t *json = http_get_json (member->address, "/rests");
   int64_t count = json_integer_value (
       json_object_get (json_object_get (json, kind), name));
 
@@ -66,57 +67,58 @@
 }
 
 static int64_t
-rests (const proc_t *member)
+backoff_count (const proc_t *member)
 {
-  json_t *json = http_json (member->address, "/rests");
+  json_t *json = http_get_json (member->address, "/rests");
   int64_t count = json_integer_value (json_object_get (json, "rests"));
 
   json_decref (json);
   return count;
 }
 
-/* One of the engines with the first layers. */
+/* An engine with the first layers. */
 static const proc_t *
 engine_with_first_layers (void)
 {
   size_t i;
 
   for (i = 0; i < SITE_ENGINES; i++)
-    if (member_number (&site.engines[i], "first") == 0)
+    if (member_value (&site.engines[i], "first") == 0)
       return &site.engines[i];
   ck_abort_msg ("no engine holds the first layers");
   return NULL;
 }
 
-/* Requests through the hosts in turn; all are served. */
+/* Sends requests through the hosts in turn. All must be served. */
 static void
-ask_often (void)
+send_requests (void)
 {
   char id[16];
   reply_t reply;
   size_t i;
 
-  for (i = 0; i < ASKED; i++)
+  for (i = 0; i < REQUESTS; i++)
     {
       snprintf (id, sizeof id, "a%zu", i);
-      ask (i % site.nhosts, "GET", "/look/x", id, &reply);
+      send_request (i % site.nhosts, "GET", "/look/x", id, &reply);
       ck_assert_int_eq (reply.status, 200);
       reply_free (&reply);
-      pause_step ();
+      poll_sleep ();
     }
 }
 
-/* Have the hosts know that the first plain endpoint is the quicker one. */
+/* Slows the second worker down, and sends requests until the hosts prefer the
+   first one. */
 static void
 prefer_first_worker (void)
 {
-  fault (&site.workers[1], "{\"fault\":\"slow\",\"delay_ms\":10}");
-  ask_often ();
+  set_fault (&site.workers[1], "{\"fault\":\"slow\",\"delay_ms\":10}");
+  send_requests ();
 }
 
-/* Streams through the hosts in turn; all come whole. */
+/* Runs streams through the hosts in turn. All must be complete. */
 static void
-stream_often (void)
+send_streams (void)
 {
   caller_t caller;
   char id[16];
@@ -127,33 +129,33 @@
       snprintf (id, sizeof id, "s%zu", i);
       stream_start (&caller, i % site.nhosts, id);
       caller_join (&caller);
-      stream_whole (&caller.reply);
+      assert_stream_complete (&caller.reply);
       reply_free (&caller.reply);
     }
 }
 
-/* A plain endpoint, then an engine, asks each of two hosts for rest once:
-   after that nothing of a caller comes there from them. */
+/* A worker, then an engine, asks each of two hosts once for backoff: no
+   requests of callers arrive there from these hosts until it expires. */
 START_TEST (test_endpoint_that_asks_for_rest_gets_none_in_it)
 {
   const proc_t *member;
 
   site.step_us = "1000";
-  site_open (2);
+  site_start (2);
   prefer_first_worker ();
   member = _i == 0 ? &site.workers[0] : engine_with_first_layers ();
-  rest_set (member, LONG_REST);
+  backoff_set (member, LONG_BACKOFF);
   if (_i == 0)
-    ask_often ();
+    send_requests ();
   else
-    stream_often ();
-  ck_assert_int_gt (rests (member), 0);
-  ck_assert_int_eq (rest_count (member, "requests", "in_rest"), 0);
+    send_streams ();
+  ck_assert_int_gt (backoff_count (member), 0);
+  ck_assert_int_eq (arrival_count (member, "requests", "in_rest"), 0);
 }
 END_TEST
 
-/* All plain endpoints ask for rest: who comes then is refused at once, with
-   the time until the first rest is over, and nothing arrives. */
+/* All workers ask for backoff: new requests are refused at once, with the time
+   until the first backoff expires, and nothing arrives at the workers. */
 START_TEST (test_all_endpoints_rest_and_callers_are_told_for_how_long)
 {
   char header[64];
@@ -161,15 +163,15 @@
   reply_t reply;
   size_t i;
 
-  site_open (1);
-  rest_set (&site.workers[0], LONG_REST);
-  rest_set (&site.workers[1], "{\"kinds\":[\"requests\"],\"status\":503,"
-                              "\"asked\":[\"7.5\"],\"span_ms\":7500}");
+  site_start (1);
+  backoff_set (&site.workers[0], LONG_BACKOFF);
+  backoff_set (&site.workers[1], "{\"kinds\":[\"requests\"],\"status\":503,"
+                                 "\"asked\":[\"7.5\"],\"span_ms\":7500}");
   for (i = 0; i < 10; i++)
     {
       snprintf (id, sizeof id, "r%zu", i);
-      ask (0, i % 2 ? "GET" : "POST", i % 2 ? "/look/x" : "/pay/x", id,
-           &reply);
+      send_request (0, i % 2 ? "GET" : "POST", i % 2 ? "/look/x" : "/pay/x",
+                    id, &reply);
       ck_assert_int_eq (reply.status, 503);
       ck_assert_str_eq (reply.body.ptr, "all endpoints rest");
       reply_header (&reply, "retry-after", header, sizeof header);
@@ -179,17 +181,19 @@
     }
   for (i = 0; i < 2; i++)
     {
-      ck_assert_int_eq (rest_count (&site.workers[i], "requests", "all"), 1);
-      ck_assert_int_eq (rest_count (&site.workers[i], "requests", "in_rest"),
-                        0);
+      ck_assert_int_eq (arrival_count (&site.workers[i], "requests", "all"),
+                        1);
+      ck_assert_int_eq (
+          arrival_count (&site.workers[i], "requests", "in_rest"), 0);
     }
-  ck_assert_uint_eq (metric (&site.hosts[0], "elmarch_relay_rested_total"),
-                     10);
-  ck_assert_uint_eq (metric (&site.hosts[0], "elmarch_relay_rests_total"), 2);
+  ck_assert_uint_eq (
+      metric_value (&site.hosts[0], "elmarch_relay_rested_total"), 10);
+  ck_assert_uint_eq (
+      metric_value (&site.hosts[0], "elmarch_relay_rests_total"), 2);
 }
 END_TEST
 
-/* It gets work again when its rest is over. */
+/* An endpoint receives requests again after its backoff. */
 START_TEST (test_endpoint_gets_work_again_after_its_rest)
 {
   const proc_t *member = &site.workers[0];
@@ -198,28 +202,30 @@
   int64_t before;
   int i;
 
-  site_open (1);
+  site_start (1);
   prefer_first_worker ();
-  rest_set (member, "{\"kinds\":[\"requests\"],\"status\":503,"
-                    "\"asked\":[\"1\"],\"span_ms\":1000}");
-  ask_often ();
-  ck_assert_int_gt (rests (member), 0);
-  rest_set (member, "{}");
-  before = member_number (member, "runs");
-  for (i = 0; i < WAIT_STEPS && member_number (member, "runs") == before; i++)
+  backoff_set (member, "{\"kinds\":[\"requests\"],\"status\":503,"
+                       "\"asked\":[\"1\"],\"span_ms\":1000}");
+  send_requests ();
+  ck_assert_int_gt (backoff_count (member), 0);
+  backoff_set (member, "{}");
+  before = member_value (member, "runs");
+  for (i = 0; i < WAIT_STEPS_MAX && member_value (member, "runs") == before;
+       i++)
     {
       snprintf (id, sizeof id, "w%d", i);
-      ask (0, "GET", "/look/x", id, &reply);
+      send_request (0, "GET", "/look/x", id, &reply);
       ck_assert_int_eq (reply.status, 200);
       reply_free (&reply);
     }
-  ck_assert_int_gt (member_number (member, "runs"), before);
-  ck_assert_int_eq (rest_count (member, "requests", "in_rest"), 0);
+  ck_assert_int_gt (member_value (member, "runs"), before);
+  ck_assert_int_eq (arrival_count (member, "requests", "in_rest"), 0);
 }
 END_TEST
 
-/* Its engine ends and the other one with the first layers rests: the stream
-   waits until that is over, as its caller has a part of it. */
+/* A stream's engine crashes while the other engine with the first layers is in
+   backoff: the stream waits for the end of the backoff, as its caller has
+   already received a part. */
 START_TEST (test_stream_begun_waits_for_the_end_of_a_rest)
 {
   const proc_t *other = NULL;
@@ -228,51 +234,51 @@
   size_t i;
 
   site.step_us = "20000";
-  site_open (1);
+  site_start (1);
   stream_start (&first, 0, "s1");
   caller_wait_body (&first, 60);
   for (i = 0; i < SITE_ENGINES; i++)
-    if (member_number (&site.engines[i], "first") == 0
-        && !member_number (&site.engines[i], "runs"))
+    if (member_value (&site.engines[i], "first") == 0
+        && !member_value (&site.engines[i], "runs"))
       other = &site.engines[i];
   ck_assert_ptr_nonnull (other);
-  rest_set (other, "{\"kinds\":[\"requests\"],\"status\":503,"
-                   "\"asked\":[\"1\"],\"span_ms\":1000}");
+  backoff_set (other, "{\"kinds\":[\"requests\"],\"status\":503,"
+                      "\"asked\":[\"1\"],\"span_ms\":1000}");
   for (i = 0; i < SITE_ENGINES; i++)
-    if (member_number (&site.engines[i], "runs"))
+    if (member_value (&site.engines[i], "runs"))
       proc_kill (&site.engines[i]);
-  metric_wait (&site.hosts[0], "elmarch_relay_waits_total", 1);
-  rest_set (other, "{}");
+  metric_wait_min (&site.hosts[0], "elmarch_relay_waits_total", 1);
+  backoff_set (other, "{}");
   caller_join (&first);
-  stream_whole (&first.reply);
+  assert_stream_complete (&first.reply);
   reply_free (&first.reply);
-  ck_assert_int_eq (rest_count (other, "requests", "in_rest"), 0);
+  ck_assert_int_eq (arrival_count (other, "requests", "in_rest"), 0);
   stream_start (&second, 0, "s2");
   caller_join (&second);
-  stream_whole (&second.reply);
+  assert_stream_complete (&second.reply);
   reply_free (&second.reply);
 }
 END_TEST
 
-/* The path of the last request that came to an engine first. */
+/* The path of the last request that used ENGINE as its first engine. */
 static json_t *
 last_path (const proc_t *engine)
 {
-  json_t *seen = http_json (engine->address, "/seen");
+  json_t *seen = http_get_json (engine->address, "/seen");
   json_t *path = json_incref (json_object_get (seen, "path"));
 
   json_decref (seen);
   return path;
 }
 
-/* The first engine that the last of some streams passed. */
+/* Runs streams, and returns an engine that was the first of a path. */
 static const proc_t *
-engine_passed_first (void)
+entry_engine (void)
 {
   json_t *path;
   size_t i;
 
-  stream_often ();
+  send_streams ();
   for (i = 0; i < SITE_ENGINES; i++)
     {
       path = last_path (&site.engines[i]);
@@ -280,14 +286,13 @@
       if (path)
         return &site.engines[i];
     }
-  ck_abort_msg ("no engine was passed first");
+  ck_abort_msg ("no engine was the first of a path");
   return NULL;
 }
 
-/* The engine with the last layers on the path of streams that begin at FIRST.
- */
+/* An engine after FIRST on the path of the last stream that began there. */
 static const proc_t *
-engine_passed_last (const proc_t *first)
+later_engine_of_path (const proc_t *first)
 {
   json_t *path = last_path (first);
   const proc_t *last = NULL;
@@ -302,11 +307,11 @@
   return last;
 }
 
-/* Whether the last request that came to AT first was ID and passed ENGINE. */
+/* Whether the last request that began at AT was ID and used ENGINE. */
 static int
-last_passed (const proc_t *at, const char *id, const proc_t *engine)
+last_request_used (const proc_t *at, const char *id, const proc_t *engine)
 {
-  json_t *seen = http_json (at->address, "/seen");
+  json_t *seen = http_get_json (at->address, "/seen");
   const char *last
       = json_string_value (json_object_get (seen, "x-elmarch-request-id"));
   const char *path = json_string_value (json_object_get (seen, "path"));
@@ -317,9 +322,9 @@
   return passed;
 }
 
-/* Streams from now on are served, and pass ENGINE nowhere. */
+/* New streams must be served without ENGINE. */
 static void
-streams_pass_by (const proc_t *engine)
+assert_streams_avoid (const proc_t *engine)
 {
   char id[16];
   caller_t caller;
@@ -331,15 +336,15 @@
       snprintf (id, sizeof id, "b%zu", i);
       stream_start (&caller, 0, id);
       caller_join (&caller);
-      stream_whole (&caller.reply);
+      assert_stream_complete (&caller.reply);
       reply_free (&caller.reply);
       for (k = 0; k < SITE_ENGINES; k++)
-        ck_assert (!last_passed (&site.engines[k], id, engine));
+        ck_assert (!last_request_used (&site.engines[k], id, engine));
     }
 }
 
-/* A refusal names another engine of the line as the one at fault, and does not
-   say whose rest it is: no line passes either of them. */
+/* A refusal names another engine of the pipeline as the one at fault, and does
+   not say which of the two asks for backoff: no stream uses either of them. */
 START_TEST (test_rest_of_an_engine_further_down_the_line)
 {
   const proc_t *first;
@@ -347,122 +352,124 @@
   char text[160];
 
   site.step_us = "1000";
-  site_open (1);
-  first = engine_passed_first ();
-  named = engine_passed_last (first);
+  site_start (1);
+  first = entry_engine ();
+  named = later_engine_of_path (first);
   snprintf (text, sizeof text,
             "{\"kinds\":[\"requests\"],\"status\":503,\"asked\":[\"60\"],"
             "\"span_ms\":60000,\"at\":\"%s\"}",
             named->address);
-  rest_set (first, text);
-  stream_often ();
-  ck_assert_int_gt (rests (first), 0);
-  ck_assert_int_eq (rest_count (first, "requests", "in_rest"), 0);
-  streams_pass_by (named);
+  backoff_set (first, text);
+  send_streams ();
+  ck_assert_int_gt (backoff_count (first), 0);
+  ck_assert_int_eq (arrival_count (first, "requests", "in_rest"), 0);
+  assert_streams_avoid (named);
 }
 END_TEST
 
-/* A report is turned away with a rest: callers' requests are kept back, too,
-   and so are further reports. */
+/* A load report is refused with a backoff: callers' requests are held back as
+   well, and so are further reports. */
 START_TEST (test_rest_asked_for_by_a_report)
 {
   const proc_t *member;
   int64_t all;
 
   site.step_us = "1000";
-  site_open (1);
+  site_start (1);
   member = engine_with_first_layers ();
-  rest_set (member, "{\"kinds\":[\"reports\"],\"status\":503,"
-                    "\"asked\":[\"60\"],\"span_ms\":60000}");
-  metric_wait (&site.hosts[0], "elmarch_relay_rests_total", 1);
-  all = rest_count (member, "requests", "all");
-  stream_often ();
-  ck_assert_int_eq (rest_count (member, "requests", "all"), all);
-  ck_assert_int_eq (rest_count (member, "reports", "in_rest"), 0);
+  backoff_set (member, "{\"kinds\":[\"reports\"],\"status\":503,"
+                       "\"asked\":[\"60\"],\"span_ms\":60000}");
+  metric_wait_min (&site.hosts[0], "elmarch_relay_rests_total", 1);
+  all = arrival_count (member, "requests", "all");
+  send_streams ();
+  ck_assert_int_eq (arrival_count (member, "requests", "all"), all);
+  ck_assert_int_eq (arrival_count (member, "reports", "in_rest"), 0);
 }
 END_TEST
 
-/* Empty engines turn their first order away with a rest: they get no further
-   one in it, and the others with the same card get theirs. */
+/* An empty engine refuses its first order with a backoff: it receives no other
+   order until the backoff expires, and the other engines with the same card
+   receive theirs. */
 START_TEST (test_rest_asked_for_by_an_order)
 {
   int i;
 
-  site_open_unplaced (1);
-  rest_set (&site.engines[0], "{\"kinds\":[\"orders\"],\"status\":503,"
-                              "\"asked\":[\"60\"],\"span_ms\":60000}");
-  metric_wait (&site.hosts[0], "elmarch_relay_rests_total", 1);
-  metric_wait (&site.hosts[0], "elmarch_engines_placed", SITE_ENGINES - 1);
+  site_start_unplaced (1);
+  backoff_set (&site.engines[0], "{\"kinds\":[\"orders\"],\"status\":503,"
+                                 "\"asked\":[\"60\"],\"span_ms\":60000}");
+  metric_wait_min (&site.hosts[0], "elmarch_relay_rests_total", 1);
+  metric_wait_min (&site.hosts[0], "elmarch_engines_placed", SITE_ENGINES - 1);
   for (i = 0; i < ORDER_STEPS; i++)
-    pause_step ();
-  ck_assert_int_eq (rest_count (&site.engines[0], "orders", "all"), 1);
-  ck_assert_int_eq (rest_count (&site.engines[0], "orders", "in_rest"), 0);
+    poll_sleep ();
+  ck_assert_int_eq (arrival_count (&site.engines[0], "orders", "all"), 1);
+  ck_assert_int_eq (arrival_count (&site.engines[0], "orders", "in_rest"), 0);
 }
 END_TEST
 
-/* Requests through HOST until it was told that an endpoint leaves. */
+/* Sends requests through HOST until it learns that an endpoint is draining. */
 static void
-ask_until_leaving (size_t host)
+send_until_draining (size_t host)
 {
   char id[16];
   reply_t reply;
   int i;
 
-  for (i = 0; !metric (&site.hosts[host], "elmarch_relay_leaves_total"); i++)
+  for (i = 0; !metric_value (&site.hosts[host], "elmarch_relay_leaves_total");
+       i++)
     {
-      ck_assert_int_lt (i, WAIT_STEPS);
+      ck_assert_int_lt (i, WAIT_STEPS_MAX);
       snprintf (id, sizeof id, "u%d", i);
-      ask (host, "GET", "/look/x", id, &reply);
+      send_request (host, "GET", "/look/x", id, &reply);
       ck_assert_int_eq (reply.status, 200);
       reply_free (&reply);
     }
 }
 
-/* One says in its answers that it leaves, and its entry in the store does not:
-   nothing new comes there. */
+/* An endpoint announces draining in its responses but not in its registration:
+   it receives no new requests. */
 START_TEST (test_endpoint_that_says_it_leaves_gets_nothing_new)
 {
   const proc_t *member;
 
   site.step_us = "1000";
-  site_open (2);
+  site_start (2);
   prefer_first_worker ();
   member = _i == 0 ? &site.workers[0] : engine_with_first_layers ();
-  rest_set (member, "{\"leaving\":true}");
+  backoff_set (member, "{\"leaving\":true}");
   if (_i == 0)
-    ask_often ();
+    send_requests ();
   else
-    stream_often ();
-  ck_assert_int_gt (rest_count (member, "requests", "all"), 0);
-  ck_assert_int_eq (rest_count (member, "requests", "after_leaving"), 0);
+    send_streams ();
+  ck_assert_int_gt (arrival_count (member, "requests", "all"), 0);
+  ck_assert_int_eq (arrival_count (member, "requests", "after_leaving"), 0);
 }
 END_TEST
 
-/* One host was told: the other one keeps away, too, before an answer tells it,
-   and so does a host that starts after that. */
+/* One host is told that an endpoint is draining: the other host avoids it
+   before any response says so, and so does a host that starts later. */
 START_TEST (test_endpoint_that_leaves_is_known_to_the_other_hosts)
 {
   const proc_t *member = &site.workers[0];
   int64_t all;
   size_t i;
 
-  site_open (2);
+  site_start (2);
   prefer_first_worker ();
-  rest_set (member, "{\"leaving\":true}");
-  ask_until_leaving (0);
-  metric_is (&site.hosts[1], "elmarch_endpoints_leaving", 1);
-  all = rest_count (member, "requests", "all");
-  ask_often ();
+  backoff_set (member, "{\"leaving\":true}");
+  send_until_draining (0);
+  metric_wait_value (&site.hosts[1], "elmarch_endpoints_leaving", 1);
+  all = arrival_count (member, "requests", "all");
+  send_requests ();
   proc_end (&site.hosts[1], SIGKILL);
   site_host_start (1);
-  metric_is (&site.hosts[1], "elmarch_endpoints_leaving", 1);
+  metric_wait_value (&site.hosts[1], "elmarch_endpoints_leaving", 1);
   for (i = 0; i < 2; i++)
-    ask_often ();
-  ck_assert_int_eq (rest_count (member, "requests", "all"), all);
+    send_requests ();
+  ck_assert_int_eq (arrival_count (member, "requests", "all"), all);
 }
 END_TEST
 
-/* The host does not reach the store: what the answer said holds. */
+/* A host that can't reach the store keeps to what the response said. */
 START_TEST (test_endpoint_that_leaves_is_left_by_a_host_cut_off)
 {
   const proc_t *member = &site.workers[0];
@@ -471,45 +478,45 @@
   int64_t all;
   size_t i;
 
-  site_open (1);
+  site_start (1);
   prefer_first_worker ();
-  site_mute (1);
-  rest_set (member, "{\"leaving\":true}");
-  ask_until_leaving (0);
-  all = rest_count (member, "requests", "all");
+  site_store_mute (1);
+  backoff_set (member, "{\"leaving\":true}");
+  send_until_draining (0);
+  all = arrival_count (member, "requests", "all");
   for (i = 0; i < 20; i++)
     {
       snprintf (id, sizeof id, "c%zu", i);
-      ask (0, "POST", "/pay/x", id, &reply);
+      send_request (0, "POST", "/pay/x", id, &reply);
       reply_free (&reply);
     }
-  ck_assert_int_eq (rest_count (member, "requests", "all"), all);
-  site_mute (0);
+  ck_assert_int_eq (arrival_count (member, "requests", "all"), all);
+  site_store_mute (0);
 }
 END_TEST
 
-/* The next start under its id has not said so. */
+/* An endpoint that restarts with its id is no longer draining. */
 START_TEST (test_endpoint_that_left_and_started_again_gets_work)
 {
   int64_t runs;
   int i;
 
-  site.same_ids = 1;
-  site_open (1);
+  site.keep_ids = 1;
+  site_start (1);
   prefer_first_worker ();
-  rest_set (&site.workers[0], "{\"leaving\":true}");
-  ask_until_leaving (0);
+  backoff_set (&site.workers[0], "{\"leaving\":true}");
+  send_until_draining (0);
   proc_end (&site.workers[0], SIGKILL);
   site_worker_start (0);
-  metric_is (&site.hosts[0], "elmarch_endpoints_leaving", 0);
-  runs = member_number (&site.workers[0], "runs");
-  for (i = 0; i < 10 && member_number (&site.workers[0], "runs") == runs; i++)
-    ask_often ();
-  ck_assert_int_gt (member_number (&site.workers[0], "runs"), runs);
+  metric_wait_value (&site.hosts[0], "elmarch_endpoints_leaving", 0);
+  runs = member_value (&site.workers[0], "runs");
+  for (i = 0; i < 10 && member_value (&site.workers[0], "runs") == runs; i++)
+    send_requests ();
+  ck_assert_int_gt (member_value (&site.workers[0], "runs"), runs);
 }
 END_TEST
 
-/* What runs there when it says so ends there, whole. */
+/* A stream that runs on an engine that starts to drain completes there. */
 START_TEST (test_stream_ends_where_it_runs_though_its_engine_leaves)
 {
   const proc_t *member = NULL;
@@ -517,71 +524,73 @@
   size_t i;
 
   site.step_us = "20000";
-  site_open (1);
+  site_start (1);
   stream_start (&caller, 0, "s1");
   caller_wait_body (&caller, 60);
   for (i = 0; i < SITE_ENGINES; i++)
-    if (member_number (&site.engines[i], "runs"))
+    if (member_value (&site.engines[i], "runs"))
       member = &site.engines[i];
   ck_assert_ptr_nonnull (member);
-  rest_set (member, "{\"leaving\":true}");
-  metric_wait (&site.hosts[0], "elmarch_relay_leaves_total", 1);
+  backoff_set (member, "{\"leaving\":true}");
+  metric_wait_min (&site.hosts[0], "elmarch_relay_leaves_total", 1);
   caller_join (&caller);
-  stream_whole (&caller.reply);
+  assert_stream_complete (&caller.reply);
   reply_free (&caller.reply);
-  stream_often ();
-  ck_assert_int_eq (member_number (member, "runs"), 1);
-  ck_assert_uint_eq (metric (&site.hosts[0], "elmarch_relay_rerouted_total"),
-                     0);
+  send_streams ();
+  ck_assert_int_eq (member_value (member, "runs"), 1);
+  ck_assert_uint_eq (
+      metric_value (&site.hosts[0], "elmarch_relay_rerouted_total"), 0);
 }
 END_TEST
 
-/* The product's own doors: a worker that refuses a call, and an engine that
-   refuses a stage, with a rest get nothing in it; when both workers rest, the
-   caller is told for how long. */
+/* The session and service APIs: a worker that refuses a call, and an engine
+   that refuses a stage, with a backoff receive nothing until it expires. When
+   both workers are in backoff, the caller is told for how long. */
 START_TEST (test_rest_is_kept_to_at_the_own_doors)
 {
   static const char *const busy
       = "{\"fault\":\"busy\",\"times\":1,\"delay_ms\":60000}";
-  char *body = chat_body (QUESTION, 1, MAX_TOKENS, NULL, 0);
+  char *body = chat_body (PROMPT, 1, MAX_TOKENS, NULL, 0);
   char header[64];
   char id[16];
   reply_t reply;
   size_t i;
 
-  cluster_open (&c, 1);
-  fault (&c.workers[0], busy);
-  fault (&c.engines[0][1], busy);
+  cluster_start (&fixture, 1);
+  set_fault (&fixture.workers[0], busy);
+  set_fault (&fixture.engines[0][1], busy);
   for (i = 0; i < STREAMS; i++)
     {
       snprintf (id, sizeof id, "p%zu", i);
-      pay (0, id, NULL, &reply);
-      verdict_is (&reply, 200, "ran");
+      send_payment (0, id, NULL, &reply);
+      assert_verdict (&reply, 200, "ran");
       reply_free (&reply);
-      http ("POST", c.hosts[0].address, CHAT, body, NULL, &reply);
-      stream_is_whole (&reply, 0);
+      http_request ("POST", fixture.hosts[0].address, CHAT_PATH, body, NULL,
+                    &reply);
+      assert_chat_stream (&reply, 0);
       reply_free (&reply);
     }
   free (body);
-  ck_assert_uint_eq (metric (&c.hosts[0], "elmarch_rests_total"), 2);
-  ck_assert_uint_eq (metric (&c.hosts[0], "elmarch_retries_total"), 2);
+  ck_assert_uint_eq (metric_value (&fixture.hosts[0], "elmarch_rests_total"),
+                     2);
+  ck_assert_uint_eq (metric_value (&fixture.hosts[0], "elmarch_retries_total"),
+                     2);
   for (i = 0; i < STREAMS; i++)
     {
       snprintf (id, sizeof id, "p%zu", i);
-      ck_assert_int_eq (runs (&c.workers[0], id), 0);
+      ck_assert_int_eq (payment_runs (&fixture.workers[0], id), 0);
     }
-  fault (&c.workers[1], busy);
-  pay (0, "q", NULL, &reply);
-  verdict_is (&reply, 503, "not-run");
+  set_fault (&fixture.workers[1], busy);
+  send_payment (0, "q", NULL, &reply);
+  assert_verdict (&reply, 503, "not-run");
   reply_header (&reply, "retry-after", header, sizeof header);
   ck_assert (strtod (header, NULL) > 30);
   reply_free (&reply);
 }
 END_TEST
 
-/* A call of a session comes to another host than the session's home, which
-   refuses it as all endpoints rest: the caller is told for how long all the
-   same. */
+/* A session's call arrives at another host than its home, which refuses it as
+   all endpoints are in backoff: the caller is still told for how long. */
 START_TEST (test_time_of_a_refusal_comes_through_another_host)
 {
   static const char *const busy
@@ -592,16 +601,17 @@
   reply_t reply;
   size_t i;
 
-  cluster_open (&c, 2);
-  session_open (&c.hosts[0], session, sizeof session);
+  cluster_start (&fixture, 2);
+  session_open (&fixture.hosts[0], session, sizeof session);
   for (i = 0; i < 2; i++)
-    fault (&c.workers[i], busy);
-  pay (1, "t1", headers, &reply);
-  verdict_is (&reply, 503, "not-run");
+    set_fault (&fixture.workers[i], busy);
+  send_payment (1, "t1", headers, &reply);
+  assert_verdict (&reply, 503, "not-run");
   reply_header (&reply, "retry-after", header, sizeof header);
   ck_assert (strtod (header, NULL) > 30);
   reply_free (&reply);
-  ck_assert_uint_eq (metric (&c.hosts[1], "elmarch_forwarded_total"), 1);
+  ck_assert_uint_eq (
+      metric_value (&fixture.hosts[1], "elmarch_forwarded_total"), 1);
 }
 END_TEST
 
--- a/tests/t_site.c
+++ b/tests/t_site.c
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Relayed requests, with real processes.
+ * Tests of relayed requests, with real processes.
  */
 #include <signal.h>
 #include <stdio.h>
@@ -13,58 +13,59 @@
 #include "site.h"
 #include "test.h"
 
-/* The engine that runs a stream, that is the first of its line. */
+/* The engine that runs a stream, which is the first of its pipeline. */
 static size_t
-engine_first (void)
+running_engine (void)
 {
   size_t i;
 
   for (i = 0; i < SITE_ENGINES; i++)
-    if (site.engines[i].pid && member_number (&site.engines[i], "runs"))
+    if (site.engines[i].pid && member_value (&site.engines[i], "runs"))
       return i;
-  ck_abort_msg ("no engine runs");
+  ck_abort_msg ("no engine runs a stream");
   return 0;
 }
 
 static int64_t
-workers_sum (const char *name)
+workers_total (const char *name)
 {
-  return member_number (&site.workers[0], name)
-         + member_number (&site.workers[1], name);
+  return member_value (&site.workers[0], name)
+         + member_value (&site.workers[1], name);
 }
 
 static void
-workers_fault (const char *json)
+workers_set_fault (const char *json)
 {
-  fault (&site.workers[0], json);
-  fault (&site.workers[1], json);
+  set_fault (&site.workers[0], json);
+  set_fault (&site.workers[1], json);
 }
 
 START_TEST (test_relay_follows_rules_and_keys)
 {
-  const char *stranger[]
+  const char *unknown_key[]
       = { "authorization: Bearer nobody's", "host: rel.example", NULL };
   char header[128];
   reply_t reply;
 
-  site_open (1);
-  ask (0, "GET", "/look/x?y=1", "r1", &reply);
+  site_start (1);
+  send_request (0, "GET", "/look/x?y=1", "r1", &reply);
   ck_assert_int_eq (reply.status, 200);
   reply_header (&reply, "x-elmarch-response-seal", header, sizeof header);
   ck_assert_str_eq (header, "seal.of.a.stand-in");
   reply_free (&reply);
-  ask (0, "GET", "/none/", "r2", &reply);
+  send_request (0, "GET", "/none/", "r2", &reply);
   ck_assert_int_eq (reply.status, 404);
   reply_free (&reply);
-  http ("GET", site.entries[0].address, "/look/", NULL, stranger, &reply);
+  http_request ("GET", site.entry_addrs[0].address, "/look/", NULL,
+                unknown_key, &reply);
   ck_assert_int_eq (reply.status, 401);
   reply_free (&reply);
-  ck_assert_int_eq (workers_sum ("runs"), 1);
+  ck_assert_int_eq (workers_total ("runs"), 1);
 }
 END_TEST
 
-/* What an endpoint gets: the customer's name and not its key, its own id, the
-   time that is left. */
+/* An endpoint receives the customer's name but not the key, its own id, and
+   the time left until the deadline. */
 START_TEST (test_relay_tells_endpoints_what_they_need)
 {
   char id[96];
@@ -72,13 +73,13 @@
   reply_t reply;
   size_t i;
 
-  site_open (1);
-  ask (0, "POST", "/pay/x", "r1", &reply);
+  site_start (1);
+  send_request (0, "POST", "/pay/x", "r1", &reply);
   ck_assert_int_eq (reply.status, 200);
   reply_free (&reply);
-  i = member_number (&site.workers[0], "runs") ? 0 : 1;
+  i = member_value (&site.workers[0], "runs") ? 0 : 1;
   member_id (&site.workers[i], id, sizeof id);
-  seen = http_json (site.workers[i].address, "/seen");
+  seen = http_get_json (site.workers[i].address, "/seen");
   ck_assert_str_eq (
       json_string_value (json_object_get (seen, "x-elmarch-tenant")),
       "parking");
@@ -98,35 +99,36 @@
 {
   caller_t caller;
 
-  site_open (1);
+  site_start (1);
   stream_start (&caller, 0, "s1");
   caller_join (&caller);
-  stream_whole (&caller.reply);
+  assert_stream_complete (&caller.reply);
   reply_free (&caller.reply);
 }
 END_TEST
 
-/* The first engine dies or is frozen in the middle: the same answer goes on at
-   another line. */
+/* The first engine is killed or stopped during a stream: the stream resumes on
+   another pipeline. */
 START_TEST (test_stream_goes_on_when_its_first_engine_is_lost)
 {
   caller_t caller;
 
-  site_open (1);
+  site_start (1);
   stream_start (&caller, 0, "s1");
   caller_wait_body (&caller, 60);
   if (_i == 0)
-    proc_end (&site.engines[engine_first ()], SIGKILL);
+    proc_end (&site.engines[running_engine ()], SIGKILL);
   else
-    proc_signal (&site.engines[engine_first ()], SIGSTOP);
+    proc_signal (&site.engines[running_engine ()], SIGSTOP);
   caller_join (&caller);
-  stream_whole (&caller.reply);
+  assert_stream_complete (&caller.reply);
   reply_free (&caller.reply);
 }
 END_TEST
 
-/* Both engines that can be first are frozen in turn, and the rule allows two
-   attempts: the second one is not broken off, as its engine may wake. */
+/* Both engines with the first layers are stopped in turn, and the rule allows
+   two attempts: the second attempt is not aborted, as its engine may continue.
+   */
 START_TEST (test_stream_waits_where_it_may_not_be_sent_again)
 {
   caller_t caller;
@@ -135,56 +137,56 @@
   size_t i;
   int step;
 
-  site_open (1);
+  site_start (1);
   stream_start (&caller, 0, "s1");
   caller_wait_body (&caller, 60);
-  first = engine_first ();
+  first = running_engine ();
   proc_signal (&site.engines[first], SIGSTOP);
-  for (step = 0; step < WAIT_STEPS && second == SITE_ENGINES; step++)
+  for (step = 0; step < WAIT_STEPS_MAX && second == SITE_ENGINES; step++)
     for (i = 0; i < SITE_ENGINES; i++)
-      if (i != first && member_number (&site.engines[i], "runs"))
+      if (i != first && member_value (&site.engines[i], "runs"))
         second = i;
   ck_assert_uint_ne (second, SITE_ENGINES);
   proc_signal (&site.engines[second], SIGSTOP);
-  metric_wait (&site.hosts[0], "elmarch_relay_held_total", 1);
+  metric_wait_min (&site.hosts[0], "elmarch_relay_held_total", 1);
   proc_signal (&site.engines[second], SIGCONT);
   caller_join (&caller);
-  stream_whole (&caller.reply);
+  assert_stream_complete (&caller.reply);
   reply_free (&caller.reply);
 }
 END_TEST
 
-/* Both engines with the first layers end while a stream runs, and others get
-   those layers a moment later: the stream goes on there. A host whose other
-   engines had no room broke such streams off 8 ms after the end
-   (reason="no endpoint to go on at" events=106). The one without the stream
-   ends first: where it was sent there in the instant of that end (sent_us=153
-   net=broken), two attempts may have run, which is all that the rule allows,
-   and it is broken off. */
+/* Both engines with the first layers crash during a stream, and other engines
+   get these layers a moment later: the stream resumes there. A host whose
+   other engines had no capacity aborted such streams 8 ms after the crash
+   (reason="no endpoint to go on at" events=106). The engine without the stream
+   is killed first: if the stream were sent to it just as it ends (sent_us=153
+   net=broken), two attempts might have run, which is the rule's maximum, and
+   the stream would be aborted. */
 START_TEST (test_stream_waits_for_somewhere_to_go_on)
 {
   caller_t caller;
   size_t first;
   size_t i;
 
-  site_open (1);
+  site_start (1);
   stream_start (&caller, 0, "s1");
   caller_wait_body (&caller, 60);
-  first = engine_first ();
+  first = running_engine ();
   for (i = 0; i < SITE_ENGINES; i++)
-    if (i != first && member_number (&site.engines[i], "first") == 0)
+    if (i != first && member_value (&site.engines[i], "first") == 0)
       proc_kill_wait (&site.engines[i]);
   proc_kill (&site.engines[first]);
-  metric_wait (&site.hosts[0], "elmarch_relay_waits_total", 1);
-  ck_assert_uint_eq (site_engines_back (), 2);
+  metric_wait_min (&site.hosts[0], "elmarch_relay_waits_total", 1);
+  ck_assert_uint_eq (site_engines_replace (), 2);
   caller_join (&caller);
-  stream_whole (&caller.reply);
+  assert_stream_complete (&caller.reply);
   reply_free (&caller.reply);
 }
 END_TEST
 
-/* An engine further down dies: the stream stays where it is and is moved
-   around it. */
+/* An engine after the first is killed: the stream stays at its first engine
+   and is rerouted around the lost one. */
 START_TEST (test_stream_is_moved_around_a_lost_engine)
 {
   char at[64];
@@ -195,17 +197,18 @@
   size_t first;
   size_t i;
 
-  site_open (1);
+  site_start (1);
   stream_start (&caller, 0, "s1");
   caller_wait_body (&caller, 60);
-  first = engine_first ();
-  seen = http_json (site.engines[first].address, "/seen");
+  first = running_engine ();
+  seen = http_get_json (site.engines[first].address, "/seen");
   line = json_string_value (json_object_get (seen, "path"));
   for (i = 0; i < SITE_ENGINES; i++)
     if (i != first && strstr (line, site.engines[i].address))
       {
         snprintf (at, sizeof at, "{\"at\":\"%s\"}", site.engines[i].address);
-        http ("POST", site.engines[first].address, "/stall", at, NULL, &reply);
+        http_request ("POST", site.engines[first].address, "/stall", at, NULL,
+                      &reply);
         reply_free (&reply);
         proc_end (&site.engines[i], SIGKILL);
         break;
@@ -213,16 +216,16 @@
   ck_assert_uint_lt (i, SITE_ENGINES);
   json_decref (seen);
   caller_join (&caller);
-  stream_whole (&caller.reply);
+  assert_stream_complete (&caller.reply);
   reply_free (&caller.reply);
-  for (i = 0; i < SITE_ENGINES; i++) /* it was sent to no other one */
+  for (i = 0; i < SITE_ENGINES; i++) /* no other engine received the request */
     if (site.engines[i].pid)
-      ck_assert_int_eq (member_number (&site.engines[i], "runs"), i == first);
+      ck_assert_int_eq (member_value (&site.engines[i], "runs"), i == first);
 }
 END_TEST
 
-/* The engine lives but is out of its neighbour's reach: only the first one
-   knows. */
+/* An engine is alive, but the one before it can't reach it; only the first
+   engine knows. */
 START_TEST (test_stream_is_moved_around_an_engine_out_of_reach)
 {
   char at[64];
@@ -232,35 +235,37 @@
   size_t first;
   size_t i;
 
-  site_open (1);
+  site_start (1);
   stream_start (&caller, 0, "s1");
   caller_wait_body (&caller, 60);
-  first = engine_first ();
-  begin = member_number (&site.engines[first], "end");
+  first = running_engine ();
+  begin = member_value (&site.engines[first], "end");
   for (i = 0; i < SITE_ENGINES; i++)
-    if (member_number (&site.engines[i], "first") == begin)
+    if (member_value (&site.engines[i], "first") == begin)
       {
         snprintf (at, sizeof at, "{\"at\":\"%s\"}", site.engines[i].address);
-        http ("POST", site.engines[first].address, "/stall", at, NULL, &reply);
+        http_request ("POST", site.engines[first].address, "/stall", at, NULL,
+                      &reply);
         reply_free (&reply);
       }
   caller_join (&caller);
-  stream_whole (&caller.reply);
+  assert_stream_complete (&caller.reply);
   reply_free (&caller.reply);
 }
 END_TEST
 
-/* A payment whose answer is lost is not sent again, and not called refused. */
+/* A payment whose response is lost is not retried, and is not reported as
+   refused. */
 START_TEST (test_relay_unsafe_runs_once_when_its_answer_is_lost)
 {
   reply_t reply;
 
-  site_open (1);
-  workers_fault ("{\"fault\":\"lose\"}");
-  ask (0, "POST", "/pay/x", "r1", &reply);
+  site_start (1);
+  workers_set_fault ("{\"fault\":\"lose\"}");
+  send_request (0, "POST", "/pay/x", "r1", &reply);
   ck_assert_int_eq (reply.status, 502);
   reply_free (&reply);
-  ck_assert_int_eq (workers_sum ("runs"), 1);
+  ck_assert_int_eq (workers_total ("runs"), 1);
 }
 END_TEST
 
@@ -268,34 +273,34 @@
 {
   reply_t reply;
 
-  site_open (1);
-  fault (&site.workers[0], "{\"fault\":\"down\"}");
-  fault (&site.workers[1], "{\"fault\":\"none\"}");
-  ask (0, "GET", "/look/x", "r1", &reply);
+  site_start (1);
+  set_fault (&site.workers[0], "{\"fault\":\"down\"}");
+  set_fault (&site.workers[1], "{\"fault\":\"none\"}");
+  send_request (0, "GET", "/look/x", "r1", &reply);
   ck_assert_int_eq (reply.status, 200);
   reply_free (&reply);
-  workers_fault ("{\"fault\":\"lose\"}");
-  ask (0, "GET", "/look/x", "r2", &reply);
+  workers_set_fault ("{\"fault\":\"lose\"}");
+  send_request (0, "GET", "/look/x", "r2", &reply);
   ck_assert_int_eq (reply.status, 502);
   reply_free (&reply);
 }
 END_TEST
 
-/* All refuse: the caller is told at once that nothing ran, and when to come
-   back. */
+/* All workers refuse: the caller is told at once that nothing ran, and when to
+   retry. */
 START_TEST (test_relay_refusal_is_true_and_says_when)
 {
   char header[64];
   reply_t reply;
 
-  site_open (1);
-  workers_fault ("{\"fault\":\"busy\"}");
-  ask (0, "POST", "/pay/x", "r1", &reply);
+  site_start (1);
+  workers_set_fault ("{\"fault\":\"busy\"}");
+  send_request (0, "POST", "/pay/x", "r1", &reply);
   ck_assert_int_eq (reply.status, 503);
   reply_header (&reply, "retry-after", header, sizeof header);
   ck_assert (strtod (header, NULL) > 0);
   reply_free (&reply);
-  ck_assert_int_eq (workers_sum ("runs"), 0);
+  ck_assert_int_eq (workers_total ("runs"), 0);
 }
 END_TEST
 
@@ -303,54 +308,54 @@
 {
   reply_t reply;
 
-  site_open (1);
-  workers_fault ("{\"fault\":\"cross\"}");
-  ask (0, "POST", "/pay/x", "r1", &reply);
+  site_start (1);
+  workers_set_fault ("{\"fault\":\"cross\"}");
+  send_request (0, "POST", "/pay/x", "r1", &reply);
   ck_assert_int_eq (reply.status, 502);
   reply_free (&reply);
 }
 END_TEST
 
-/* A hanging worker: the answer comes at the rule's time limit. */
+/* The workers hang: the response is sent at the rule's timeout. */
 START_TEST (test_relay_ends_at_the_time_limit)
 {
   reply_t reply;
 
-  site_open (1);
-  workers_fault ("{\"fault\":\"hang\"}");
-  ask (0, "GET", "/look/x", "r1", &reply);
+  site_start (1);
+  workers_set_fault ("{\"fault\":\"hang\"}");
+  send_request (0, "GET", "/look/x", "r1", &reply);
   ck_assert_int_eq (reply.status, 504);
   reply_free (&reply);
 }
 END_TEST
 
-/* The caller leaves while its request waits, or its stream runs: the work is
-   ended at the endpoint. */
+/* The caller disconnects during its stream: the work is cancelled at the
+   endpoint. */
 START_TEST (test_relay_caller_that_leaves_ends_the_work)
 {
   caller_t caller;
   size_t first;
   int i;
 
-  site_open (1);
+  site_start (1);
   stream_start (&caller, 0, "s1");
   caller_wait_body (&caller, 60);
-  first = engine_first ();
-  caller_vanish (&caller);
+  first = running_engine ();
+  caller_disconnect (&caller);
   caller_join (&caller);
   reply_free (&caller.reply);
-  for (i = 0; i < WAIT_STEPS; i++)
+  for (i = 0; i < WAIT_STEPS_MAX; i++)
     {
-      if (member_number (&site.engines[first], "gone"))
+      if (member_value (&site.engines[first], "gone"))
         return;
-      pause_step ();
+      poll_sleep ();
     }
-  ck_abort_msg ("the engine still works");
+  ck_abort_msg ("the engine did not cancel the request");
 }
 END_TEST
 
-/* A key that was taken away is refused by all hosts, and a host that can't
-   know refuses too. */
+/* A revoked key is refused by all hosts. A host that can't reach the store
+   refuses requests too. */
 START_TEST (test_relay_key_taken_away_is_refused)
 {
   reply_t reply;
@@ -358,49 +363,49 @@
   size_t host;
   int i;
 
-  site_open (2);
-  site_config (2, "[\"another-key\"]");
-  for (i = 0; i < WAIT_STEPS && status != 401; i++)
+  site_start (2);
+  site_put_config (2, "[\"another-key\"]");
+  for (i = 0; i < WAIT_STEPS_MAX && status != 401; i++)
     {
-      ask (1, "GET", "/look/x", "r1", &reply);
+      send_request (1, "GET", "/look/x", "r1", &reply);
       status = reply.status;
       reply_free (&reply);
     }
   ck_assert_int_eq (status, 401);
-  site_config (3, "[\"" CUSTOMER_KEY "\"]");
-  for (i = 0; i < WAIT_STEPS && status != 200; i++)
+  site_put_config (3, "[\"" CUSTOMER_KEY "\"]");
+  for (i = 0; i < WAIT_STEPS_MAX && status != 200; i++)
     {
-      ask (1, "GET", "/look/x", "r2", &reply);
+      send_request (1, "GET", "/look/x", "r2", &reply);
       status = reply.status;
       reply_free (&reply);
     }
   ck_assert_int_eq (status, 200);
-  site_mute (1);
-  for (host = 0; host < 2; host++) /* one of them hears it from the other */
+  site_store_mute (1);
+  for (host = 0; host < 2; host++) /* one learns it from the other */
     {
       status = 200;
-      for (i = 0; i < WAIT_STEPS && status == 200; i++)
+      for (i = 0; i < WAIT_STEPS_MAX && status == 200; i++)
         {
-          ask (host, "GET", "/look/x", "r3", &reply);
+          send_request (host, "GET", "/look/x", "r3", &reply);
           status = reply.status;
           reply_free (&reply);
-          pause_step ();
+          poll_sleep ();
         }
       ck_assert_int_eq (status, 503);
     }
-  site_mute (0);
-  for (i = 0; i < WAIT_STEPS && status != 200; i++)
+  site_store_mute (0);
+  for (i = 0; i < WAIT_STEPS_MAX && status != 200; i++)
     {
-      ask (1, "GET", "/look/x", "r4", &reply);
+      send_request (1, "GET", "/look/x", "r4", &reply);
       status = reply.status;
       reply_free (&reply);
-      pause_step ();
+      poll_sleep ();
     }
   ck_assert_int_eq (status, 200);
 }
 END_TEST
 
-/* The operators' bound of a body. */
+/* The limit of the body size, from the operators' configuration. */
 START_TEST (test_relay_body_over_the_bound_is_refused)
 {
   const char *headers[]
@@ -408,70 +413,72 @@
   char *body = el_alloc (65536 + 2);
   reply_t reply;
 
-  site_open (1);
+  site_start (1);
   memset (body, 'b', 65536);
-  http ("POST", site.entries[0].address, "/pay/x", body, headers, &reply);
+  http_request ("POST", site.entry_addrs[0].address, "/pay/x", body, headers,
+                &reply);
   ck_assert_int_eq (reply.status, 200);
   reply_free (&reply);
   body[65536] = 'b';
-  http ("POST", site.entries[0].address, "/pay/x", body, headers, &reply);
+  http_request ("POST", site.entry_addrs[0].address, "/pay/x", body, headers,
+                &reply);
   ck_assert_int_eq (reply.status, 413);
   reply_free (&reply);
-  ck_assert_int_eq (workers_sum ("runs"), 1);
+  ck_assert_int_eq (workers_total ("runs"), 1);
   free (body);
 }
 END_TEST
 
-/* A request that comes before the host knows its configuration is served once
-   it does; when the store does not answer, it is refused as not run. */
+/* A request that arrives before the host has its configuration waits and is
+   then served. If the store does not respond, it is refused as not run. */
 START_TEST (test_relay_waits_for_the_first_configuration)
 {
   caller_t caller;
   reply_t reply;
 
-  site_open (1);
+  site_start (1);
   proc_end (&site.hosts[0], SIGKILL);
-  site_mute (1);
+  site_store_mute (1);
   site_host_start (0);
-  ask (0, "GET", "/look/x", "r1", &reply);
+  send_request (0, "GET", "/look/x", "r1", &reply);
   ck_assert_int_eq (reply.status, 503);
   reply_free (&reply);
   stream_start (&caller, 0, "s1");
-  metric_wait (&site.hosts[0], "elmarch_relay_requests_total", 2);
-  site_mute (0);
+  metric_wait_min (&site.hosts[0], "elmarch_relay_requests_total", 2);
+  site_store_mute (0);
   caller_join (&caller);
-  stream_whole (&caller.reply);
+  assert_stream_complete (&caller.reply);
   reply_free (&caller.reply);
-  ck_assert_int_eq (workers_sum ("runs"), 0);
+  ck_assert_int_eq (workers_total ("runs"), 0);
 }
 END_TEST
 
-/* A configuration with a lower version changes nothing. */
+/* A configuration with a lower version is ignored. */
 START_TEST (test_relay_configuration_never_goes_back)
 {
   reply_t reply;
   long status = 0;
   int i;
 
-  site_open (1);
-  site_config (5, "[\"another-key\"]");
-  for (i = 0; i < WAIT_STEPS && status != 401; i++)
+  site_start (1);
+  site_put_config (5, "[\"another-key\"]");
+  for (i = 0; i < WAIT_STEPS_MAX && status != 401; i++)
     {
-      ask (0, "GET", "/look/x", "r1", &reply);
+      send_request (0, "GET", "/look/x", "r1", &reply);
       status = reply.status;
       reply_free (&reply);
     }
-  site_config (4, "[\"" CUSTOMER_KEY "\"]");
+  site_put_config (4, "[\"" CUSTOMER_KEY "\"]");
   for (i = 0; i < 100; i++)
     {
-      ask (0, "GET", "/look/x", "r2", &reply);
+      send_request (0, "GET", "/look/x", "r2", &reply);
       ck_assert_int_eq (reply.status, 401);
       reply_free (&reply);
     }
 }
 END_TEST
 
-/* An endpoint that leaves gets nothing new, from no host. */
+/* No host sends new requests to a draining endpoint. */
 START_TEST (test_relay_leaving_endpoint_gets_nothing_new)
 {
   reply_t reply;
@@ -481,16 +488,16 @@
   int quiet = 0;
   int i;
 
-  site_open (2);
-  http ("POST", site.workers[0].address, "/leave", "{}", NULL, &reply);
+  site_start (2);
+  http_request ("POST", site.workers[0].address, "/leave", "{}", NULL, &reply);
   reply_free (&reply);
-  for (i = 0; i < WAIT_STEPS && quiet < 200; i++)
+  for (i = 0; i < WAIT_STEPS_MAX && quiet < 200; i++)
     {
       host = (size_t)i % 2;
-      ask (host, "GET", "/look/x", "r1", &reply);
+      send_request (host, "GET", "/look/x", "r1", &reply);
       ck_assert_int_eq (reply.status, 200);
       reply_free (&reply);
-      runs = member_number (&site.workers[0], "runs");
+      runs = member_value (&site.workers[0], "runs");
       quiet = runs == before ? quiet + 1 : 0;
       before = runs;
     }
@@ -498,51 +505,51 @@
 }
 END_TEST
 
-/* The planner's host dies: another one places layers on a new engine. */
+/* The planner's host is killed: another host places layers on a new engine. */
 START_TEST (test_planner_is_taken_over)
 {
   size_t i;
 
-  site_open (3);
+  site_start (3);
   for (i = 0; i < 2; i++)
     proc_end (&site.hosts[i], SIGKILL);
   proc_end (&site.engines[0], SIGKILL);
   site_engine_start (0);
-  site_placed_wait ();
+  site_wait_placed ();
 }
 END_TEST
 
-/* The planner's host is stopped as planned while its stream runs on: it gives
-   the duty up at once. */
+/* The planner's host is stopped gracefully while its stream runs: it releases
+   the planner role at once. */
 START_TEST (test_planner_that_stops_gives_its_duty_up)
 {
   caller_t callers[2];
   size_t i;
 
   site.step_us = "100000";
-  site_open (2);
+  site_start (2);
   for (i = 0; i < 2; i++)
     {
       stream_start (&callers[i], i, i ? "s1" : "s0");
       caller_wait_body (&callers[i], 1);
     }
-  i = metric (&site.hosts[0], "elmarch_planner") ? 0 : 1;
+  i = metric_value (&site.hosts[0], "elmarch_planner") ? 0 : 1;
   proc_signal (&site.hosts[i], SIGTERM);
-  metric_wait (&site.hosts[1 - i], "elmarch_planner", 1);
+  metric_wait_min (&site.hosts[1 - i], "elmarch_planner", 1);
   pthread_mutex_lock (&callers[i].lock);
-  ck_assert_int_eq (callers[i].done, 0); /* the host that stops lives */
+  ck_assert_int_eq (callers[i].done, 0); /* the stopping host is still alive */
   pthread_mutex_unlock (&callers[i].lock);
   for (i = 0; i < 2; i++)
     {
       caller_join (&callers[i]);
-      stream_whole (&callers[i].reply);
+      assert_stream_complete (&callers[i].reply);
       reply_free (&callers[i].reply);
     }
 }
 END_TEST
 
-/* A planned stop: out of readiness and entry addresses at once, the stream
-   that runs ends whole. */
+/* A graceful stop: the host is no longer ready or listed as an entry address
+   at once, and its running stream completes. */
 START_TEST (test_relay_planned_stop_cuts_nothing)
 {
   caller_t caller;
@@ -551,31 +558,33 @@
   int listed = 1;
   int i;
 
-  site_open (2);
+  site_start (2);
   stream_start (&caller, 0, "s1");
   caller_wait_body (&caller, 60);
   proc_signal (&site.hosts[0], SIGTERM);
-  for (i = 0; i < WAIT_STEPS && status == 200; i++)
+  for (i = 0; i < WAIT_STEPS_MAX && status == 200; i++)
     {
-      http ("GET", site.readies[0].address, "/elmarch/ready", NULL, NULL,
-            &reply);
+      http_request ("GET", site.ready_addrs[0].address, "/elmarch/ready", NULL,
+                    NULL, &reply);
       status = reply.status;
       reply_free (&reply);
     }
   ck_assert_int_ne (status, 200);
-  for (i = 0; i < WAIT_STEPS && listed; i++)
+  for (i = 0; i < WAIT_STEPS_MAX && listed; i++)
     {
-      http ("GET", site.directories[1].address,
-            "/elmarch/resolve?Name=rel.example&Zone=h", NULL, NULL, &reply);
+      http_request ("GET", site.directory_addrs[1].address,
+                    "/elmarch/resolve?Name=rel.example&Zone=h", NULL, NULL,
+                    &reply);
       ck_assert_int_eq (reply.status, 200);
-      ck_assert_ptr_nonnull (strstr (reply.body.ptr, site.entries[1].address));
-      listed = strstr (reply.body.ptr, site.entries[0].address) != NULL;
+      ck_assert_ptr_nonnull (
+          strstr (reply.body.ptr, site.entry_addrs[1].address));
+      listed = strstr (reply.body.ptr, site.entry_addrs[0].address) != NULL;
       reply_free (&reply);
-      pause_step ();
+      poll_sleep ();
     }
   ck_assert_int_eq (listed, 0);
   caller_join (&caller);
-  stream_whole (&caller.reply);
+  assert_stream_complete (&caller.reply);
   reply_free (&caller.reply);
 }
 END_TEST
--- a/tests/t_stop.c
+++ b/tests/t_stop.c
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Planned stops and entry addresses, with real processes.
+ * Tests of graceful stops and of entry addresses, with real processes.
  */
 #include <signal.h>
 #include <stdio.h>
@@ -13,13 +13,13 @@
 #include "cluster.h"
 #include "test.h"
 
-/* A stopping host that waits for nobody is gone after this: it looks every
-   50 ms. */
-#define STOP_STEPS 200
+/* Polls within which a stopping host that waits for no caller has exited: it
+   checks every 50 ms. */
+#define STOP_WAIT_STEPS 200
 
-/* kill() returns before the host has handled its signal, so what is sent right
-   after it may still be served. Wait until the host takes nothing new: it
-   refuses a request of no session, or it is gone. */
+/* kill() returns before the host has handled the signal, so requests sent
+   right after it may still be served. Waits until the host refuses a request
+   without a session, or has exited. */
 static void
 host_wait_stopping (size_t host)
 {
@@ -28,45 +28,47 @@
 
   do
     {
-      pay (host, "probe", NULL, &reply);
+      send_payment (host, "probe", NULL, &reply);
       status = reply.status;
       if (status == 503)
-        verdict_is (&reply, 503, "not-run");
+        assert_verdict (&reply, 503, "not-run");
       reply_free (&reply);
     }
   while (status == 200);
 }
 
-/* SIGTERM while a stream runs: it ends whole, and what is new is refused as
-   not run. */
+/* SIGTERM during a stream: the stream completes, and new requests are refused
+   as not run. */
 START_TEST (test_planned_stop_cuts_nothing)
 {
-  char *body = chat_body (QUESTION, 1, MAX_TOKENS, NULL, 0);
+  char *body = chat_body (PROMPT, 1, MAX_TOKENS, NULL, 0);
   caller_t caller;
   reply_t reply;
 
-  c.step_us = 4000;
-  cluster_open (&c, 1);
-  caller_start (&caller, c.hosts[0].address, CHAT, body, NULL, 0);
+  fixture.step_us = 4000;
+  cluster_start (&fixture, 1);
+  caller_start (&caller, fixture.hosts[0].address, CHAT_PATH, body, NULL, 0);
   caller_wait_body (&caller, 100);
-  proc_signal (&c.hosts[0], SIGTERM);
+  proc_signal (&fixture.hosts[0], SIGTERM);
   do
     {
-      http ("POST", c.hosts[0].address, CHAT, body, NULL, &reply);
+      http_request ("POST", fixture.hosts[0].address, CHAT_PATH, body, NULL,
+                    &reply);
       if (reply.status == 503)
-        verdict_is (&reply, 503, "not-run");
+        assert_verdict (&reply, 503, "not-run");
       reply_free (&reply);
     }
   while (reply.status == 200);
   caller_join (&caller);
-  stream_is_whole (&caller.reply, 0);
+  assert_chat_stream (&caller.reply, 0);
   reply_free (&caller.reply);
   free (body);
 }
 END_TEST
 
-/* A planned stop hands sessions and ledger to a successor: what ran is
-   answered as before, what is new runs there, through any host. */
+/* A graceful stop hands sessions and ledger over to a successor: calls that
+   ran get the same response again, and new calls run there, through any host.
+   */
 START_TEST (test_planned_stop_hands_the_sessions_over)
 {
   char session[640];
@@ -75,45 +77,46 @@
   reply_t reply;
   size_t i;
 
-  cluster_open (&c, 3);
-  entries_wait (0, 3);
-  session_open (&c.hosts[0], session, sizeof session);
-  pay (0, "t1", first, &reply);
-  verdict_is (&reply, 200, "ran");
+  cluster_start (&fixture, 3);
+  entry_hosts_wait (0, 3);
+  session_open (&fixture.hosts[0], session, sizeof session);
+  send_payment (0, "t1", first, &reply);
+  assert_verdict (&reply, 200, "ran");
   reply_free (&reply);
-  ck_assert_int_eq (proc_end (&c.hosts[0], SIGTERM), 0);
+  ck_assert_int_eq (proc_end (&fixture.hosts[0], SIGTERM), 0);
   for (i = 1; i < 3; i++)
     {
-      do /* until the successor's news has come */
+      do /* until the host has learned of the handover */
         {
-          pay (i, "t1", first, &reply);
+          send_payment (i, "t1", first, &reply);
           if (reply.status != 200)
-            verdict_is (&reply, 409, "may-have-run");
+            assert_verdict (&reply, 409, "may-have-run");
           reply_free (&reply);
         }
       while (reply.status != 200);
-      pay (i, "t1", first, &reply);
-      verdict_is (&reply, 200, "ran");
+      send_payment (i, "t1", first, &reply);
+      assert_verdict (&reply, 200, "ran");
       ck_assert_ptr_nonnull (strstr (reply.body.ptr, "\"run\":1"));
       reply_free (&reply);
-      pay (i, "t2", second, &reply);
-      verdict_is (&reply, 200, "ran");
+      send_payment (i, "t2", second, &reply);
+      assert_verdict (&reply, 200, "ran");
       reply_free (&reply);
     }
-  ck_assert_int_eq (proc_end (&c.hosts[1], SIGTERM), 0);
-  pay (2, "t1", first, &reply); /* the last one, by whatever way they took */
-  verdict_is (&reply, 200, "ran");
+  ck_assert_int_eq (proc_end (&fixture.hosts[1], SIGTERM), 0);
+  send_payment (2, "t1", first, &reply); /* the last host has the sessions,
+                                            whichever hosts they passed */
+  assert_verdict (&reply, 200, "ran");
   reply_free (&reply);
-  pay (2, "t2", second, &reply);
-  verdict_is (&reply, 200, "ran");
+  send_payment (2, "t2", second, &reply);
+  assert_verdict (&reply, 200, "ran");
   reply_free (&reply);
-  ck_assert_int_eq (runs_all ("t1"), 1);
-  ck_assert_int_eq (runs_all ("t2"), 1);
+  ck_assert_int_eq (payment_runs_total ("t1"), 1);
+  ck_assert_int_eq (payment_runs_total ("t2"), 1);
 }
 END_TEST
 
-/* A call runs on at the host that stops; a duplicate through the successor
-   joins it, and a new one meanwhile runs at the successor. */
+/* A call continues on the stopping host. A duplicate sent to the successor
+   joins it, and a new call runs on the successor meanwhile. */
 START_TEST (test_planned_stop_with_a_call_under_way_runs_it_once)
 {
   char session[640];
@@ -123,37 +126,38 @@
   reply_t reply;
   size_t i;
 
-  cluster_open (&c, 2);
-  entries_wait (0, 2);
-  session_open (&c.hosts[0], session, sizeof session);
+  cluster_start (&fixture, 2);
+  entry_hosts_wait (0, 2);
+  session_open (&fixture.hosts[0], session, sizeof session);
   for (i = 0; i < 2; i++)
-    fault (&c.workers[i], "{\"fault\":\"slow\",\"delay_ms\":1500}");
-  caller_start (&caller, c.hosts[0].address, PAY, "{\"id\":\"t1\"}", first, 0);
-  metric_wait (&c.hosts[0], "elmarch_calls_total", 1);
+    set_fault (&fixture.workers[i], "{\"fault\":\"slow\",\"delay_ms\":1500}");
+  caller_start (&caller, fixture.hosts[0].address, PAY_PATH, "{\"id\":\"t1\"}",
+                first, 0);
+  metric_wait_min (&fixture.hosts[0], "elmarch_calls_total", 1);
   for (i = 0; i < 2; i++)
-    fault (&c.workers[i], "{\"fault\":\"none\"}");
-  proc_signal (&c.hosts[0], SIGTERM);
-  metric_wait (&c.hosts[1], "elmarch_sessions", 1);
-  pay (1, "t2", second, &reply);
-  verdict_is (&reply, 200, "ran");
+    set_fault (&fixture.workers[i], "{\"fault\":\"none\"}");
+  proc_signal (&fixture.hosts[0], SIGTERM);
+  metric_wait_min (&fixture.hosts[1], "elmarch_sessions", 1);
+  send_payment (1, "t2", second, &reply);
+  assert_verdict (&reply, 200, "ran");
   reply_free (&reply);
-  pay (0, "t2", second, &reply); /* the old home knows where it went */
-  verdict_is (&reply, 200, "ran");
+  send_payment (0, "t2", second, &reply); /* the home knows its successor */
+  assert_verdict (&reply, 200, "ran");
   reply_free (&reply);
-  pay (1, "t1", first, &reply);
-  verdict_is (&reply, 200, "ran");
+  send_payment (1, "t1", first, &reply);
+  assert_verdict (&reply, 200, "ran");
   reply_free (&reply);
   caller_join (&caller);
-  verdict_is (&caller.reply, 200, "ran");
+  assert_verdict (&caller.reply, 200, "ran");
   reply_free (&caller.reply);
-  ck_assert_int_eq (runs_all ("t1"), 1);
-  ck_assert_int_eq (runs_all ("t2"), 1);
+  ck_assert_int_eq (payment_runs_total ("t1"), 1);
+  ck_assert_int_eq (payment_runs_total ("t2"), 1);
 }
 END_TEST
 
-/* The successor does not answer: it may have taken the sessions. Sealed means
-   sealed: the old home runs nothing of them any more, whether the successor
-   comes back or is dead. */
+/* The successor does not respond and may have taken the sessions over. Once
+   they are sealed, the former home runs no call of theirs, whether the
+   successor continues or is dead. */
 START_TEST (test_handover_in_doubt_runs_nothing_twice)
 {
   char session[640];
@@ -162,45 +166,45 @@
   unsigned doubts = 0;
   reply_t reply;
 
-  cluster_open (&c, 2);
-  entries_wait (0, 2);
-  session_open (&c.hosts[0], session, sizeof session);
+  cluster_start (&fixture, 2);
+  entry_hosts_wait (0, 2);
+  session_open (&fixture.hosts[0], session, sizeof session);
   if (_i == 0)
-    proc_signal (&c.hosts[1], SIGSTOP);
+    proc_signal (&fixture.hosts[1], SIGSTOP);
   else
-    proc_end (&c.hosts[1], SIGKILL);
-  proc_signal (&c.hosts[0], SIGTERM);
+    proc_end (&fixture.hosts[1], SIGKILL);
+  proc_signal (&fixture.hosts[0], SIGTERM);
   host_wait_stopping (0);
   do
     {
-      pay (0, "t1", first, &reply);
+      send_payment (0, "t1", first, &reply);
       if (reply.status == 503)
-        verdict_is (&reply, 503, "not-run");
+        assert_verdict (&reply, 503, "not-run");
       else if (reply.status)
         {
-          verdict_is (&reply, 409, "may-have-run");
+          assert_verdict (&reply, 409, "may-have-run");
           doubts++;
         }
       reply_free (&reply);
     }
   while (reply.status);
   ck_assert (_i == 1 || doubts);
-  ck_assert_int_eq (runs_all ("t1"), 0);
+  ck_assert_int_eq (payment_runs_total ("t1"), 0);
   if (_i == 0)
     {
-      proc_signal (&c.hosts[1], SIGCONT);
+      proc_signal (&fixture.hosts[1], SIGCONT);
       first[2] = NULL;
-      pay (1, "t1", first, &reply);
+      send_payment (1, "t1", first, &reply);
       reply_free (&reply);
-      pay (1, "t1", first, &reply);
+      send_payment (1, "t1", first, &reply);
       reply_free (&reply);
     }
-  ck_assert_int_le (runs_all ("t1"), 1);
+  ck_assert_int_le (payment_runs_total ("t1"), 1);
 }
 END_TEST
 
-/* A stop waits until a slow caller has read its whole answer, which is more
-   than the connection holds on its way. */
+/* A graceful stop waits until a slow caller has read its whole response, which
+   is larger than the socket buffers. */
 START_TEST (test_planned_stop_waits_for_a_slow_caller)
 {
   static const size_t bytes = 7 << 20;
@@ -208,20 +212,20 @@
   reply_t reply;
   int i;
 
-  cluster_open (&c, 1);
-  caller_start (&caller, c.hosts[0].address,
+  cluster_start (&fixture, 1);
+  caller_start (&caller, fixture.hosts[0].address,
                 "/services/zahl-app/big?bytes=7340032", NULL, NULL, 1);
   caller_wait_body (&caller, 1);
-  proc_signal (&c.hosts[0], SIGTERM);
+  proc_signal (&fixture.hosts[0], SIGTERM);
   do
     {
-      pay (0, "t1", NULL, &reply);
+      send_payment (0, "t1", NULL, &reply);
       reply_free (&reply);
     }
   while (reply.status == 200);
-  for (i = 0; i < STOP_STEPS; i++)
-    pause_step ();
-  caller_release (&caller);
+  for (i = 0; i < STOP_WAIT_STEPS; i++)
+    poll_sleep ();
+  caller_resume (&caller);
   caller_join (&caller);
   ck_assert_int_eq (caller.reply.status, 200);
   ck_assert_uint_eq (caller.reply.body.len, bytes);
@@ -229,16 +233,16 @@
 }
 END_TEST
 
-/* A dead host leaves the entry addresses, a new one at its address joins
-   them. */
+/* A dead host is removed from the entry addresses; a new one at its address is
+   added. */
 START_TEST (test_entry_hosts_are_the_live_ones)
 {
-  cluster_open (&c, 3);
-  entries_wait (0, 3);
-  proc_end (&c.hosts[2], SIGKILL);
-  entries_wait (0, 2);
-  host_start (&c, 2);
-  entries_wait (0, 3);
+  cluster_start (&fixture, 3);
+  entry_hosts_wait (0, 3);
+  proc_end (&fixture.hosts[2], SIGKILL);
+  entry_hosts_wait (0, 2);
+  host_start (&fixture, 2);
+  entry_hosts_wait (0, 3);
 }
 END_TEST
 
