--- a/Makefile
+++ b/Makefile
@@ -111,8 +111,8 @@
 $(BIN)/unit: $(UNIT:%.c=$(B)/%.o) $(LIBA)
 	$(LINK) -lcheck -lsubunit -lrt -lm
 
-PROC = tests/proc_main.c tests/known_red.c tests/t_stream.c tests/t_once.c tests/t_stop.c tests/t_agree.c tests/t_site.c tests/t_ends.c tests/t_again.c tests/t_rest.c tests/t_era.c tests/site.c \
-       tests/cluster.c tests/expect.c standin/reference.c
+PROC = tests/proc_main.c tests/known_red.c tests/t_stream.c tests/t_at_most_once.c tests/t_stop.c tests/t_agreement.c tests/t_site.c tests/t_crash.c tests/t_restart.c tests/t_backoff.c tests/t_restore.c tests/site.c \
+       tests/cluster.c tests/asserts.c standin/reference.c
 $(BIN)/proc: $(PROC:%.c=$(B)/%.o) $(LIBA)
 	$(LINK) -lcheck -lsubunit -lrt -lcurl -lm
 $(B)/tests/%.o: INC += -Istandin
--- a/tests/proc_main.c
+++ b/tests/proc_main.c
@@ -15,14 +15,14 @@
   SRunner *runner = srunner_create (stream_suite ());
   int failed;
 
-  srunner_add_suite (runner, once_suite ());
+  srunner_add_suite (runner, at_most_once_suite ());
   srunner_add_suite (runner, stop_suite ());
-  srunner_add_suite (runner, agree_suite ());
+  srunner_add_suite (runner, agreement_suite ());
   srunner_add_suite (runner, site_suite ());
-  srunner_add_suite (runner, ends_suite ());
-  srunner_add_suite (runner, again_suite ());
-  srunner_add_suite (runner, rest_suite ());
-  srunner_add_suite (runner, era_suite ());
+  srunner_add_suite (runner, crash_suite ());
+  srunner_add_suite (runner, restart_suite ());
+  srunner_add_suite (runner, backoff_suite ());
+  srunner_add_suite (runner, restore_suite ());
   srunner_run_all (runner, CK_ENV);
   failed = srunner_ntests_failed (runner);
   srunner_free (runner);
--- a/tests/t_agree.c
+++ b/tests/t_agreement.c
@@ -111,7 +111,7 @@
 
 /* Operators write concurrently with the same version: one succeeds, the others
    get a conflict with the current version, and no older value returns. */
-START_TEST (test_racing_operators_get_a_conflict)
+START_TEST (test_concurrent_writes_get_a_conflict)
 {
   caller_t writers[4];
   unsigned won = 0;
@@ -158,7 +158,7 @@
 
 /* The platform applies a write but its response is lost: the change id shows
    that the write was applied. */
-START_TEST (test_lost_answer_of_a_write_is_settled_by_its_id)
+START_TEST (test_lost_write_response_is_resolved_by_change_id)
 {
   reply_t reply;
 
@@ -196,7 +196,7 @@
 /* Requests are served without the platform. A configuration change is refused
    as not run if it could not be sent, else its outcome is reported as unknown.
    */
-START_TEST (test_platform_away_leaves_requests_alone)
+START_TEST (test_requests_are_served_without_the_platform)
 {
   reply_t reply;
 
@@ -269,7 +269,7 @@
 /* A removal also reaches a host that was stopped at the time, even if the only
    host left that can tell it has started since and read the configuration
    without the removed entry. */
-START_TEST (test_removal_reaches_a_host_that_slept)
+START_TEST (test_removal_reaches_a_host_that_was_stopped)
 {
   reply_t reply;
   size_t paused;
@@ -347,7 +347,7 @@
 /* A worker is draining: the platform's host list says so, or the worker does
    in a response to one host, or an operator sets it. No host sends it new
    requests. */
-START_TEST (test_leaving_endpoint_is_left_by_all_hosts)
+START_TEST (test_draining_endpoint_is_avoided_by_all_hosts)
 {
   static const char *const states[] = { "leaving", "leaving", "draining" };
   reply_t reply;
@@ -406,7 +406,7 @@
 /* Messages that no host of the cluster sent: not sealed, oversized, truncated,
    of another version, or from a host with another key. Each is refused and
    counted, and requests are served. */
-START_TEST (test_foreign_messages_harm_nothing)
+START_TEST (test_foreign_messages_are_refused)
 {
   static const char call[]
       = "\x00\x00\x00\x01\x00\x00\x00\x00\x00\x00\x00\x02"
@@ -444,7 +444,7 @@
 END_TEST
 
 Suite *
-agree_suite (void)
+agreement_suite (void)
 {
   Suite *suite = suite_create ("agreement");
   TCase *tcase = tcase_create ("agreement");
@@ -452,13 +452,13 @@
   tcase_set_timeout (tcase, 60);
   tcase_add_checked_fixture (tcase, cluster_setup, cluster_teardown);
   ADD (tcase, test_change_reaches_hosts_that_do_not_watch);
-  ADD (tcase, test_racing_operators_get_a_conflict);
-  ADD (tcase, test_lost_answer_of_a_write_is_settled_by_its_id);
-  ADD_LOOP (tcase, test_platform_away_leaves_requests_alone, 2);
+  ADD (tcase, test_concurrent_writes_get_a_conflict);
+  ADD (tcase, test_lost_write_response_is_resolved_by_change_id);
+  ADD_LOOP (tcase, test_requests_are_served_without_the_platform, 2);
   ADD (tcase, test_host_starts_without_the_platform);
-  ADD (tcase, test_removal_reaches_a_host_that_slept);
-  ADD_LOOP (tcase, test_leaving_endpoint_is_left_by_all_hosts, 3);
-  ADD (tcase, test_foreign_messages_harm_nothing);
+  ADD (tcase, test_removal_reaches_a_host_that_was_stopped);
+  ADD_LOOP (tcase, test_draining_endpoint_is_avoided_by_all_hosts, 3);
+  ADD (tcase, test_foreign_messages_are_refused);
   suite_add_tcase (suite, tcase);
   return suite;
 }
--- a/tests/t_once.c
+++ b/tests/t_at_most_once.c
@@ -69,7 +69,7 @@
 
 /* The session's home restarts, or stays down, after the call ran: a duplicate
    at any host is answered with "may have run", and does not run. */
-START_TEST (test_duplicate_after_the_home_is_gone_never_runs)
+START_TEST (test_duplicate_after_loss_of_home_never_runs)
 {
   char session[640];
   const char *headers[] = { session, "x-elmarch-sequence: 1", NULL };
@@ -101,7 +101,7 @@
 /* The session's home is stopped, not dead: another host answers at the
    request's deadline and does not run the call. Once the home continues, the
    call runs at most once. */
-START_TEST (test_duplicate_while_the_home_is_frozen_never_runs_elsewhere)
+START_TEST (test_duplicate_while_home_is_stopped_never_runs_elsewhere)
 {
   char session[640];
   const char *headers[] = { session, "x-elmarch-sequence: 1",
@@ -176,7 +176,7 @@
 
 /* No worker listens: the call is refused as not run, which is true. Sent again
    after a worker has started, it runs once. */
-START_TEST (test_not_run_is_true_and_may_be_sent_again)
+START_TEST (test_not_run_call_may_be_sent_again)
 {
   char session[640];
   const char *headers[] = { session, "x-elmarch-sequence: 1", NULL };
@@ -321,7 +321,7 @@
 END_TEST
 
 Suite *
-once_suite (void)
+at_most_once_suite (void)
 {
   Suite *suite = suite_create ("once");
   TCase *tcase = tcase_create ("once");
@@ -329,11 +329,11 @@
   tcase_set_timeout (tcase, 60);
   tcase_add_checked_fixture (tcase, cluster_setup, cluster_teardown);
   ADD (tcase, test_duplicates_run_once);
-  ADD_LOOP (tcase, test_duplicate_after_the_home_is_gone_never_runs, 2);
-  ADD (tcase, test_duplicate_while_the_home_is_frozen_never_runs_elsewhere);
+  ADD_LOOP (tcase, test_duplicate_after_loss_of_home_never_runs, 2);
+  ADD (tcase, test_duplicate_while_home_is_stopped_never_runs_elsewhere);
   ADD_LOOP (tcase, test_worker_fault_runs_at_most_once,
             (int)(sizeof worker_faults / sizeof *worker_faults));
-  ADD (tcase, test_not_run_is_true_and_may_be_sent_again);
+  ADD (tcase, test_not_run_call_may_be_sent_again);
   ADD (tcase, test_bad_requests_run_nothing);
   suite_add_tcase (suite, tcase);
   return suite;
--- a/tests/t_rest.c
+++ b/tests/t_backoff.c
@@ -136,7 +136,7 @@
 
 /* A worker, then an engine, asks each of two hosts once for backoff: no
    requests of callers arrive there from these hosts until it expires. */
-START_TEST (test_endpoint_that_asks_for_rest_gets_none_in_it)
+START_TEST (test_endpoint_in_backoff_gets_no_requests)
 {
   const proc_t *member;
 
@@ -156,7 +156,7 @@
 
 /* All workers ask for backoff: new requests are refused at once, with the time
    until the first backoff expires, and nothing arrives at the workers. */
-START_TEST (test_all_endpoints_rest_and_callers_are_told_for_how_long)
+START_TEST (test_callers_are_told_the_backoff_of_all_endpoints)
 {
   char header[64];
   char id[16];
@@ -194,7 +194,7 @@
 END_TEST
 
 /* An endpoint receives requests again after its backoff. */
-START_TEST (test_endpoint_gets_work_again_after_its_rest)
+START_TEST (test_endpoint_gets_requests_after_backoff)
 {
   const proc_t *member = &site.workers[0];
   char id[16];
@@ -226,7 +226,7 @@
 /* A stream's engine crashes while the other engine with the first layers is in
    backoff: the stream waits for the end of the backoff, as its caller has
    already received a part. */
-START_TEST (test_stream_begun_waits_for_the_end_of_a_rest)
+START_TEST (test_running_stream_waits_for_end_of_backoff)
 {
   const proc_t *other = NULL;
   caller_t first;
@@ -345,7 +345,7 @@
 
 /* A refusal names another engine of the pipeline as the one at fault, and does
    not say which of the two asks for backoff: no stream uses either of them. */
-START_TEST (test_rest_of_an_engine_further_down_the_line)
+START_TEST (test_backoff_of_a_later_engine_of_the_pipeline)
 {
   const proc_t *first;
   const proc_t *named;
@@ -369,7 +369,7 @@
 
 /* A load report is refused with a backoff: callers' requests are held back as
    well, and so are further reports. */
-START_TEST (test_rest_asked_for_by_a_report)
+START_TEST (test_backoff_in_a_report_response)
 {
   const proc_t *member;
   int64_t all;
@@ -390,7 +390,7 @@
 /* An empty engine refuses its first order with a backoff: it receives no other
    order until the backoff expires, and the other engines with the same card
    receive theirs. */
-START_TEST (test_rest_asked_for_by_an_order)
+START_TEST (test_backoff_in_an_order_response)
 {
   int i;
 
@@ -427,7 +427,7 @@
 
 /* An endpoint announces draining in its responses but not in its registration:
    it receives no new requests. */
-START_TEST (test_endpoint_that_says_it_leaves_gets_nothing_new)
+START_TEST (test_endpoint_announcing_drain_gets_no_new_requests)
 {
   const proc_t *member;
 
@@ -447,7 +447,7 @@
 
 /* One host is told that an endpoint is draining: the other host avoids it
    before any response says so, and so does a host that starts later. */
-START_TEST (test_endpoint_that_leaves_is_known_to_the_other_hosts)
+START_TEST (test_announced_drain_is_known_to_other_hosts)
 {
   const proc_t *member = &site.workers[0];
   int64_t all;
@@ -470,7 +470,7 @@
 END_TEST
 
 /* A host that can't reach the store keeps to what the response said. */
-START_TEST (test_endpoint_that_leaves_is_left_by_a_host_cut_off)
+START_TEST (test_announced_drain_is_kept_without_the_store)
 {
   const proc_t *member = &site.workers[0];
   char id[16];
@@ -496,7 +496,7 @@
 END_TEST
 
 /* An endpoint that restarts with its id is no longer draining. */
-START_TEST (test_endpoint_that_left_and_started_again_gets_work)
+START_TEST (test_drained_endpoint_gets_requests_after_restart)
 {
   int64_t runs;
   int i;
@@ -517,7 +517,7 @@
 END_TEST
 
 /* A stream that runs on an engine that starts to drain completes there. */
-START_TEST (test_stream_ends_where_it_runs_though_its_engine_leaves)
+START_TEST (test_stream_completes_on_draining_engine)
 {
   const proc_t *member = NULL;
   caller_t caller;
@@ -546,7 +546,7 @@
 /* The session and service APIs: a worker that refuses a call, and an engine
    that refuses a stage, with a backoff receive nothing until it expires. When
    both workers are in backoff, the caller is told for how long. */
-START_TEST (test_rest_is_kept_to_at_the_own_doors)
+START_TEST (test_backoff_is_kept_by_session_and_service_apis)
 {
   static const char *const busy
       = "{\"fault\":\"busy\",\"times\":1,\"delay_ms\":60000}";
@@ -591,7 +591,7 @@
 
 /* A session's call arrives at another host than its home, which refuses it as
    all endpoints are in backoff: the caller is still told for how long. */
-START_TEST (test_time_of_a_refusal_comes_through_another_host)
+START_TEST (test_retry_after_is_forwarded_by_another_host)
 {
   static const char *const busy
       = "{\"fault\":\"busy\",\"times\":1,\"delay_ms\":60000}";
@@ -616,31 +616,31 @@
 END_TEST
 
 Suite *
-rest_suite (void)
+backoff_suite (void)
 {
   Suite *suite = suite_create ("rest");
   TCase *tcase = tcase_create ("rest");
 
   tcase_set_timeout (tcase, 90);
   tcase_add_checked_fixture (tcase, site_setup, site_teardown);
-  ADD_LOOP (tcase, test_endpoint_that_asks_for_rest_gets_none_in_it, 2);
-  ADD (tcase, test_all_endpoints_rest_and_callers_are_told_for_how_long);
-  ADD (tcase, test_endpoint_gets_work_again_after_its_rest);
-  ADD (tcase, test_stream_begun_waits_for_the_end_of_a_rest);
-  ADD (tcase, test_rest_of_an_engine_further_down_the_line);
-  ADD (tcase, test_rest_asked_for_by_a_report);
-  ADD (tcase, test_rest_asked_for_by_an_order);
-  ADD_LOOP (tcase, test_endpoint_that_says_it_leaves_gets_nothing_new, 2);
-  ADD (tcase, test_endpoint_that_leaves_is_known_to_the_other_hosts);
-  ADD (tcase, test_endpoint_that_leaves_is_left_by_a_host_cut_off);
-  ADD (tcase, test_endpoint_that_left_and_started_again_gets_work);
-  ADD (tcase, test_stream_ends_where_it_runs_though_its_engine_leaves);
+  ADD_LOOP (tcase, test_endpoint_in_backoff_gets_no_requests, 2);
+  ADD (tcase, test_callers_are_told_the_backoff_of_all_endpoints);
+  ADD (tcase, test_endpoint_gets_requests_after_backoff);
+  ADD (tcase, test_running_stream_waits_for_end_of_backoff);
+  ADD (tcase, test_backoff_of_a_later_engine_of_the_pipeline);
+  ADD (tcase, test_backoff_in_a_report_response);
+  ADD (tcase, test_backoff_in_an_order_response);
+  ADD_LOOP (tcase, test_endpoint_announcing_drain_gets_no_new_requests, 2);
+  ADD (tcase, test_announced_drain_is_known_to_other_hosts);
+  ADD (tcase, test_announced_drain_is_kept_without_the_store);
+  ADD (tcase, test_drained_endpoint_gets_requests_after_restart);
+  ADD (tcase, test_stream_completes_on_draining_engine);
   suite_add_tcase (suite, tcase);
   tcase = tcase_create ("own");
   tcase_set_timeout (tcase, 60);
   tcase_add_checked_fixture (tcase, cluster_setup, cluster_teardown);
-  ADD (tcase, test_rest_is_kept_to_at_the_own_doors);
-  ADD (tcase, test_time_of_a_refusal_comes_through_another_host);
+  ADD (tcase, test_backoff_is_kept_by_session_and_service_apis);
+  ADD (tcase, test_retry_after_is_forwarded_by_another_host);
   suite_add_tcase (suite, tcase);
   return suite;
 }
--- a/tests/t_ends.c
+++ b/tests/t_crash.c
@@ -111,7 +111,7 @@
     }
 }
 
-START_TEST (test_request_that_ends_engines_is_not_sent_for_ever)
+START_TEST (test_request_that_crashes_engines_is_blocked)
 {
   assert_few_crashes (0);
 }
@@ -132,7 +132,7 @@
 
    A suspect request now waits until it is known whether its last run crashed
    the endpoint. */
-START_TEST (test_request_that_ends_engines_slowly_is_not_sent_for_ever)
+START_TEST (test_request_that_crashes_engines_slowly_is_blocked)
 {
   assert_few_crashes (1);
 }
@@ -199,7 +199,7 @@
 /* Other requests of the same customer and rule run on the engines that crash:
    none of their streams that begins is incomplete, and no host blocks more
    than one request. */
-START_TEST (test_streams_beside_a_deadly_request_come_whole)
+START_TEST (test_streams_beside_a_crashing_request_are_complete)
 {
   caller_t callers[6];
   char id[16];
@@ -243,7 +243,7 @@
 END_TEST
 
 /* An operator sees the blocked request and unblocks it on all hosts. */
-START_TEST (test_blocked_request_is_let_in_by_an_operator)
+START_TEST (test_operator_unblocks_request)
 {
   char path[64];
   reply_t reply;
@@ -277,7 +277,7 @@
 END_TEST
 
 /* Workers, and a request that is never retried: four of them crash at most. */
-START_TEST (test_request_that_ends_workers_is_not_sent_for_ever)
+START_TEST (test_request_that_crashes_workers_is_blocked)
 {
   char id[16];
   reply_t reply;
@@ -303,7 +303,7 @@
 /* The operators' memory size of the card is wrong: each engine crashes under
    its order and restarts empty. The planner stops sending the order, and so
    does the planner that takes over. */
-START_TEST (test_order_that_ends_engines_is_not_given_for_ever)
+START_TEST (test_order_that_crashes_engines_is_withdrawn)
 {
   size_t ended = 0;
   size_t last;
@@ -375,7 +375,7 @@
      blocked_for_end endpoint=w1-5dde3a43f5 age_us=876151 ran_us=5829 first=1
      blocked_for_end endpoint=w0-5dddd9c771 age_us=275259 ran_us=585 first=1
      request_blocked by="another host" ends=1 odds=0 holds=1 */
-START_TEST (test_request_that_ran_well_elsewhere_is_not_blocked)
+START_TEST (test_request_that_succeeded_elsewhere_is_not_blocked)
 {
   reply_t reply;
   size_t i;
@@ -399,21 +399,21 @@
 END_TEST
 
 Suite *
-ends_suite (void)
+crash_suite (void)
 {
   Suite *suite = suite_create ("ends");
   TCase *tcase = tcase_create ("ends");
 
   tcase_set_timeout (tcase, 120);
   tcase_add_checked_fixture (tcase, site_setup, site_teardown);
-  ADD (tcase, test_request_that_ends_engines_is_not_sent_for_ever);
-  ADD (tcase, test_request_that_ends_engines_slowly_is_not_sent_for_ever);
-  ADD (tcase, test_request_that_ends_workers_is_not_sent_for_ever);
+  ADD (tcase, test_request_that_crashes_engines_is_blocked);
+  ADD (tcase, test_request_that_crashes_engines_slowly_is_blocked);
+  ADD (tcase, test_request_that_crashes_workers_is_blocked);
   ADD (tcase, test_blocked_request_is_known_to_hosts_that_start);
-  ADD (tcase, test_streams_beside_a_deadly_request_come_whole);
-  ADD (tcase, test_blocked_request_is_let_in_by_an_operator);
-  ADD (tcase, test_order_that_ends_engines_is_not_given_for_ever);
-  ADD_LOOP (tcase, test_request_that_ran_well_elsewhere_is_not_blocked, 2);
+  ADD (tcase, test_streams_beside_a_crashing_request_are_complete);
+  ADD (tcase, test_operator_unblocks_request);
+  ADD (tcase, test_order_that_crashes_engines_is_withdrawn);
+  ADD_LOOP (tcase, test_request_that_succeeded_elsewhere_is_not_blocked, 2);
   suite_add_tcase (suite, tcase);
   return suite;
 }
--- a/tests/t_again.c
+++ b/tests/t_restart.c
@@ -39,7 +39,7 @@
 
 /* Each engine announces that it drains, ends, and restarts with the same id:
    it counts as a new engine, gets layers, and serves streams. */
-START_TEST (test_engines_that_start_again_are_used_again)
+START_TEST (test_restarted_engines_are_used)
 {
   reply_t reply;
   size_t i;
@@ -64,7 +64,7 @@
 
 /* A stream's first engine restarts with the same id during the stream, without
    layers: the stream resumes on another engine. */
-START_TEST (test_stream_outlives_an_engine_that_starts_again)
+START_TEST (test_stream_survives_restart_of_its_engine)
 {
   caller_t caller;
   size_t i;
@@ -88,7 +88,7 @@
 
 /* The store holds invalid registrations, one of them in place of a valid one:
    the other endpoints serve. */
-START_TEST (test_entries_by_another_writer_name_no_endpoint)
+START_TEST (test_invalid_registrations_are_ignored)
 {
   char id[16];
   unsigned i;
@@ -122,7 +122,7 @@
 /* All machines lose power at once, the store and the endpoints included:
    acknowledged writes are kept, requests are served, and a blocked request
    stays blocked. */
-START_TEST (test_all_power_lost_at_once_is_outlived)
+START_TEST (test_power_failure_of_all_machines)
 {
   char id[16];
   reply_t reply;
@@ -152,17 +152,17 @@
 END_TEST
 
 Suite *
-again_suite (void)
+restart_suite (void)
 {
   Suite *suite = suite_create ("again");
   TCase *tcase = tcase_create ("again");
 
   tcase_set_timeout (tcase, 90);
   tcase_add_checked_fixture (tcase, site_setup, site_teardown);
-  ADD (tcase, test_engines_that_start_again_are_used_again);
-  ADD (tcase, test_stream_outlives_an_engine_that_starts_again);
-  ADD (tcase, test_entries_by_another_writer_name_no_endpoint);
-  ADD (tcase, test_all_power_lost_at_once_is_outlived);
+  ADD (tcase, test_restarted_engines_are_used);
+  ADD (tcase, test_stream_survives_restart_of_its_engine);
+  ADD (tcase, test_invalid_registrations_are_ignored);
+  ADD (tcase, test_power_failure_of_all_machines);
   suite_add_tcase (suite, tcase);
   return suite;
 }
--- a/tests/t_era.c
+++ b/tests/t_restore.c
@@ -65,7 +65,7 @@
 
 /* Guards against requests to a draining endpoint by hosts that ask another
    host for changes after a revision that the store has used again. */
-START_TEST (test_leave_under_a_reused_revision_reaches_all_hosts)
+START_TEST (test_drain_under_a_reused_revision_reaches_all_hosts)
 {
   int64_t before;
   reply_t reply;
@@ -139,7 +139,7 @@
 
 /* Guards against a host that misses that an endpoint drains, as the host was
    stopped or restarted during the restore, or saw two restores. */
-START_TEST (test_leave_reaches_hosts_however_the_store_returned)
+START_TEST (test_drain_reaches_hosts_after_any_restore)
 {
   reply_t reply;
 
@@ -193,7 +193,7 @@
 
 /* Guards against a planner that continues under a lease which the store has
    lost, while another host is the planner. */
-START_TEST (test_planner_of_a_lost_lease_stops_before_the_next_one)
+START_TEST (test_planner_with_lost_lease_stops_before_the_next_one)
 {
   char path[64];
   uint64_t planners;
@@ -227,7 +227,7 @@
 
 /* Guards against requests that are refused, or sent to former workers, as the
    copy has those and lacks the current ones. */
-START_TEST (test_workers_newer_than_the_copy_are_used_meanwhile)
+START_TEST (test_workers_newer_than_the_copy_are_used)
 {
   char id[32];
   reply_t reply;
@@ -256,7 +256,7 @@
 
 /* Guards against requests to a draining endpoint from a host that starts
    before the endpoint has announced it again, and reads the copy. */
-START_TEST (test_host_started_after_the_copy_knows_who_left)
+START_TEST (test_host_started_after_restore_knows_draining_endpoints)
 {
   char id[32];
   int64_t before;
@@ -286,7 +286,7 @@
 
 /* Guards against a revoked key that a host accepts again, as it starts before
    the configuration is written again, and reads the copy. */
-START_TEST (test_host_started_after_the_copy_lets_no_former_key_in)
+START_TEST (test_host_started_after_restore_refuses_revoked_key)
 {
   char id[32];
   reply_t reply;
@@ -341,7 +341,7 @@
 
 /* Guards against a crashing request that hosts accept again after a restart,
    as the store has lost the block. */
-START_TEST (test_blocked_request_is_kept_again_after_the_copy)
+START_TEST (test_block_is_stored_again_after_restore)
 {
   char id[32];
   reply_t reply;
@@ -363,21 +363,21 @@
 END_TEST
 
 Suite *
-era_suite (void)
+restore_suite (void)
 {
   Suite *suite = suite_create ("era");
   TCase *tcase = tcase_create ("era");
 
   tcase_add_checked_fixture (tcase, site_setup, site_teardown);
   tcase_set_timeout (tcase, 90);
-  ADD (tcase, test_leave_under_a_reused_revision_reaches_all_hosts);
-  ADD_LOOP (tcase, test_leave_reaches_hosts_however_the_store_returned,
+  ADD (tcase, test_drain_under_a_reused_revision_reaches_all_hosts);
+  ADD_LOOP (tcase, test_drain_reaches_hosts_after_any_restore,
             sizeof restores / sizeof *restores);
-  ADD (tcase, test_planner_of_a_lost_lease_stops_before_the_next_one);
-  ADD (tcase, test_workers_newer_than_the_copy_are_used_meanwhile);
-  ADD (tcase, test_host_started_after_the_copy_knows_who_left);
-  ADD (tcase, test_host_started_after_the_copy_lets_no_former_key_in);
-  ADD (tcase, test_blocked_request_is_kept_again_after_the_copy);
+  ADD (tcase, test_planner_with_lost_lease_stops_before_the_next_one);
+  ADD (tcase, test_workers_newer_than_the_copy_are_used);
+  ADD (tcase, test_host_started_after_restore_knows_draining_endpoints);
+  ADD (tcase, test_host_started_after_restore_refuses_revoked_key);
+  ADD (tcase, test_block_is_stored_again_after_restore);
   suite_add_tcase (suite, tcase);
   return suite;
 }
--- a/tests/t_site.c
+++ b/tests/t_site.c
@@ -66,7 +66,7 @@
 
 /* An endpoint receives the customer's name but not the key, its own id, and
    the time left until the deadline. */
-START_TEST (test_relay_tells_endpoints_what_they_need)
+START_TEST (test_relay_sends_endpoint_headers)
 {
   char id[96];
   json_t *seen;
@@ -95,7 +95,7 @@
 }
 END_TEST
 
-START_TEST (test_relay_passes_a_stream_on)
+START_TEST (test_relay_forwards_stream)
 {
   caller_t caller;
 
@@ -109,7 +109,7 @@
 
 /* The first engine is killed or stopped during a stream: the stream resumes on
    another pipeline. */
-START_TEST (test_stream_goes_on_when_its_first_engine_is_lost)
+START_TEST (test_stream_resumes_after_loss_of_first_engine)
 {
   caller_t caller;
 
@@ -129,7 +129,7 @@
 /* Both engines with the first layers are stopped in turn, and the rule allows
    two attempts: the second attempt is not aborted, as its engine may continue.
    */
-START_TEST (test_stream_waits_where_it_may_not_be_sent_again)
+START_TEST (test_stream_waits_when_attempts_are_used_up)
 {
   caller_t caller;
   size_t first;
@@ -163,7 +163,7 @@
    is killed first: if the stream were sent to it just as it ends (sent_us=153
    net=broken), two attempts might have run, which is the rule's maximum, and
    the stream would be aborted. */
-START_TEST (test_stream_waits_for_somewhere_to_go_on)
+START_TEST (test_stream_waits_for_engine_to_resume_on)
 {
   caller_t caller;
   size_t first;
@@ -187,7 +187,7 @@
 
 /* An engine after the first is killed: the stream stays at its first engine
    and is rerouted around the lost one. */
-START_TEST (test_stream_is_moved_around_a_lost_engine)
+START_TEST (test_stream_is_rerouted_around_lost_engine)
 {
   char at[64];
   caller_t caller;
@@ -226,7 +226,7 @@
 
 /* An engine is alive, but the one before it can't reach it; only the first
    engine knows. */
-START_TEST (test_stream_is_moved_around_an_engine_out_of_reach)
+START_TEST (test_stream_is_rerouted_around_unreachable_engine)
 {
   char at[64];
   caller_t caller;
@@ -256,7 +256,7 @@
 
 /* A payment whose response is lost is not retried, and is not reported as
    refused. */
-START_TEST (test_relay_unsafe_runs_once_when_its_answer_is_lost)
+START_TEST (test_relay_unsafe_runs_once_when_response_is_lost)
 {
   reply_t reply;
 
@@ -269,7 +269,7 @@
 }
 END_TEST
 
-START_TEST (test_relay_safe_is_tried_elsewhere)
+START_TEST (test_relay_safe_is_retried_elsewhere)
 {
   reply_t reply;
 
@@ -288,7 +288,7 @@
 
 /* All workers refuse: the caller is told at once that nothing ran, and when to
    retry. */
-START_TEST (test_relay_refusal_is_true_and_says_when)
+START_TEST (test_relay_refusal_is_not_run_with_retry_after)
 {
   char header[64];
   reply_t reply;
@@ -304,7 +304,7 @@
 }
 END_TEST
 
-START_TEST (test_relay_answer_to_another_request_is_not_passed_on)
+START_TEST (test_relay_response_to_another_request_is_not_forwarded)
 {
   reply_t reply;
 
@@ -317,7 +317,7 @@
 END_TEST
 
 /* The workers hang: the response is sent at the rule's timeout. */
-START_TEST (test_relay_ends_at_the_time_limit)
+START_TEST (test_relay_times_out)
 {
   reply_t reply;
 
@@ -331,7 +331,7 @@
 
 /* The caller disconnects during its stream: the work is cancelled at the
    endpoint. */
-START_TEST (test_relay_caller_that_leaves_ends_the_work)
+START_TEST (test_relay_caller_disconnect_cancels_work)
 {
   caller_t caller;
   size_t first;
@@ -356,7 +356,7 @@
 
 /* A revoked key is refused by all hosts. A host that can't reach the store
    refuses requests too. */
-START_TEST (test_relay_key_taken_away_is_refused)
+START_TEST (test_relay_revoked_key_is_refused)
 {
   reply_t reply;
   long status = 0;
@@ -406,7 +406,7 @@
 END_TEST
 
 /* The limit of the body size, from the operators' configuration. */
-START_TEST (test_relay_body_over_the_bound_is_refused)
+START_TEST (test_relay_body_over_limit_is_refused)
 {
   const char *headers[]
       = { "host: rel.example", "x-elmarch-request-id: r1", NULL };
@@ -454,7 +454,7 @@
 END_TEST
 
 /* A configuration with a lower version is ignored. */
-START_TEST (test_relay_configuration_never_goes_back)
+START_TEST (test_relay_configuration_is_never_downgraded)
 {
   reply_t reply;
   long status = 0;
@@ -479,7 +479,7 @@
 END_TEST
 
 /* No host sends new requests to a draining endpoint. */
-START_TEST (test_relay_leaving_endpoint_gets_nothing_new)
+START_TEST (test_relay_draining_endpoint_gets_no_new_requests)
 {
   reply_t reply;
   int64_t runs;
@@ -506,7 +506,7 @@
 END_TEST
 
 /* The planner's host is killed: another host places layers on a new engine. */
-START_TEST (test_planner_is_taken_over)
+START_TEST (test_planner_failover)
 {
   size_t i;
 
@@ -521,7 +521,7 @@
 
 /* The planner's host is stopped gracefully while its stream runs: it releases
    the planner role at once. */
-START_TEST (test_planner_that_stops_gives_its_duty_up)
+START_TEST (test_stopping_planner_releases_its_role)
 {
   caller_t callers[2];
   size_t i;
@@ -550,7 +550,7 @@
 
 /* A graceful stop: the host is no longer ready or listed as an entry address
    at once, and its running stream completes. */
-START_TEST (test_relay_planned_stop_cuts_nothing)
+START_TEST (test_relay_graceful_stop_aborts_nothing)
 {
   caller_t caller;
   reply_t reply;
@@ -598,27 +598,27 @@
   tcase_set_timeout (tcase, 60);
   tcase_add_checked_fixture (tcase, site_setup, site_teardown);
   ADD (tcase, test_relay_follows_rules_and_keys);
-  ADD (tcase, test_relay_tells_endpoints_what_they_need);
-  ADD (tcase, test_relay_passes_a_stream_on);
-  ADD_LOOP (tcase, test_stream_goes_on_when_its_first_engine_is_lost, 2);
-  ADD (tcase, test_stream_waits_where_it_may_not_be_sent_again);
-  ADD (tcase, test_stream_waits_for_somewhere_to_go_on);
-  ADD (tcase, test_stream_is_moved_around_a_lost_engine);
-  ADD (tcase, test_stream_is_moved_around_an_engine_out_of_reach);
-  ADD (tcase, test_relay_unsafe_runs_once_when_its_answer_is_lost);
-  ADD (tcase, test_relay_safe_is_tried_elsewhere);
-  ADD (tcase, test_relay_refusal_is_true_and_says_when);
-  ADD (tcase, test_relay_answer_to_another_request_is_not_passed_on);
-  ADD (tcase, test_relay_ends_at_the_time_limit);
-  ADD (tcase, test_relay_caller_that_leaves_ends_the_work);
-  ADD (tcase, test_relay_key_taken_away_is_refused);
-  ADD (tcase, test_relay_body_over_the_bound_is_refused);
+  ADD (tcase, test_relay_sends_endpoint_headers);
+  ADD (tcase, test_relay_forwards_stream);
+  ADD_LOOP (tcase, test_stream_resumes_after_loss_of_first_engine, 2);
+  ADD (tcase, test_stream_waits_when_attempts_are_used_up);
+  ADD (tcase, test_stream_waits_for_engine_to_resume_on);
+  ADD (tcase, test_stream_is_rerouted_around_lost_engine);
+  ADD (tcase, test_stream_is_rerouted_around_unreachable_engine);
+  ADD (tcase, test_relay_unsafe_runs_once_when_response_is_lost);
+  ADD (tcase, test_relay_safe_is_retried_elsewhere);
+  ADD (tcase, test_relay_refusal_is_not_run_with_retry_after);
+  ADD (tcase, test_relay_response_to_another_request_is_not_forwarded);
+  ADD (tcase, test_relay_times_out);
+  ADD (tcase, test_relay_caller_disconnect_cancels_work);
+  ADD (tcase, test_relay_revoked_key_is_refused);
+  ADD (tcase, test_relay_body_over_limit_is_refused);
   ADD (tcase, test_relay_waits_for_the_first_configuration);
-  ADD (tcase, test_relay_configuration_never_goes_back);
-  ADD (tcase, test_relay_leaving_endpoint_gets_nothing_new);
-  ADD (tcase, test_planner_is_taken_over);
-  ADD (tcase, test_planner_that_stops_gives_its_duty_up);
-  ADD (tcase, test_relay_planned_stop_cuts_nothing);
+  ADD (tcase, test_relay_configuration_is_never_downgraded);
+  ADD (tcase, test_relay_draining_endpoint_gets_no_new_requests);
+  ADD (tcase, test_planner_failover);
+  ADD (tcase, test_stopping_planner_releases_its_role);
+  ADD (tcase, test_relay_graceful_stop_aborts_nothing);
   suite_add_tcase (suite, tcase);
   return suite;
 }
--- a/tests/t_stop.c
+++ b/tests/t_stop.c
@@ -39,7 +39,7 @@
 
 /* SIGTERM during a stream: the stream completes, and new requests are refused
    as not run. */
-START_TEST (test_planned_stop_cuts_nothing)
+START_TEST (test_graceful_stop_aborts_nothing)
 {
   char *body = chat_body (PROMPT, 1, MAX_TOKENS, NULL, 0);
   caller_t caller;
@@ -69,7 +69,7 @@
 /* A graceful stop hands sessions and ledger over to a successor: calls that
    ran get the same response again, and new calls run there, through any host.
    */
-START_TEST (test_planned_stop_hands_the_sessions_over)
+START_TEST (test_graceful_stop_hands_sessions_over)
 {
   char session[640];
   const char *first[] = { session, "x-elmarch-sequence: 1", NULL };
@@ -117,7 +117,7 @@
 
 /* A call continues on the stopping host. A duplicate sent to the successor
    joins it, and a new call runs on the successor meanwhile. */
-START_TEST (test_planned_stop_with_a_call_under_way_runs_it_once)
+START_TEST (test_graceful_stop_with_running_call_runs_it_once)
 {
   char session[640];
   const char *first[] = { session, "x-elmarch-sequence: 1", NULL };
@@ -158,7 +158,7 @@
 /* The successor does not respond and may have taken the sessions over. Once
    they are sealed, the former home runs no call of theirs, whether the
    successor continues or is dead. */
-START_TEST (test_handover_in_doubt_runs_nothing_twice)
+START_TEST (test_handover_with_unknown_outcome_runs_nothing_twice)
 {
   char session[640];
   const char *first[] = { session, "x-elmarch-sequence: 1",
@@ -205,7 +205,7 @@
 
 /* A graceful stop waits until a slow caller has read its whole response, which
    is larger than the socket buffers. */
-START_TEST (test_planned_stop_waits_for_a_slow_caller)
+START_TEST (test_graceful_stop_waits_for_slow_caller)
 {
   static const size_t bytes = 7 << 20;
   caller_t caller;
@@ -235,7 +235,7 @@
 
 /* A dead host is removed from the entry addresses; a new one at its address is
    added. */
-START_TEST (test_entry_hosts_are_the_live_ones)
+START_TEST (test_entry_hosts_are_the_live_hosts)
 {
   cluster_start (&fixture, 3);
   entry_hosts_wait (0, 3);
@@ -254,12 +254,12 @@
 
   tcase_set_timeout (tcase, 60);
   tcase_add_checked_fixture (tcase, cluster_setup, cluster_teardown);
-  ADD (tcase, test_planned_stop_cuts_nothing);
-  ADD (tcase, test_planned_stop_hands_the_sessions_over);
-  ADD (tcase, test_planned_stop_with_a_call_under_way_runs_it_once);
-  ADD_LOOP (tcase, test_handover_in_doubt_runs_nothing_twice, 2);
-  ADD (tcase, test_planned_stop_waits_for_a_slow_caller);
-  ADD (tcase, test_entry_hosts_are_the_live_ones);
+  ADD (tcase, test_graceful_stop_aborts_nothing);
+  ADD (tcase, test_graceful_stop_hands_sessions_over);
+  ADD (tcase, test_graceful_stop_with_running_call_runs_it_once);
+  ADD_LOOP (tcase, test_handover_with_unknown_outcome_runs_nothing_twice, 2);
+  ADD (tcase, test_graceful_stop_waits_for_slow_caller);
+  ADD (tcase, test_entry_hosts_are_the_live_hosts);
   suite_add_tcase (suite, tcase);
   return suite;
 }
--- a/tests/t_stream.c
+++ b/tests/t_stream.c
@@ -57,7 +57,7 @@
 
 /* Each fault, at the first, a middle and the last stage: the stream continues
    on the other pipeline, with the same tokens. */
-START_TEST (test_stage_fault_leaves_the_answer_whole)
+START_TEST (test_stage_fault_keeps_response_complete)
 {
   fixture.extra_flags[0] = "--call-limit-ms=300";
   cluster_start (&fixture, 1);
@@ -104,13 +104,13 @@
   free (body);
 }
 
-START_TEST (test_engine_killed_mid_stream_leaves_the_answer_whole)
+START_TEST (test_engine_killed_mid_stream_keeps_response_complete)
 {
   stall_then_signal (SIGKILL);
 }
 END_TEST
 
-START_TEST (test_engine_frozen_mid_stream_leaves_the_answer_whole)
+START_TEST (test_engine_stopped_mid_stream_keeps_response_complete)
 {
   stall_then_signal (SIGSTOP);
 }
@@ -118,7 +118,7 @@
 
 /* Both engines of a stage are killed: the stream is not aborted but waits, and
    completes once one engine is back. */
-START_TEST (test_stream_outlives_the_loss_of_all_routes)
+START_TEST (test_stream_survives_loss_of_all_routes)
 {
   char *body = chat_body (PROMPT, 1, MAX_TOKENS, NULL, 0);
   caller_t caller;
@@ -141,7 +141,7 @@
 }
 END_TEST
 
-START_TEST (test_many_callers_get_their_own_answers)
+START_TEST (test_many_callers_get_their_own_responses)
 {
   static const size_t ncallers = 24;
   caller_t *callers = calloc (ncallers, sizeof *callers);
@@ -200,7 +200,7 @@
   ck_assert_int_ge (abandoned, 1);
 }
 
-START_TEST (test_caller_that_vanishes_is_cancelled_down_to_the_engine)
+START_TEST (test_caller_disconnect_cancels_down_to_engine)
 {
   char *body = chat_body (PROMPT, 1, 1000, NULL, 0);
   caller_t caller;
@@ -219,7 +219,7 @@
 END_TEST
 
 /* HTTP/2: a stream, a service call and a response without streaming. */
-START_TEST (test_callers_may_speak_http2)
+START_TEST (test_callers_may_use_http2)
 {
   char *body = chat_body (PROMPT, 0, 1000, NULL, 0);
   reply_t reply;
@@ -243,7 +243,7 @@
 /* The caller loses its connection and resumes with the tokens that it
    received, at the session's home or at another host, which redirects to the
    home. */
-START_TEST (test_session_stream_resumes_after_a_cut_connection)
+START_TEST (test_session_stream_resumes_after_lost_connection)
 {
   char session[640];
   const char *headers[] = { session, "x-elmarch-sequence: 1", NULL };
@@ -325,15 +325,15 @@
 
   tcase_set_timeout (tcase, 60);
   tcase_add_checked_fixture (tcase, cluster_setup, cluster_teardown);
-  ADD_LOOP (tcase, test_stage_fault_leaves_the_answer_whole,
+  ADD_LOOP (tcase, test_stage_fault_keeps_response_complete,
             STAGES * (int)(sizeof stage_faults / sizeof *stage_faults));
-  ADD (tcase, test_engine_killed_mid_stream_leaves_the_answer_whole);
-  ADD (tcase, test_engine_frozen_mid_stream_leaves_the_answer_whole);
-  ADD (tcase, test_stream_outlives_the_loss_of_all_routes);
-  ADD (tcase, test_many_callers_get_their_own_answers);
-  ADD (tcase, test_caller_that_vanishes_is_cancelled_down_to_the_engine);
-  ADD (tcase, test_callers_may_speak_http2);
-  ADD_LOOP (tcase, test_session_stream_resumes_after_a_cut_connection, 2);
+  ADD (tcase, test_engine_killed_mid_stream_keeps_response_complete);
+  ADD (tcase, test_engine_stopped_mid_stream_keeps_response_complete);
+  ADD (tcase, test_stream_survives_loss_of_all_routes);
+  ADD (tcase, test_many_callers_get_their_own_responses);
+  ADD (tcase, test_caller_disconnect_cancels_down_to_engine);
+  ADD (tcase, test_callers_may_use_http2);
+  ADD_LOOP (tcase, test_session_stream_resumes_after_lost_connection, 2);
   ADD_LOOP (tcase, test_session_stream_resumes_after_its_host_died, 2);
   suite_add_tcase (suite, tcase);
   return suite;
--- a/tests/test.h
+++ b/tests/test.h
@@ -30,8 +30,8 @@
 Suite *avail_suite (void);
 Suite *connect_suite (void);
 Suite *starts_suite (void);
-Suite *again_suite (void);
-Suite *era_suite (void);
+Suite *restart_suite (void);
+Suite *restore_suite (void);
 Suite *epoch_suite (void);
 Suite *load_suite (void);
 Suite *net_suite (void);
@@ -40,12 +40,12 @@
 Suite *check_suite (void);
 Suite *fuzz_http_suite (void);
 Suite *site_suite (void);
-Suite *ends_suite (void);
-Suite *rest_suite (void);
+Suite *crash_suite (void);
+Suite *backoff_suite (void);
 Suite *stream_suite (void);
-Suite *once_suite (void);
+Suite *at_most_once_suite (void);
 Suite *stop_suite (void);
-Suite *agree_suite (void);
+Suite *agreement_suite (void);
 
 /* Add a test if test_wanted admits it. */
 #define ADD(tcase, fn)                                                        \
