--- a/standin/demo.c
+++ b/standin/demo.c
@@ -3,9 +3,9 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * The demo's caller: asks a host for the entry addresses, sends chats and
- * calls to them, and checks each answer against the one worked out apart.
- * demo HOST CUSTOMER-KEY CHATS CALLS SERVICE-ADDRESS
+ * The demo's client: asks a host for the entry addresses, sends chats and
+ * calls to them, and checks each chat against the reference implementation.
+ * Usage: demo HOST CUSTOMER-KEY CHATS CALLS SERVICE-ADDRESS
  */
 #include <inttypes.h>
 #include <stdio.h>
@@ -41,7 +41,7 @@
   return size * n;
 }
 
-/* One exchange; gives the status. */
+/* Sends one request and returns the status, 0 if there is no answer. */
 static long
 exchange (const demo_t *demo, const char *url, const char *body,
           struct curl_slist *headers, el_buf_t *out)
@@ -67,7 +67,7 @@
 }
 
 static int
-hosts_ask (demo_t *demo, const char *host)
+fetch_entry_hosts (demo_t *demo, const char *host)
 {
   el_buf_t out = { NULL, 0, 0 };
   char url[URL_MAX];
@@ -87,7 +87,8 @@
   return demo->nhosts > 0;
 }
 
-/* The text of a stream's events; gives 0 when its end is not there. */
+/* Appends the text of a stream's events; returns 0 if the stream has no
+   [DONE]. */
 static int
 stream_text (const el_buf_t *raw, el_buf_t *text)
 {
@@ -119,7 +120,7 @@
 }
 
 static int
-whole_text (const el_buf_t *raw, el_buf_t *text)
+plain_text (const el_buf_t *raw, el_buf_t *text)
 {
   json_t *json = json_loadb (raw->ptr ? raw->ptr : "", raw->len, 0, NULL);
   json_t *choice = json_array_get (json_object_get (json, "choices"), 0);
@@ -142,14 +143,14 @@
   char url[URL_MAX];
   json_t *body;
   char *dump;
-  char *want;
+  char *expected;
   size_t n;
   int ended;
 
   snprintf (content, sizeof content,
             "Which tariff holds at car park %u on Sunday?", i);
   n = reference_answer (content, LAYERS, MAX_TOKENS, tokens);
-  want = reference_text (tokens, n);
+  expected = reference_text (tokens, n);
   body = json_pack ("{s:s,s:[{s:s,s:s}],s:b,s:i}", "model", "sprach",
                     "messages", "role", "user", "content", content, "stream",
                     stream, "max_tokens", MAX_TOKENS);
@@ -157,17 +158,17 @@
   snprintf (url, sizeof url, "http://%s/v1/chat/completions",
             demo->hosts[i % demo->nhosts]);
   exchange (demo, url, dump, NULL, &raw);
-  ended = stream ? stream_text (&raw, &text) : whole_text (&raw, &text);
+  ended = stream ? stream_text (&raw, &text) : plain_text (&raw, &text);
   demo->requests++;
-  if (ended && el_str_eq (el_buf_str (&text), el_str (want)))
+  if (ended && el_str_eq (el_buf_str (&text), el_str (expected)))
     demo->whole++;
   printf ("chat %u via %s stream=%d tokens=%zu whole=%d:%.60s...\n", i,
           demo->hosts[i % demo->nhosts], stream, n,
-          ended && el_str_eq (el_buf_str (&text), el_str (want)),
+          ended && el_str_eq (el_buf_str (&text), el_str (expected)),
           text.len ? text.ptr : "");
   json_decref (body);
   free (dump);
-  free (want);
+  free (expected);
   el_buf_free (&raw);
   el_buf_free (&text);
 }
@@ -190,7 +191,8 @@
   return token;
 }
 
-/* A payment, sent twice: to the session's home and through another host. */
+/* Sends a payment twice under the same sequence number, through two hosts; the
+   service must run it once. */
 static void
 pay (demo_t *demo, const char *token, unsigned i)
 {
@@ -222,9 +224,9 @@
   el_buf_free (&out);
 }
 
-/* What the service itself counted. */
+/* Counts the payments that the service ran more than once. */
 static void
-runs_check (demo_t *demo, const char *service)
+count_doubled (demo_t *demo, const char *service)
 {
   el_buf_t out = { NULL, 0, 0 };
   char url[URL_MAX];
@@ -258,14 +260,14 @@
   demo.key = argv[2];
   chats = (unsigned)strtoul (argv[3], NULL, 10);
   calls = (unsigned)strtoul (argv[4], NULL, 10);
-  if (!hosts_ask (&demo, argv[1]))
+  if (!fetch_entry_hosts (&demo, argv[1]))
     return EXIT_FAILURE;
   for (i = 0; i < chats; i++)
     chat (&demo, i);
   token = session_open (&demo, demo.hosts[0]);
   for (i = 0; token && i < calls; i++)
     pay (&demo, token, i);
-  runs_check (&demo, argv[5]);
+  count_doubled (&demo, argv[5]);
   lost = chats + calls - demo.whole;
   printf ("demo: requests=%u whole=%u lost=%u doubled=%u\n", demo.requests,
           demo.whole, lost, demo.doubled);
--- a/standin/demo.sh
+++ b/standin/demo.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
-# The main job on one machine: the platform, six engines in two pipelines over
-# three halls, a service, three hosts; then the caller. Everything that is
-# started here is ended here, by its process number.
+# Demo of chats and service calls on one machine: starts the platform, six
+# engines in two pipelines over three halls, a service and three hosts, then runs
+# the client. Stops every process that it started by its process id.
 set -eu
 bin=$1
 dir=$(mktemp -d)
--- a/standin/demo_relay.sh
+++ b/standin/demo_relay.sh
@@ -1,9 +1,9 @@
 #!/bin/sh
-# The job on the users' platform, on one machine: a store, six engines that the
-# hosts place layers on, two workers, three hosts; then streams and payments
-# through the entry addresses that the directory tells. One engine is killed in
-# the middle. Everything that is started here is ended here, by its process
-# number.
+# Demo of relayed requests on the users' platform, on one machine: starts a
+# store, six engines on which the hosts place layers, two workers and three
+# hosts, prints the entry addresses that the directory returns, then sends
+# streams and payments through the hosts. One engine is killed while the streams
+# run. Stops every process that it started by its process id.
 set -eu
 bin=$1
 dir=$(mktemp -d)
@@ -57,9 +57,9 @@
 for i in 1 2 3 4 5 6; do member "engine-$i" $net.1$i:7100 sprach-pool l4; done
 victim=$last
 for i in 1 2; do member "worker-$i" $net.2$i:7200 zahl-app ""; done
-# Hosts that have just started have a tenth of their requests as repeats, none
-# here; five of twelve streams need one where the engine that is killed is the
-# first of their lines.
+# Hosts that have just started may retry only a share of their requests
+# (--repeat-ratio), by default none of the few here; five of twelve streams need
+# a retry if the killed engine is the first of their chains.
 for i in 1 2 3; do
   start "host-$i" "$bin/elmarchd" --listen $net.3$i:7300 --peer-listen $net.3$i:7301 \
     --peers $net.31:7301,$net.32:7301,$net.33:7301 --hall bern-halle --name "host-$i" \
--- a/standin/engine.c
+++ b/standin/engine.c
@@ -3,9 +3,9 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * A model engine that holds a range of layers. POST /v1/stage runs the range
- * over the positions of a step; POST /v1/abandon drops an attempt; GET /stats
- * tells what was run.
+ * A model engine that holds a range of layers. POST /v1/stage runs them over
+ * the positions of a step, POST /v1/abandon drops an attempt's cache, GET
+ * /stats returns counters.
  */
 #include <inttypes.h>
 #include <stdio.h>
@@ -22,12 +22,12 @@
 #define HEX_BASE 16
 #define TEXT_MAX 32
 
-/* The cache of one attempt. */
+/* The state of the layers for one attempt. */
 typedef struct cache
 {
   char key[KEY_MAX];
   uint64_t next_step;
-  int fresh; /* no step was run yet */
+  int fresh; /* no step has run yet */
   uint64_t *states;
   UT_hash_handle hh;
 } cache_t;
@@ -59,9 +59,10 @@
   p->list[p->len++] = value;
 }
 
-/* The tokens of a prompt: a number for each piece of its text. */
+/* Converts a prompt to positions, one for each PROMPT_CHUNK bytes of its JSON.
+ */
 static void
-prompt_read (json_t *prompt, positions_t *out)
+prompt_embed (json_t *prompt, positions_t *out)
 {
   char *text = json_dumps (prompt, JSON_COMPACT | JSON_SORT_KEYS);
   el_str_t rest = el_str (text);
@@ -88,7 +89,7 @@
   size_t i;
 
   if (prompt)
-    prompt_read (prompt, out);
+    prompt_embed (prompt, out);
   json_array_foreach (feed, i, token)
       positions_add (out, model_embed ((uint64_t)json_integer_value (token)));
   for (; hidden && strlen (hidden) >= HEX_DIGITS; hidden += HEX_DIGITS)
@@ -99,16 +100,16 @@
 }
 
 static void
-range_run (const sn_process_t *process, cache_t *cache, positions_t *p)
+layers_run (const sn_process_t *process, cache_t *cache, positions_t *p)
 {
   uint64_t layer;
   size_t i;
 
   for (i = 0; i < p->len; i++)
-    for (layer = process->set.layers_first; layer <= process->set.layers_last;
-         layer++)
+    for (layer = process->settings.layers_first;
+         layer <= process->settings.layers_last; layer++)
       p->list[i] = model_layer (
-          layer, &cache->states[layer - process->set.layers_first],
+          layer, &cache->states[layer - process->settings.layers_first],
           p->list[i]);
 }
 
@@ -119,7 +120,7 @@
   json_t *out = json_object ();
   static const char *const echoed[]
       = { "session", "attempt", "step", "first", "last", "generation" };
-  uint64_t token = p->list[p->len - 1] % MODEL_VOCABULARY;
+  uint64_t token = p->list[p->len - 1] % MODEL_VOCABULARY_SIZE;
   el_buf_t hidden = { NULL, 0, 0 };
   char text[TEXT_MAX];
   size_t i;
@@ -145,7 +146,7 @@
 }
 
 static cache_t *
-cache_get (sn_process_t *process, json_t *json, int make)
+cache_get (sn_process_t *process, json_t *json, int create)
 {
   engine_t *engine = process->state;
   char key[KEY_MAX];
@@ -155,14 +156,14 @@
             json_string_value (json_object_get (json, "session")),
             json_integer_value (json_object_get (json, "attempt")));
   HASH_FIND_STR (engine->caches, key, cache);
-  if (cache || !make)
+  if (cache || !create)
     return cache;
   cache = el_alloc (sizeof *cache);
   snprintf (cache->key, sizeof cache->key, "%s", key);
   cache->fresh = 1;
-  cache->states
-      = el_alloc ((process->set.layers_last - process->set.layers_first + 1)
-                  * sizeof *cache->states);
+  cache->states = el_alloc (
+      (process->settings.layers_last - process->settings.layers_first + 1)
+      * sizeof *cache->states);
   HASH_ADD_STR (engine->caches, key, cache);
   return cache;
 }
@@ -178,19 +179,20 @@
 static void
 stage_answer (h2o_req_t *req, json_t *answer)
 {
-  sn_json (req, 200, answer);
+  sn_reply_json (req, 200, answer);
 }
 
-/* Whether the call is for the layers and weights that are held here. */
+/* Whether the call is for the layers and the generation of weights held here.
+ */
 static int
-stage_fits (const sn_process_t *process, json_t *json)
+stage_matches (const sn_process_t *process, json_t *json)
 {
   return json_integer_value (json_object_get (json, "first"))
-             == (json_int_t)process->set.layers_first
+             == (json_int_t)process->settings.layers_first
          && json_integer_value (json_object_get (json, "last"))
-                == (json_int_t)process->set.layers_last
+                == (json_int_t)process->settings.layers_last
          && json_integer_value (json_object_get (json, "generation"))
-                == (json_int_t)process->set.generation;
+                == (json_int_t)process->settings.generation;
 }
 
 static void
@@ -205,8 +207,8 @@
   json_t *answer;
 
   input_read (json, &p);
-  cache = p.len && stage_fits (process, json) ? cache_get (process, json, 1)
-                                              : NULL;
+  cache = p.len && stage_matches (process, json) ? cache_get (process, json, 1)
+                                                 : NULL;
   if (!cache || (!cache->fresh && cache->next_step != step))
     {
       engine->refused++;
@@ -217,7 +219,7 @@
   engine->calls++;
   cache->fresh = 0;
   cache->next_step = step + 1;
-  range_run (process, cache, &p);
+  layers_run (process, cache, &p);
   if (fault == SN_DIE_AFTER)
     exit (EXIT_FAILURE);
   answer = output_write (json, &p, step, fault);
@@ -226,14 +228,14 @@
     {
       json_decref (answer);
       if (fault == SN_LOSE)
-        sn_lose (req);
+        sn_drop_connection (req);
       return;
     }
-  if (process->set.step_us || fault == SN_SLOW)
-    sn_later (process, req, answer,
-              process->set.step_us
-                  + (fault == SN_SLOW ? process->delay_ms * EL_MSEC : 0),
-              stage_answer);
+  if (process->settings.step_us || fault == SN_SLOW)
+    sn_reply_later (process, req, answer,
+                    process->settings.step_us
+                        + (fault == SN_SLOW ? process->delay_ms * EL_MSEC : 0),
+                    stage_answer);
   else
     stage_answer (req, answer);
 }
@@ -249,32 +251,32 @@
       engine->abandoned++;
       cache_drop (engine, cache);
     }
-  sn_json (req, 200, json_object ());
+  sn_reply_json (req, 200, json_object ());
 }
 
 static void
 engine_serve (sn_process_t *process, h2o_req_t *req)
 {
   engine_t *engine = process->state;
-  json_t *json = sn_body (req);
+  json_t *json = sn_parse_body (req);
   sn_fault_t fault;
 
   if (el_str_eq (net_req_path (req), EL_STR ("/stats")))
-    sn_json (req, 200,
-             json_pack ("{s:I,s:I,s:I,s:I}", "calls",
-                        (json_int_t)engine->calls, "refused",
-                        (json_int_t)engine->refused, "abandoned",
-                        (json_int_t)engine->abandoned, "caches",
-                        (json_int_t)HASH_COUNT (engine->caches)));
+    sn_reply_json (req, 200,
+                   json_pack ("{s:I,s:I,s:I,s:I}", "calls",
+                              (json_int_t)engine->calls, "refused",
+                              (json_int_t)engine->refused, "abandoned",
+                              (json_int_t)engine->abandoned, "caches",
+                              (json_int_t)HASH_COUNT (engine->caches)));
   else if (el_str_eq (net_req_path (req), EL_STR ("/v1/abandon")))
     abandon_serve (process, req, json);
   else
     {
-      fault = sn_fault_take (process);
+      fault = sn_fault_next (process);
       if (fault == SN_DIE_BEFORE)
         exit (EXIT_FAILURE);
       if (fault == SN_DOWN)
-        sn_json (req, 500, json_object ());
+        sn_reply_json (req, 500, json_object ());
       else if (fault == SN_LEAVING
                && json_integer_value (json_object_get (json, "step")) == 0)
         sn_refuse (process, req, "leaving");
--- a/standin/main.c
+++ b/standin/main.c
@@ -3,7 +3,8 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * The stand-ins' process: settings, faults, and the roles' table.
+ * Main program of the stand-ins: settings, fault injection and the table of
+ * roles.
  */
 #include <signal.h>
 #include <stdio.h>
@@ -18,7 +19,7 @@
 static const sn_role_t *const roles[]
     = { &sn_platform, &sn_engine, &sn_service, &sn_store, &sn_member };
 
-static const char *const fault_names[SN_FAULTS] = {
+static const char *const fault_names[SN_FAULT_COUNT] = {
   [SN_NONE] = "none",           [SN_LEAVING] = "leaving",
   [SN_BUSY] = "busy",           [SN_DIE_BEFORE] = "die-before",
   [SN_DIE_AFTER] = "die-after", [SN_LOSE] = "lose",
@@ -26,81 +27,82 @@
   [SN_DOWN] = "down",           [SN_SLOW] = "slow",
 };
 
-#define AT(field) offsetof (sn_settings_t, field)
+#define FIELD(field) offsetof (sn_settings_t, field)
 
-static const el_set_t table[] = {
-  { "role", EL_SET_STRING, AT (role), NULL, 1, 16, 1, "ROLE",
+static const el_set_t settings_table[] = {
+  { "role", EL_SET_STRING, FIELD (role), NULL, 1, 16, 1, "ROLE",
     "platform, engine, service, store or member" },
-  { "listen", EL_SET_STRING, AT (listen), NULL, 9, 21, 1, "IP:PORT",
-    "where to listen" },
-  { "step-us", EL_SET_U64, AT (step_us), "0", 0, 10000000, 0, "US",
-    "time that a stage call takes" },
-  { "first", EL_SET_U64, AT (layers_first), "0", 0, 4095, 0, "N",
-    "first layer held" },
-  { "last", EL_SET_U64, AT (layers_last), "0", 0, 4095, 0, "N",
-    "last layer held" },
-  { "generation", EL_SET_U64, AT (generation), "1", 1, 1000000, 0, "N",
-    "generation of the weights" },
-  { "store", EL_SET_STRING, AT (store), "", 0, 21, 0, "IP:PORT",
-    "the store that a member enters itself in" },
-  { "name", EL_SET_STRING, AT (name), "m", 1, 32, 0, "NAME",
-    "begins a member's id" },
-  { "service", EL_SET_STRING, AT (service), "s", 1, 32, 0, "NAME",
+  { "listen", EL_SET_STRING, FIELD (listen), NULL, 9, 21, 1, "IP:PORT",
+    "listen address" },
+  { "step-us", EL_SET_U64, FIELD (step_us), "0", 0, 10000000, 0, "US",
+    "duration of a stage call; for a member, time between two events" },
+  { "first", EL_SET_U64, FIELD (layers_first), "0", 0, 4095, 0, "N",
+    "first layer of an engine" },
+  { "last", EL_SET_U64, FIELD (layers_last), "0", 0, 4095, 0, "N",
+    "last layer of an engine" },
+  { "generation", EL_SET_U64, FIELD (generation), "1", 1, 1000000, 0, "N",
+    "generation of an engine's weights" },
+  { "store", EL_SET_STRING, FIELD (store), "", 0, 21, 0, "IP:PORT",
+    "store that a member registers in" },
+  { "name", EL_SET_STRING, FIELD (name), "m", 1, 32, 0, "NAME",
+    "prefix of a member's id" },
+  { "service", EL_SET_STRING, FIELD (service), "s", 1, 32, 0, "NAME",
     "of a member" },
-  { "hall", EL_SET_STRING, AT (hall), "h", 1, 32, 0, "NAME", "of a member" },
-  { "card", EL_SET_STRING, AT (card), "", 0, 32, 0, "NAME",
-    "accelerator of a member that is an engine" },
-  { "announce", EL_SET_STRING, AT (announce), "", 0, 21, 0, "IP:PORT",
-    "the address that a member enters, in place of its own" },
-  { "same-id", EL_SET_FLAG, AT (same_id), "0", 0, 1, 0, NULL,
-    "a member has its name for an id, at each start" },
-  { "layers-most", EL_SET_U64, AT (layers_most), "4096", 0, 4096, 0, "N",
-    "a member that is ordered to hold more ends" },
-  { "record", EL_SET_STRING, AT (record), "", 0, 255, 0, "FILE",
-    "where a member notes each request that it runs" },
+  { "hall", EL_SET_STRING, FIELD (hall), "h", 1, 32, 0, "NAME",
+    "of a member" },
+  { "card", EL_SET_STRING, FIELD (card), "", 0, 32, 0, "NAME",
+    "accelerator type of a member that is an engine; empty: plain service" },
+  { "announce", EL_SET_STRING, FIELD (announce), "", 0, 21, 0, "IP:PORT",
+    "address that a member registers instead of its listen address" },
+  { "same-id", EL_SET_FLAG, FIELD (same_id), "0", 0, 1, 0, NULL,
+    "use the name of a member as its id, which then survives restarts" },
+  { "layers-most", EL_SET_U64, FIELD (max_layers), "4096", 0, 4096, 0, "N",
+    "exit if a member is ordered to load more layers" },
+  { "record", EL_SET_STRING, FIELD (record), "", 0, 255, 0, "FILE",
+    "file where a member records its runs and a store its changes" },
 };
 
-typedef struct later
+typedef struct delayed_reply
 {
   sn_process_t *process;
-  gt_deferred_t *hold;
+  gt_deferred_t *deferred;
   json_t *answer;
-  sn_later_fn fn;
+  sn_reply_fn send;
   el_timer_t timer;
-} later_t;
+} delayed_reply_t;
 
 static void
-later_fire (void *arg, el_time_t now)
+delayed_reply_send (void *arg, el_time_t now)
 {
-  later_t *later = arg;
-  h2o_req_t *req = gt_deferred_finish (later->hold);
+  delayed_reply_t *delayed = arg;
+  h2o_req_t *req = gt_deferred_finish (delayed->deferred);
 
   (void)now;
   if (req)
-    later->fn (req, later->answer);
+    delayed->send (req, delayed->answer);
   else
-    json_decref (later->answer);
-  free (later);
+    json_decref (delayed->answer);
+  free (delayed);
 }
 
 void
-sn_later (sn_process_t *process, h2o_req_t *req, json_t *answer,
-          el_time_t wait, sn_later_fn fn)
+sn_reply_later (sn_process_t *process, h2o_req_t *req, json_t *answer,
+                el_time_t wait, sn_reply_fn send)
 {
-  later_t *later = el_alloc (sizeof *later);
-
-  later->process = process;
-  later->hold = gt_deferred_new (req);
-  later->answer = answer;
-  later->fn = fn;
-  later->timer.cb = later_fire;
-  later->timer.arg = later;
-  net_clock_set (&process->clock, &later->timer, wait);
+  delayed_reply_t *delayed = el_alloc (sizeof *delayed);
+
+  delayed->process = process;
+  delayed->deferred = gt_deferred_new (req);
+  delayed->answer = answer;
+  delayed->send = send;
+  delayed->timer.cb = delayed_reply_send;
+  delayed->timer.arg = delayed;
+  net_clock_set (&process->clock, &delayed->timer, wait);
 }
 
-/** The fault that hits this call. */
+/** Returns the fault that applies to this call, if any. */
 sn_fault_t
-sn_fault_take (sn_process_t *process)
+sn_fault_next (sn_process_t *process)
 {
   sn_fault_t fault = process->fault;
 
@@ -116,9 +118,9 @@
   return fault;
 }
 
-/** Break the connection in place of an answer. */
+/** Drops the connection instead of answering. */
 void
-sn_lose (h2o_req_t *req)
+sn_drop_connection (h2o_req_t *req)
 {
   static h2o_generator_t generator = { NULL, NULL };
 
@@ -143,15 +145,15 @@
   net_req_reply (req, 503, (el_str_t){ NULL, 0 }, EL_STR (""));
 }
 
-/** Answer with JSON; takes over the reference. */
+/** Answers with JSON; takes over the reference. */
 void
-sn_json (h2o_req_t *req, int status, json_t *json)
+sn_reply_json (h2o_req_t *req, int status, json_t *json)
 {
   gt_api_reply_json (req, status, json);
 }
 
 json_t *
-sn_body (const h2o_req_t *req)
+sn_parse_body (const h2o_req_t *req)
 {
   el_str_t body = net_req_body (req);
 
@@ -162,11 +164,11 @@
 static void
 fault_set (sn_process_t *process, h2o_req_t *req)
 {
-  json_t *json = sn_body (req);
+  json_t *json = sn_parse_body (req);
   const char *name = json_string_value (json_object_get (json, "fault"));
   size_t i;
 
-  for (i = 0; name && i < SN_FAULTS; i++)
+  for (i = 0; name && i < SN_FAULT_COUNT; i++)
     if (strcmp (name, fault_names[i]) == 0)
       process->fault = (sn_fault_t)i;
   process->after
@@ -198,27 +200,28 @@
   if (el_str_eq (net_req_path (req), EL_STR ("/fault")))
     fault_set (process, req);
   else
-    role_find (process->set.role)->serve (process, req);
+    role_find (process->settings.role)->serve (process, req);
 }
 
 int
 main (int argc, const char **argv)
 {
-  const el_set_options_t options = { .program = "standin",
-                                     .env_prefix = "STANDIN",
-                                     .usage = "[OPTION...]",
-                                     .table = table,
-                                     .ntable = sizeof table / sizeof *table };
+  const el_set_options_t options
+      = { .program = "standin",
+          .env_prefix = "STANDIN",
+          .usage = "[OPTION...]",
+          .table = settings_table,
+          .ntable = sizeof settings_table / sizeof *settings_table };
   net_server_options_t server = { .max_body = MAX_BODY };
   sn_process_t process;
   el_err_t err;
   el_set_result_t result;
 
   memset (&process, 0, sizeof process);
-  result = el_set_parse (&options, argc, argv, &process.set, NULL, &err);
+  result = el_set_parse (&options, argc, argv, &process.settings, NULL, &err);
   if (result == EL_SET_DONE)
     return EXIT_SUCCESS;
-  if (result == EL_SET_REFUSED || !role_find (process.set.role))
+  if (result == EL_SET_REFUSED || !role_find (process.settings.role))
     {
       fprintf (stderr, "standin: %s\n",
                result == EL_SET_REFUSED ? err.msg : "no such role");
@@ -227,9 +230,9 @@
   signal (SIGPIPE, SIG_IGN);
   uv_loop_init (&process.loop);
   net_clock_open (&process.clock, &process.loop);
-  role_find (process.set.role)->open (&process);
+  role_find (process.settings.role)->open (&process);
   server.loop = &process.loop;
-  server.address = el_str (process.set.listen);
+  server.address = el_str (process.settings.listen);
   server.handle = process_handle;
   server.arg = &process;
   process.server = net_server_new (&server, &err);
--- a/standin/member.c
+++ b/standin/member.c
@@ -3,16 +3,17 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * An endpoint of the users' platform that enters itself in the store: with a
- * card an engine that takes layers and streams events over a line, else a
- * plain service. Faults are those of the stand-ins; POST /stall {"at":
- * ADDRESS} has its streams stand still for that engine until they are moved
- * around it. A request whose body holds "deadly" ends the process soon after
- * it begins to run. POST /rest has it ask hosts for rest, or say that it
- * leaves (rest.c). GET /runs tells what ran, GET /seen the last request's
- * headers. With --record each run is noted, before it begins, as a line of a
- * file that outlives the process: "MICROSECONDS ID MEMBER CUSTOMER LINE
- * RESUMED".
+ * An endpoint of the users' platform that registers itself in the store: an
+ * engine if it has a card, else a plain service. An engine loads layers and
+ * streams events through a chain of engines. PUT /fault applies to requests
+ * without a chain. POST /stall {"at": ADDRESS} stalls streams whose chain
+ * includes that engine until they are rerouted around it. A request with
+ * "deadly" in its body makes the process exit soon after it starts to run.
+ * POST /rest makes the member ask hosts to back off, or announce that it is
+ * leaving. GET /runs returns counters, GET /seen the headers of the
+ * last request. With --record the member appends a line to a file before it
+ * runs a request, so that the runs can be checked after the process has
+ * exited: "MICROSECONDS ID MEMBER CUSTOMER CHAIN LAST-EVENT-ID".
  */
 #include <fcntl.h>
 #include <inttypes.h>
@@ -25,29 +26,29 @@
 #include "libgate.h"
 #include "rest.h"
 
-#define PIECES 40
+#define STREAM_EVENTS 40
 #define SEAL "seal.of.a.stand-in"
-#define DEADLY "deadly"
-/* From the beginning of a deadly request to the process's end. */
-#define DEADLY_AFTER (20 * EL_MSEC)
-/* A process that lingers cuts its streams then, and holds its port for a
-   while, answering nothing. */
-#define LINGERS_FOR (300 * EL_MSEC)
+#define CRASH_MARKER "deadly"
+/* Time from the start of a request with CRASH_MARKER to the process's exit. */
+#define CRASH_DELAY (20 * EL_MSEC)
+/* With POST /linger the process first aborts its streams, then keeps its port
+   open for this time without answering. */
+#define LINGER_TIME (300 * EL_MSEC)
 
 typedef struct member_stream
 {
   struct member *member;
-  h2o_req_t *req; /* NULL once the caller has gone */
+  h2o_req_t *req; /* NULL once the caller has disconnected */
   h2o_generator_t generator;
   char *id;
-  char *line;
-  uint64_t next; /* id of the next event */
-  int sending;
-  int due;
+  char *chain;
+  uint64_t next_id; /* id of the next event */
+  int send_pending;
+  int event_due;
   char text[64];
-  el_timer_t step;
+  el_timer_t event_timer;
   struct member_stream *prev;
-  struct member_stream *next_stream;
+  struct member_stream *next;
 } member_stream_t;
 
 typedef struct member
@@ -55,52 +56,53 @@
   sn_process_t *process;
   net_client_t *client;
   member_stream_t *streams;
-  char *stalled; /* address of the engine that streams wait for */
+  char *stalled_engine; /* address of the engine for which streams stall */
   unsigned first;
   unsigned end;
   uint64_t orders;
   uint64_t runs;
-  uint64_t gone; /* callers that left while a request ran */
-  json_t *seen;
+  uint64_t disconnected; /* callers that left while their request ran */
+  json_t *last_headers;
   int leaving;
-  int record; /* descriptor; -1 is none */
+  int record_fd; /* file descriptor; -1: none */
   char id[64];
-  uint64_t born;    /* Unix milliseconds of the start */
-  el_timer_t dying; /* a deadly request runs */
-  int lingers;      /* its streams are cut before it ends */
-  int mute;
-  sn_rest_t *rest;
+  uint64_t born;          /* start time, in Unix milliseconds */
+  el_timer_t crash_timer; /* set while a request with the marker runs */
+  int linger;             /* abort streams before exiting */
+  int unresponsive;
+  sn_backoff_t *backoff;
 } member_t;
 
-static void stream_step (void *arg, el_time_t now);
+static void stream_send_event (void *arg, el_time_t now);
 
 static void
-entered (void *arg, const net_result_t *result)
+register_done (void *arg, const net_result_t *result)
 {
   (void)arg;
   if (result->net != NET_OK)
-    fprintf (stderr, "standin: not entered in the store\n");
+    fprintf (stderr, "standin: store registration error\n");
 }
 
-/* Write the entry that hosts read. */
+/* Writes the member's entry to the store, where hosts read it. */
 static void
-member_enter (member_t *member)
+member_register (member_t *member)
 {
-  const sn_settings_t *set = &member->process->set;
-  const char *address = set->announce[0] ? set->announce : set->listen;
+  const sn_settings_t *settings = &member->process->settings;
+  const char *address
+      = settings->announce[0] ? settings->announce : settings->listen;
   json_t *json = json_pack (
-      "{s:s,s:s,s:s,s:s,s:i,s:s,s:I,s:I}", "Service", set->service, "Address",
-      address, "Zone", set->hall, "Version", "v1", "Slots", 64, "State",
-      member->leaving ? "draining" : "ready", "SeqNo",
+      "{s:s,s:s,s:s,s:s,s:i,s:s,s:I,s:I}", "Service", settings->service,
+      "Address", address, "Zone", settings->hall, "Version", "v1", "Slots", 64,
+      "State", member->leaving ? "draining" : "ready", "SeqNo",
       (json_int_t)member->orders, "born", (json_int_t)member->born);
   char path[128];
   char *text;
-  net_send_t send = { .address = el_str (set->store),
+  net_send_t send = { .address = el_str (settings->store),
                       .method = EL_STR ("PUT"),
-                      .done = entered };
+                      .done = register_done };
 
-  if (set->card[0])
-    json_object_set_new (json, "RouteType", json_string (set->card));
+  if (settings->card[0])
+    json_object_set_new (json, "RouteType", json_string (settings->card));
   if (member->end > member->first)
     json_object_set_new (json, "layers",
                          json_pack ("{s:i,s:i,s:i}", "Source",
@@ -126,19 +128,19 @@
   member->born = (uint64_t)now.tv_sec * 1000 + (uint64_t)now.tv_usec / 1000;
   member->process = process;
   member->client = net_client_new (&process->clock);
-  if (process->set.same_id)
-    snprintf (member->id, sizeof member->id, "%s", process->set.name);
+  if (process->settings.same_id)
+    snprintf (member->id, sizeof member->id, "%s", process->settings.name);
   else
-    snprintf (member->id, sizeof member->id, "%s-%" PRIx64, process->set.name,
-              uv_hrtime ());
-  member->rest
-      = sn_rest_new (&process->clock, member->id, process->set.record);
-  member->record = -1;
-  if (process->set.record[0])
-    member->record = open (process->set.record,
-                           O_WRONLY | O_APPEND | O_CREAT | O_CLOEXEC, 0600);
+    snprintf (member->id, sizeof member->id, "%s-%" PRIx64,
+              process->settings.name, uv_hrtime ());
+  member->backoff
+      = sn_backoff_new (&process->clock, member->id, process->settings.record);
+  member->record_fd = -1;
+  if (process->settings.record[0])
+    member->record_fd = open (process->settings.record,
+                              O_WRONLY | O_APPEND | O_CREAT | O_CLOEXEC, 0600);
   process->state = member;
-  member_enter (member);
+  member_register (member);
 }
 
 static el_str_t
@@ -147,31 +149,31 @@
   return text.len ? text : EL_STR ("-");
 }
 
-/* Note a run; the line is written whole, so that several members may share
-   the file. */
+/* Records a run. The line is written with a single call, so that several
+   members can share the file. */
 static void
-member_record (const member_t *member, const h2o_req_t *req)
+member_record_run (const member_t *member, const h2o_req_t *req)
 {
   el_str_t id = or_dash (net_req_header (req, "x-elmarch-request-id"));
   el_str_t customer = or_dash (net_req_header (req, "x-elmarch-tenant"));
-  el_str_t line = or_dash (net_req_header (req, "path"));
+  el_str_t chain = or_dash (net_req_header (req, "path"));
   el_str_t resumed = or_dash (net_req_header (req, "last-event-id"));
   el_buf_t out = { NULL, 0, 0 };
 
-  if (member->record < 0)
+  if (member->record_fd < 0)
     return;
   el_buf_printf (&out, "%" PRIu64 " %.*s %s %.*s %.*s %.*s\n",
                  uv_hrtime () / 1000, (int)id.len, id.ptr, member->id,
-                 (int)customer.len, customer.ptr, (int)line.len, line.ptr,
+                 (int)customer.len, customer.ptr, (int)chain.len, chain.ptr,
                  (int)resumed.len, resumed.ptr);
-  if (write (member->record, out.ptr, out.len) != (ssize_t)out.len)
-    fprintf (stderr, "standin: a run was not noted\n");
+  if (write (member->record_fd, out.ptr, out.len) != (ssize_t)out.len)
+    fprintf (stderr, "standin: cannot record a run\n");
   el_buf_free (&out);
 }
 
 static void
-reply_marked (h2o_req_t *req, int status, const char *header,
-              const char *value, const char *body)
+reply_with_id (h2o_req_t *req, int status, const char *header,
+               const char *value, const char *body)
 {
   if (header)
     net_req_add_header (req, el_str (header), el_str (value));
@@ -183,29 +185,29 @@
 static void
 member_refuse (h2o_req_t *req, int status)
 {
-  reply_marked (req, status, "x-elmarch-not-executed", "1", "");
+  reply_with_id (req, status, "x-elmarch-not-executed", "1", "");
 }
 
 static void
-headers_note (member_t *member, const h2o_req_t *req)
+headers_save (member_t *member, const h2o_req_t *req)
 {
   size_t i;
 
-  json_decref (member->seen);
-  member->seen = json_object ();
+  json_decref (member->last_headers);
+  member->last_headers = json_object ();
   for (i = 0; i < req->headers.size; i++)
     {
       const h2o_header_t *h = &req->headers.entries[i];
       char *name = strndup (h->name->base, h->name->len);
 
-      json_object_set_new (member->seen, name,
+      json_object_set_new (member->last_headers, name,
                            json_stringn (h->value.base, h->value.len));
       free (name);
     }
 }
 
 static void
-member_end (void *arg, el_time_t now)
+member_exit (void *arg, el_time_t now)
 {
   (void)arg;
   (void)now;
@@ -213,34 +215,34 @@
 }
 
 static void
-member_dying (void *arg, el_time_t now)
+member_crash (void *arg, el_time_t now)
 {
   member_t *member = arg;
   member_stream_t *stream;
 
-  if (!member->lingers)
-    member_end (arg, now);
-  member->mute = 1;
-  DL_FOREACH2 (member->streams, stream, next_stream)
+  if (!member->linger)
+    member_exit (arg, now);
+  member->unresponsive = 1;
+  DL_FOREACH2 (member->streams, stream, next)
   net_req_cut (stream->req);
-  member->dying.cb = member_end;
-  net_clock_set (&member->process->clock, &member->dying, LINGERS_FOR);
+  member->crash_timer.cb = member_exit;
+  net_clock_set (&member->process->clock, &member->crash_timer, LINGER_TIME);
 }
 
-/* Whether the request ends the process; it will soon, if so. */
+/* Schedules the exit if the request has the marker; returns whether it has. */
 static int
-member_dies (member_t *member, const h2o_req_t *req)
+member_schedule_crash (member_t *member, const h2o_req_t *req)
 {
   el_str_t body = net_req_body (req);
   char *text = strndup (body.ptr ? body.ptr : "", body.len);
-  int dies = strstr (text, DEADLY) != NULL;
+  int crashes = strstr (text, CRASH_MARKER) != NULL;
 
   free (text);
-  if (!dies)
+  if (!crashes)
     return 0;
-  member->dying.cb = member_dying;
-  member->dying.arg = member;
-  net_clock_set (&member->process->clock, &member->dying, DEADLY_AFTER);
+  member->crash_timer.cb = member_crash;
+  member->crash_timer.arg = member;
+  net_clock_set (&member->process->clock, &member->crash_timer, CRASH_DELAY);
   return 1;
 }
 
@@ -249,21 +251,21 @@
 static void
 stream_free (member_stream_t *stream)
 {
-  DL_DELETE2 (stream->member->streams, stream, prev, next_stream);
-  net_clock_cancel (&stream->member->process->clock, &stream->step);
+  DL_DELETE2 (stream->member->streams, stream, prev, next);
+  net_clock_cancel (&stream->member->process->clock, &stream->event_timer);
   free (stream->id);
-  free (stream->line);
+  free (stream->chain);
   free (stream);
 }
 
 static void
-stream_gone (void *arg, int freed)
+stream_disconnected (void *arg, int freed)
 {
   member_stream_t *stream = arg;
 
   if (!freed)
     {
-      stream->member->gone++;
+      stream->member->disconnected++;
       net_req_cut (stream->req);
       return;
     }
@@ -273,8 +275,8 @@
 static int
 stream_stalled (const member_stream_t *stream)
 {
-  return stream->member->stalled
-         && strstr (stream->line, stream->member->stalled) != NULL;
+  return stream->member->stalled_engine
+         && strstr (stream->chain, stream->member->stalled_engine) != NULL;
 }
 
 static void
@@ -285,43 +287,45 @@
                             - offsetof (member_stream_t, generator));
 
   (void)req;
-  stream->sending = 0;
-  if (stream->due)
-    stream_step (stream, 0);
+  stream->send_pending = 0;
+  if (stream->event_due)
+    stream_send_event (stream, 0);
 }
 
 static void
-stream_step (void *arg, el_time_t now)
+stream_send_event (void *arg, el_time_t now)
 {
   member_stream_t *stream = arg;
   sn_process_t *process = stream->member->process;
-  int last = stream->next == PIECES;
+  int last = stream->next_id == STREAM_EVENTS;
   h2o_iovec_t vec;
 
   (void)now;
-  stream->due = stream->sending;
-  if (stream->sending)
+  stream->event_due = stream->send_pending;
+  if (stream->send_pending)
     return;
-  net_clock_set (&process->clock, &stream->step, process->set.step_us);
+  net_clock_set (&process->clock, &stream->event_timer,
+                 process->settings.step_us);
   if (stream_stalled (stream))
     return;
   snprintf (stream->text, sizeof stream->text,
-            "id: %" PRIu64 "\ndata: p%" PRIu64 "\n\n", stream->next,
-            stream->next);
-  stream->next++;
+            "id: %" PRIu64 "\ndata: p%" PRIu64 "\n\n", stream->next_id,
+            stream->next_id);
+  stream->next_id++;
   vec = h2o_iovec_init (stream->text, strlen (stream->text));
-  stream->sending = 1;
+  stream->send_pending = 1;
   if (last)
-    net_clock_cancel (&process->clock, &stream->step);
+    net_clock_cancel (&process->clock, &stream->event_timer);
   h2o_send (stream->req, &vec, 1,
             last ? H2O_SEND_STATE_FINAL : H2O_SEND_STATE_IN_PROGRESS);
 }
 
-/* Whether the engine holds the first part of the line, "IP:PORT=FROM-TO". */
+/* Whether this engine holds the layers of the chain's first part,
+   "IP:PORT=FROM-TO". */
 static int
-line_fits (const member_t *member, el_str_t line)
+chain_starts_here (const member_t *member, el_str_t chain)
 {
-  el_str_t part = el_str_cut (&line, ',');
+  el_str_t part = el_str_cut (&chain, ',');
   uint64_t from = 0;
   uint64_t to = 0;
 
@@ -332,25 +336,25 @@
 }
 
 static void
-serve_stream (member_t *member, h2o_req_t *req, el_str_t line)
+serve_stream (member_t *member, h2o_req_t *req, el_str_t chain)
 {
   member_stream_t *stream = el_alloc (sizeof *stream);
   uint64_t last = 0;
 
   stream->member = member;
   stream->req = req;
-  stream->line = strndup (line.ptr, line.len);
+  stream->chain = strndup (chain.ptr, chain.len);
   stream->id = strndup (net_req_header (req, "x-elmarch-request-id").ptr,
                         net_req_header (req, "x-elmarch-request-id").len);
   el_str_to_u64 (net_req_header (req, "last-event-id"), &last);
-  stream->next = last + 1;
-  stream->step.cb = stream_step;
-  stream->step.arg = stream;
+  stream->next_id = last + 1;
+  stream->event_timer.cb = stream_send_event;
+  stream->event_timer.arg = stream;
   stream->generator.proceed = stream_proceed;
-  DL_APPEND2 (member->streams, stream, prev, next_stream);
+  DL_APPEND2 (member->streams, stream, prev, next);
   member->runs++;
-  member_record (member, req);
-  net_req_watch (req, stream_gone, stream);
+  member_record_run (member, req);
+  net_req_watch (req, stream_disconnected, stream);
   req->res.status = 200;
   req->res.reason = "OK";
   net_req_add_header (req, EL_STR ("content-type"),
@@ -359,13 +363,13 @@
   net_req_add_header (req, EL_STR ("x-elmarch-request-id"),
                       net_req_header (req, "x-elmarch-request-id"));
   h2o_start_response (req, &stream->generator);
-  if (member_dies (member, req))
-    h2o_send (req, NULL, 0, H2O_SEND_STATE_IN_PROGRESS); /* the head goes */
+  if (member_schedule_crash (member, req))
+    h2o_send (req, NULL, 0, H2O_SEND_STATE_IN_PROGRESS); /* only headers */
   else
-    stream_step (stream, 0);
+    stream_send_event (stream, 0);
 }
 
-/* Orders and reports. */
+/* Orders and load reports. */
 
 static void
 order_place (member_t *member, h2o_req_t *req, json_t *json)
@@ -382,24 +386,24 @@
       = (unsigned)json_integer_value (json_object_get (json, "Source"));
   member->end
       = (unsigned)json_integer_value (json_object_get (json, "TargetVersion"));
-  if (member->end - member->first > member->process->set.layers_most)
+  if (member->end - member->first > member->process->settings.max_layers)
     exit (EXIT_FAILURE);
   net_req_reply (req, 202, EL_STR (""), EL_STR ("{}"));
-  member_enter (member);
+  member_register (member);
 }
 
 static void
 order_repath (member_t *member, h2o_req_t *req, json_t *json)
 {
   const char *id = json_string_value (json_object_get (json, "Id"));
-  const char *line = json_string_value (json_object_get (json, "Path"));
+  const char *chain = json_string_value (json_object_get (json, "Path"));
   member_stream_t *stream;
 
-  for (stream = member->streams; stream; stream = stream->next_stream)
+  for (stream = member->streams; stream; stream = stream->next)
     if (strcmp (stream->id, id) == 0)
       {
-        free (stream->line);
-        stream->line = strdup (line);
+        free (stream->chain);
+        stream->chain = strdup (chain);
         net_req_reply (req, 200, EL_STR (""), EL_STR ("{}"));
         return;
       }
@@ -409,11 +413,11 @@
 static void
 serve_order (member_t *member, h2o_req_t *req)
 {
-  json_t *json = sn_body (req);
+  json_t *json = sn_parse_body (req);
   const char *op = json_string_value (json_object_get (json, "op"));
 
-  sn_rest_arrives (member->rest, req, SN_ORDER);
-  if (sn_rest_refuses (member->rest, req, SN_ORDER))
+  sn_backoff_count (member->backoff, req, SN_CALL_ORDER);
+  if (sn_backoff_reject (member->backoff, req, SN_CALL_ORDER))
     ;
   else if (op && strcmp (op, "place") == 0)
     order_place (member, req, json);
@@ -430,27 +434,29 @@
   json_t *stalled;
   member_stream_t *stream;
 
-  sn_rest_arrives (member->rest, req, SN_REPORT);
-  if (sn_rest_refuses (member->rest, req, SN_REPORT))
+  sn_backoff_count (member->backoff, req, SN_CALL_REPORT);
+  if (sn_backoff_reject (member->backoff, req, SN_CALL_REPORT))
     return;
   stalled = json_array ();
-  for (stream = member->streams; stream; stream = stream->next_stream)
+  for (stream = member->streams; stream; stream = stream->next)
     if (stream_stalled (stream))
-      json_array_append_new (stalled, json_pack ("{s:s,s:s}", "Id", stream->id,
-                                                 "Address", member->stalled));
-  sn_json (req, 200,
-           json_pack ("{s:I,s:I,s:o}", "SeqNo", (json_int_t)member->orders,
-                      "born", (json_int_t)member->born, "stalled", stalled));
+      json_array_append_new (stalled,
+                             json_pack ("{s:s,s:s}", "Id", stream->id,
+                                        "Address", member->stalled_engine));
+  sn_reply_json (req, 200,
+                 json_pack ("{s:I,s:I,s:o}", "SeqNo",
+                            (json_int_t)member->orders, "born",
+                            (json_int_t)member->born, "stalled", stalled));
 }
 
 static void
 serve_stall (member_t *member, h2o_req_t *req)
 {
-  json_t *json = sn_body (req);
+  json_t *json = sn_parse_body (req);
   const char *at = json_string_value (json_object_get (json, "at"));
 
-  free (member->stalled);
-  member->stalled = at ? strdup (at) : NULL;
+  free (member->stalled_engine);
+  member->stalled_engine = at ? strdup (at) : NULL;
   json_decref (json);
   net_req_reply (req, 204, EL_STR (""), EL_STR (""));
 }
@@ -459,58 +465,61 @@
 serve_leave (member_t *member, h2o_req_t *req)
 {
   member->leaving = 1;
-  member_enter (member);
+  member_register (member);
   net_req_reply (req, 204, EL_STR (""), EL_STR (""));
 }
 
 static void
 serve_linger (member_t *member, h2o_req_t *req)
 {
-  member->lingers = 1;
+  member->linger = 1;
   net_req_reply (req, 204, EL_STR (""), EL_STR (""));
 }
 
 static void
-serve_rest (member_t *member, h2o_req_t *req)
+serve_backoff (member_t *member, h2o_req_t *req)
 {
-  json_t *json = sn_body (req);
+  json_t *json = sn_parse_body (req);
 
-  sn_rest_set (member->rest, json);
+  sn_backoff_configure (member->backoff, json);
   json_decref (json);
   net_req_reply (req, 204, EL_STR (""), EL_STR (""));
 }
 
 static void
-serve_rests (member_t *member, h2o_req_t *req)
+serve_backoff_stats (member_t *member, h2o_req_t *req)
 {
-  sn_json (req, 200, sn_rest_json (member->rest));
+  sn_reply_json (req, 200, sn_backoff_stats (member->backoff));
 }
 
 static void
 serve_runs (member_t *member, h2o_req_t *req)
 {
-  sn_json (
-      req, 200,
-      json_pack ("{s:I,s:I,s:s,s:I,s:I}", "runs", (json_int_t)member->runs,
-                 "gone", (json_int_t)member->gone, "id", member->id, "first",
-                 (json_int_t)member->first, "end", (json_int_t)member->end));
+  sn_reply_json (req, 200,
+                 json_pack ("{s:I,s:I,s:s,s:I,s:I}", "runs",
+                            (json_int_t)member->runs, "gone",
+                            (json_int_t)member->disconnected, "id", member->id,
+                            "first", (json_int_t)member->first, "end",
+                            (json_int_t)member->end));
 }
 
 static void
 serve_seen (member_t *member, h2o_req_t *req)
 {
-  sn_json (req, 200, member->seen ? json_incref (member->seen) : json_null ());
+  sn_reply_json (req, 200,
+                 member->last_headers ? json_incref (member->last_headers)
+                                      : json_null ());
 }
 
 /* Plain requests. */
 
 static void
-plain_gone (void *arg, int freed)
+plain_disconnected (void *arg, int freed)
 {
   member_t *member = arg;
 
   if (!freed)
-    member->gone++;
+    member->disconnected++;
 }
 
 static void
@@ -518,7 +527,7 @@
 {
   char *text = json_dumps (answer, JSON_COMPACT);
 
-  reply_marked (req, 200, "x-elmarch-response-seal", SEAL, text);
+  reply_with_id (req, 200, "x-elmarch-response-seal", SEAL, text);
   free (text);
   json_decref (answer);
 }
@@ -527,7 +536,7 @@
 serve_plain (member_t *member, h2o_req_t *req)
 {
   sn_process_t *process = member->process;
-  sn_fault_t fault = sn_fault_take (process);
+  sn_fault_t fault = sn_fault_next (process);
 
   if (fault == SN_BUSY || fault == SN_LEAVING)
     {
@@ -535,10 +544,10 @@
       return;
     }
   member->runs++;
-  member_record (member, req);
+  member_record_run (member, req);
   if (fault == SN_DOWN)
     {
-      reply_marked (req, 500, "x-elmarch-response-seal", SEAL, "");
+      reply_with_id (req, 500, "x-elmarch-response-seal", SEAL, "");
       return;
     }
   if (fault == SN_LOSE)
@@ -556,41 +565,42 @@
       net_req_reply (req, 200, EL_STR (""), EL_STR ("another's"));
       return;
     }
-  net_req_watch (req, plain_gone, member);
+  net_req_watch (req, plain_disconnected, member);
   if (fault == SN_SLOW)
-    sn_rest_held (member->rest, req);
-  if (member_dies (member, req) || fault == SN_HANG)
+    sn_backoff_unanswered (member->backoff, req);
+  if (member_schedule_crash (member, req) || fault == SN_HANG)
     {
-      sn_rest_held (member->rest, req);
+      sn_backoff_unanswered (member->backoff, req);
       gt_deferred_new (req);
       return;
     }
-  sn_later (process, req,
-            json_pack ("{s:s,s:I}", "ran", process->set.name, "run",
-                       (json_int_t)member->runs),
-            fault == SN_SLOW ? process->delay_ms * EL_MSEC : 0, plain_answer);
+  sn_reply_later (process, req,
+                  json_pack ("{s:s,s:I}", "ran", process->settings.name, "run",
+                             (json_int_t)member->runs),
+                  fault == SN_SLOW ? process->delay_ms * EL_MSEC : 0,
+                  plain_answer);
 }
 
-/* A request is served only by the start of the endpoint that it names. */
+/* Serves a request only if it names this instance or none. */
 static void
 serve_request (member_t *member, h2o_req_t *req)
 {
   el_str_t expect = net_req_header (req, "x-elmarch-expect-instance");
-  el_str_t line = net_req_header (req, "path");
+  el_str_t chain = net_req_header (req, "path");
 
-  sn_rest_arrives (member->rest, req, SN_REQUEST);
-  if (sn_rest_refuses (member->rest, req, SN_REQUEST))
+  sn_backoff_count (member->backoff, req, SN_CALL_REQUEST);
+  if (sn_backoff_reject (member->backoff, req, SN_CALL_REQUEST))
     return;
   if (expect.len && !el_str_eq (expect, el_str (member->id)))
     {
       member_refuse (req, 421);
       return;
     }
-  headers_note (member, req);
-  if (line.len && !line_fits (member, line))
+  headers_save (member, req);
+  if (chain.len && !chain_starts_here (member, chain))
     member_refuse (req, 421);
-  else if (line.len)
-    serve_stream (member, req, line);
+  else if (chain.len)
+    serve_stream (member, req, chain);
   else
     serve_plain (member, req);
 }
@@ -599,14 +609,14 @@
 {
   el_str_t path;
   void (*serve) (member_t *member, h2o_req_t *req);
-} calls[] = {
+} routes[] = {
   { EL_STR ("/elmarch/order"), serve_order },
   { EL_STR ("/elmarch/report"), serve_report },
   { EL_STR ("/stall"), serve_stall },
   { EL_STR ("/leave"), serve_leave },
   { EL_STR ("/linger"), serve_linger },
-  { EL_STR ("/rest"), serve_rest },
-  { EL_STR ("/rests"), serve_rests },
+  { EL_STR ("/rest"), serve_backoff },
+  { EL_STR ("/rests"), serve_backoff_stats },
   { EL_STR ("/runs"), serve_runs },
   { EL_STR ("/seen"), serve_seen },
 };
@@ -618,15 +628,15 @@
   el_str_t path = net_req_path (req);
   size_t i;
 
-  if (member->mute)
+  if (member->unresponsive)
     {
       gt_deferred_new (req);
       return;
     }
-  for (i = 0; i < sizeof calls / sizeof *calls; i++)
-    if (el_str_eq (path, calls[i].path))
+  for (i = 0; i < sizeof routes / sizeof *routes; i++)
+    if (el_str_eq (path, routes[i].path))
       {
-        calls[i].serve (member, req);
+        routes[i].serve (member, req);
         return;
       }
   serve_request (member, req);
--- a/standin/model.h
+++ b/standin/model.h
@@ -3,18 +3,18 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * The arithmetic of the stand-in model. Each layer keeps a state that every
- * position changes, and what comes out depends on the layer's number, on its
- * state and on what went in: a layer left out, run twice or out of order
- * changes every token after it.
+ * Arithmetic of the stand-in model. Each layer keeps a state that every
+ * position updates, and its output depends on the layer's number, its state
+ * and its input. A layer that is skipped, run twice or run out of order
+ * therefore changes every later token.
  */
 #ifndef ELMARCH_MODEL_H
 #define ELMARCH_MODEL_H
 
 #include <stdint.h>
 
-#define MODEL_VOCABULARY 50000
-#define MODEL_STOP_EVERY 61 /* a token that this divides ends the answer */
+#define MODEL_VOCABULARY_SIZE 50000
+#define MODEL_STOP_EVERY 61 /* a token divisible by this ends the answer */
 
 static inline uint64_t
 model_mix (uint64_t z)
@@ -24,14 +24,14 @@
   return z ^ (z >> 31);
 }
 
-/** What the first layer takes in for a token. */
+/** Returns the first layer's input for a token. */
 static inline uint64_t
 model_embed (uint64_t token)
 {
   return model_mix (token + 0x9e3779b97f4a7c15ULL);
 }
 
-/** One layer on one position. */
+/** Runs one layer on one position: updates STATE and returns the output. */
 static inline uint64_t
 model_layer (uint64_t layer, uint64_t *state, uint64_t in)
 {
--- a/standin/platform.c
+++ b/standin/platform.c
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * The platform: a key-value service with compare-and-swap, leases and
- * watches, and the list of endpoints that are live or leaving.
+ * The platform: a key-value service with compare-and-swap, leases and watches,
+ * and the list of live and leaving endpoints.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -36,7 +36,7 @@
 typedef struct kv_watch
 {
   struct platform *platform;
-  gt_deferred_t *hold;
+  gt_deferred_t *deferred;
   char prefix[KEY_MAX];
   uint64_t after;
   el_timer_t timer;
@@ -52,7 +52,7 @@
   kv_lease_t *leases;
   uint64_t next_lease;
   kv_watch_t *watches;
-  json_t *hosts;
+  json_t *endpoint_states;
   uint64_t calls;
 } platform_t;
 
@@ -62,7 +62,7 @@
   platform_t *platform = el_alloc (sizeof *platform);
 
   platform->process = process;
-  platform->hosts = json_object ();
+  platform->endpoint_states = json_object ();
   process->state = platform;
 }
 
@@ -73,7 +73,8 @@
                     (json_int_t)item->revision, "value", item->value);
 }
 
-/* Items below PREFIX after a revision; a range leaves deleted ones out. */
+/* Returns the items with PREFIX changed after a revision, deleted ones only if
+   DELETED is set. */
 static json_t *
 items_json (platform_t *platform, const char *prefix, uint64_t after,
             int deleted)
@@ -94,17 +95,18 @@
 watch_end (kv_watch_t *watch)
 {
   platform_t *platform = watch->platform;
-  h2o_req_t *req = gt_deferred_finish (watch->hold);
+  h2o_req_t *req = gt_deferred_finish (watch->deferred);
 
   net_clock_cancel (&platform->process->clock, &watch->timer);
   DL_DELETE (platform->watches, watch);
   if (req)
-    sn_json (req, 200, items_json (platform, watch->prefix, watch->after, 1));
+    sn_reply_json (req, 200,
+                   items_json (platform, watch->prefix, watch->after, 1));
   free (watch);
 }
 
 static void
-watch_over (void *arg, el_time_t now)
+watch_expire (void *arg, el_time_t now)
 {
   (void)now;
   watch_end (arg);
@@ -147,7 +149,7 @@
   char prefix[KEY_MAX];
 
   query_text (req, "prefix", prefix, sizeof prefix);
-  sn_json (req, 200, items_json (platform, prefix, 0, 0));
+  sn_reply_json (req, 200, items_json (platform, prefix, 0, 0));
 }
 
 static void
@@ -157,10 +159,10 @@
   json_t *now;
 
   watch->platform = platform;
-  watch->hold = gt_deferred_new (req);
+  watch->deferred = gt_deferred_new (req);
   watch->after = query_number (req, "after");
   query_text (req, "prefix", watch->prefix, sizeof watch->prefix);
-  watch->timer.cb = watch_over;
+  watch->timer.cb = watch_expire;
   watch->timer.arg = watch;
   DL_APPEND (platform->watches, watch);
   now = items_json (platform, watch->prefix, watch->after, 1);
@@ -197,26 +199,27 @@
 }
 
 static void
-late_put (h2o_req_t *req, json_t *answer)
+reply_write (h2o_req_t *req, json_t *answer)
 {
-  sn_json (req, json_object_get (answer, "conflict") ? 409 : 200, answer);
+  sn_reply_json (req, json_object_get (answer, "conflict") ? 409 : 200,
+                 answer);
 }
 
-/* Compare and swap. EXPECTED is the revision to replace, 0 for none. */
+/* Compare-and-swap: "expected" is the revision to replace, 0 for a new key. */
 static void
-key_change (platform_t *platform, h2o_req_t *req, const char *key,
-            json_t *body, int remove, sn_fault_t fault)
+key_write (platform_t *platform, h2o_req_t *req, const char *key, json_t *body,
+           int remove, sn_fault_t fault)
 {
   kv_item_t *item = item_get (platform, key);
-  uint64_t have = item->value ? item->revision : 0;
+  uint64_t current = item->value ? item->revision : 0;
   uint64_t expected = remove ? query_number (req, "expected")
                              : (uint64_t)json_integer_value (
                                  json_object_get (body, "expected"));
   json_t *answer;
 
-  if (expected != have)
+  if (expected != current)
     answer = json_pack ("{s:b,s:I,s:O?}", "conflict", 1, "revision",
-                        (json_int_t)have, "value", item->value);
+                        (json_int_t)current, "value", item->value);
   else
     {
       item_set (
@@ -227,13 +230,13 @@
   if (fault == SN_LOSE)
     {
       json_decref (answer);
-      sn_lose (req);
+      sn_drop_connection (req);
     }
   else if (fault == SN_SLOW)
-    sn_later (platform->process, req, answer,
-              platform->process->delay_ms * EL_MSEC, late_put);
+    sn_reply_later (platform->process, req, answer,
+                    platform->process->delay_ms * EL_MSEC, reply_write);
   else
-    late_put (req, answer);
+    reply_write (req, answer);
 }
 
 static void
@@ -241,25 +244,25 @@
            sn_fault_t fault)
 {
   el_str_t method = net_req_method (req);
-  json_t *body = sn_body (req);
+  json_t *body = sn_parse_body (req);
   kv_item_t *item;
 
   if (el_str_eq (method, EL_STR ("GET")))
     {
       HASH_FIND_STR (platform->items, key, item);
       if (item && item->value)
-        sn_json (req, 200, item_json (item));
+        sn_reply_json (req, 200, item_json (item));
       else
-        sn_json (req, 404, json_object ());
+        sn_reply_json (req, 404, json_object ());
     }
   else
-    key_change (platform, req, key, body,
-                el_str_eq (method, EL_STR ("DELETE")), fault);
+    key_write (platform, req, key, body, el_str_eq (method, EL_STR ("DELETE")),
+               fault);
   json_decref (body);
 }
 
 static void
-lease_over (void *arg, el_time_t now)
+lease_expire (void *arg, el_time_t now)
 {
   kv_lease_t *lease = arg;
   platform_t *platform = lease->platform;
@@ -274,11 +277,11 @@
   free (lease);
 }
 
-/* POST /v1/lease {"ttl_ms": N} grants; {"lease": ID} renews. */
+/* POST /v1/lease {"ttl_ms": N} grants a lease, {"lease": ID} renews it. */
 static void
 lease_serve (platform_t *platform, h2o_req_t *req)
 {
-  json_t *body = sn_body (req);
+  json_t *body = sn_parse_body (req);
   uint64_t id = (uint64_t)json_integer_value (json_object_get (body, "lease"));
   kv_lease_t *lease;
 
@@ -291,23 +294,25 @@
       lease->ttl
           = (uint64_t)json_integer_value (json_object_get (body, "ttl_ms"))
             * EL_MSEC;
-      lease->timer.cb = lease_over;
+      lease->timer.cb = lease_expire;
       lease->timer.arg = lease;
       HASH_ADD (hh, platform->leases, id, sizeof lease->id, lease);
     }
   json_decref (body);
   if (!lease)
     {
-      sn_json (req, 404, json_object ());
+      sn_reply_json (req, 404, json_object ());
       return;
     }
   net_clock_set (&platform->process->clock, &lease->timer, lease->ttl);
-  sn_json (req, 200, json_pack ("{s:I}", "lease", (json_int_t)lease->id));
+  sn_reply_json (req, 200,
+                 json_pack ("{s:I}", "lease", (json_int_t)lease->id));
 }
 
-/* GET lists the endpoints; PUT /v1/hosts/NAME {"state": STATE} sets one. */
+/* GET lists the endpoints; PUT /v1/hosts/NAME {"state": STATE} sets the state
+   of one. */
 static void
-hosts_serve (platform_t *platform, h2o_req_t *req, el_str_t rest)
+endpoints_serve (platform_t *platform, h2o_req_t *req, el_str_t rest)
 {
   json_t *list;
   const char *name;
@@ -316,18 +321,20 @@
 
   if (rest.len > 1)
     {
-      json_t *body = sn_body (req);
+      json_t *body = sn_parse_body (req);
 
       snprintf (key, sizeof key, "%.*s", (int)rest.len - 1, rest.ptr + 1);
-      json_object_set (platform->hosts, key, json_object_get (body, "state"));
+      json_object_set (platform->endpoint_states, key,
+                       json_object_get (body, "state"));
       json_decref (body);
-      sn_json (req, 200, json_object ());
+      sn_reply_json (req, 200, json_object ());
       return;
     }
   list = json_array ();
-  json_object_foreach (platform->hosts, name, state) json_array_append_new (
-      list, json_pack ("{s:s,s:O}", "endpoint", name, "state", state));
-  sn_json (req, 200, json_pack ("{s:o}", "hosts", list));
+  json_object_foreach (platform->endpoint_states, name, state)
+      json_array_append_new (
+          list, json_pack ("{s:s,s:O}", "endpoint", name, "state", state));
+  sn_reply_json (req, 200, json_pack ("{s:o}", "hosts", list));
 }
 
 static void
@@ -343,18 +350,19 @@
 
   if (el_str_eq (path, EL_STR ("/stats")))
     {
-      sn_json (req, 200,
-               json_pack ("{s:I,s:I}", "calls", (json_int_t)platform->calls,
-                          "revision", (json_int_t)platform->revision));
+      sn_reply_json (req, 200,
+                     json_pack ("{s:I,s:I}", "calls",
+                                (json_int_t)platform->calls, "revision",
+                                (json_int_t)platform->revision));
       return;
     }
   platform->calls++;
   if (write || process->fault == SN_DOWN || process->fault == SN_HANG)
-    fault = sn_fault_take (process);
+    fault = sn_fault_next (process);
   if (fault == SN_HANG)
     return;
   if (fault == SN_DOWN)
-    sn_lose (req);
+    sn_drop_connection (req);
   else if (el_str_starts (path, key_path))
     {
       path = el_str_after (path, key_path.len);
@@ -368,9 +376,9 @@
   else if (el_str_eq (path, EL_STR ("/v1/lease")))
     lease_serve (platform, req);
   else if (el_str_starts (path, hosts_path))
-    hosts_serve (platform, req, el_str_after (path, hosts_path.len));
+    endpoints_serve (platform, req, el_str_after (path, hosts_path.len));
   else
-    sn_json (req, 404, json_object ());
+    sn_reply_json (req, 404, json_object ());
 }
 
 const sn_role_t sn_platform = { "platform", platform_open, platform_serve };
--- a/standin/reference.c
+++ b/standin/reference.c
@@ -3,7 +3,8 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * The stand-in model in one piece, without caches, stages or steps.
+ * Reference implementation of the stand-in model, without caches, stages or
+ * steps.
  */
 #include <inttypes.h>
 #include <stdlib.h>
@@ -18,7 +19,7 @@
 
 #define PROMPT_CHUNK 16
 
-/* What the first layer takes in for the prompt. */
+/* Returns the first layer's inputs for the prompt. */
 static uint64_t *
 prompt_inputs (const char *content, size_t *n)
 {
@@ -43,25 +44,26 @@
   return inputs;
 }
 
-/* The token that follows INPUTS: layer by layer over all positions. */
+/* Returns the token that follows INPUTS, running layer by layer over all
+   positions. */
 static uint64_t
 next_token (const uint64_t *inputs, size_t n, uint64_t layers)
 {
-  uint64_t *at = el_alloc (n * sizeof *at);
+  uint64_t *activations = el_alloc (n * sizeof *activations);
   uint64_t layer;
   uint64_t state;
   uint64_t token;
   size_t i;
 
-  memcpy (at, inputs, n * sizeof *at);
+  memcpy (activations, inputs, n * sizeof *activations);
   for (layer = 0; layer < layers; layer++)
     {
       state = 0;
       for (i = 0; i < n; i++)
-        at[i] = model_layer (layer, &state, at[i]);
+        activations[i] = model_layer (layer, &state, activations[i]);
     }
-  token = at[n - 1] % MODEL_VOCABULARY;
-  free (at);
+  token = activations[n - 1] % MODEL_VOCABULARY_SIZE;
+  free (activations);
   return token;
 }
 
--- a/standin/reference.h
+++ b/standin/reference.h
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * The answer that the stand-in model gives, worked out in one piece: all
- * layers, from the prompt on, anew for every token.
+ * Reference implementation of the stand-in model: computes an answer without
+ * caching, running all layers from the start of the prompt for every token.
  */
 #ifndef ELMARCH_REFERENCE_H
 #define ELMARCH_REFERENCE_H
@@ -12,15 +12,15 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/** Longest answer that is worked out. */
+/** Longest answer, in tokens. */
 #define REFERENCE_TOKENS_MAX 4096
 
-/** Fill OUT with the tokens of the answer to one user message of CONTENT, at
-    most MAX of them; gives their number. */
+/** Writes the tokens of the answer to one user message with CONTENT to OUT, at
+    most MAX of them, and returns their number. */
 size_t reference_answer (const char *content, uint64_t layers, size_t max,
                          uint64_t *out);
 
-/** The text of an answer; the caller frees it. */
+/** Returns the text of an answer; the caller frees it. */
 char *reference_text (const uint64_t *tokens, size_t n);
 
 #endif
--- a/standin/rest.c
+++ b/standin/rest.c
@@ -3,19 +3,21 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * POST /rest sets it: {"kinds": ["requests"], "status": 503, "asked": [TEXT],
- * "span_ms": N, "at": ADDRESS, "leaving": BOOL}. Arrivals of
- * KINDS are turned away with STATUS, a Retry-After for each TEXT, which stand
- * for N milliseconds of rest, and ADDRESS as the endpoint at fault, where only
- * requests whose line passes that are turned away; LEAVING has all answers say
- * that the member leaves. GET /rests tells what came within a rest, how much
- * of it more than half a second after it was asked for, and what came after
- * the member said that it leaves. The header x-via, which callers send, names
- * the host that a request passed; reports and orders count as of one host of
- * their own. With a record, requests that came in spite of it and did not
- * cross with the answer that told it are noted in the file beside it,
- * RECORD.asked: "MICROSECONDS ID MEMBER VIA WHAT SINCE BY", the times on one
- * clock; BY is the request whose answer asked for the rest.
+ * POST /rest configures back-off: {"kinds": ["requests"], "status": 503,
+ * "asked": [TEXT], "span_ms": N, "at": ADDRESS, "leaving": BOOL}. Calls of the
+ * types in "kinds" are rejected with STATUS and a Retry-After header for each
+ * TEXT. N is the back-off in milliseconds that these headers request. With
+ * ADDRESS, only requests whose chain includes that engine are rejected, and
+ * the answer names it as the engine at fault. After LEAVING, every answer
+ * announces that the member is leaving. GET /rests counts the calls that
+ * arrived during back-off, those of them that arrived more than half a second
+ * after it was requested, and the calls after the member announced that it is
+ * leaving. Callers name the host that they send a request through in the
+ * header x-via; reports and orders, which have none, are counted as from one
+ * more host. With --record, requests that arrived too late to have been sent
+ * before the host received the answer are appended to the file RECORD.asked:
+ * "MICROSECONDS ID MEMBER VIA WHAT SINCE BY". Both times are of the same
+ * clock; BY is the request whose answer requested the back-off.
  */
 #include <fcntl.h>
 #include <inttypes.h>
@@ -27,66 +29,69 @@
 #include "map.h"
 #include "rest.h"
 
-/* What the users' pages allow to cross with the answer. */
-#define CROSSING (500 * EL_MSEC)
+/* Calls may still arrive this long after the answer, as they may have been
+   sent before the host received it. The limit is the users' requirement. */
+#define IN_FLIGHT_TIME (500 * EL_MSEC)
 #define VIA_MAX 32
-#define BY_MAX 64
-#define ASKED_MAX 2
+#define ID_MAX 64
+#define RETRY_AFTER_MAX 2
 
-static const char *const kinds[SN_ARRIVALS] = {
-  [SN_REQUEST] = "requests", [SN_REPORT] = "reports", [SN_ORDER] = "orders"
-};
+static const char *const call_type_names[SN_CALL_TYPES]
+    = { [SN_CALL_REQUEST] = "requests",
+        [SN_CALL_REPORT] = "reports",
+        [SN_CALL_ORDER] = "orders" };
 
-typedef struct rest_count
+typedef struct call_counts
 {
   uint64_t all;
   uint64_t in_rest;
-  uint64_t late;          /* of these, those that did not cross the answer */
-  uint64_t after_leaving; /* it was told that the member leaves */
-} rest_count_t;
+  uint64_t late;          /* of these, those outside IN_FLIGHT_TIME */
+  uint64_t after_leaving; /* the host was told that the member is leaving */
+} call_counts_t;
 
-typedef struct rest_host
+typedef struct host_state
 {
   char via[VIA_MAX];
-  el_time_t since; /* of its rest */
-  el_time_t until;
-  char by[BY_MAX]; /* the request that was told so; "-" is none */
+  el_time_t backoff_from; /* when back-off was requested */
+  el_time_t backoff_until;
+  char backoff_id[ID_MAX]; /* request whose answer requested it; empty: none */
   uint64_t rests;
-  el_time_t told; /* that the member leaves; 0: not yet */
-  char told_by[BY_MAX];
-  rest_count_t counts[SN_ARRIVALS];
+  el_time_t leaving_told; /* when the host was told that the member is leaving;
+                             0: not yet */
+  char leaving_id[ID_MAX];
+  call_counts_t counts[SN_CALL_TYPES];
   UT_hash_handle hh;
-} rest_host_t;
+} host_state_t;
 
-struct sn_rest
+struct sn_backoff
 {
   net_clock_t *clock;
   const char *member;
-  int record; /* descriptor; -1 is none */
-  int refuses[SN_ARRIVALS];
+  int record_fd; /* file descriptor; -1: none */
+  int rejects[SN_CALL_TYPES];
   int status;
-  char *asked[ASKED_MAX];
-  char *at;
-  el_time_t span;
+  char *retry_after[RETRY_AFTER_MAX];
+  char *failed_engine;
+  el_time_t duration;
   int leaving;
-  rest_host_t *hosts;
+  host_state_t *hosts;
 };
 
-/** A member that asks for nothing. */
-sn_rest_t *
-sn_rest_new (net_clock_t *clock, const char *member, const char *record)
+/** Creates a member's state; it rejects nothing. */
+sn_backoff_t *
+sn_backoff_new (net_clock_t *clock, const char *member, const char *record)
 {
-  sn_rest_t *rest = el_alloc (sizeof *rest);
+  sn_backoff_t *backoff = el_alloc (sizeof *backoff);
   char path[300];
 
-  rest->clock = clock;
-  rest->member = member;
-  rest->record = -1;
+  backoff->clock = clock;
+  backoff->member = member;
+  backoff->record_fd = -1;
   snprintf (path, sizeof path, "%s.asked", record);
   if (*record)
-    rest->record
+    backoff->record_fd
         = open (path, O_WRONLY | O_APPEND | O_CREAT | O_CLOEXEC, 0600);
-  return rest;
+  return backoff;
 }
 
 static char *
@@ -98,152 +103,155 @@
 }
 
 static void
-rest_clear (sn_rest_t *rest)
+backoff_clear (sn_backoff_t *backoff)
 {
   size_t i;
 
-  for (i = 0; i < ASKED_MAX; i++)
-    free (rest->asked[i]);
-  free (rest->at);
-  memset (rest->refuses, 0, sizeof rest->refuses);
-  memset (rest->asked, 0, sizeof rest->asked);
-  rest->at = NULL;
+  for (i = 0; i < RETRY_AFTER_MAX; i++)
+    free (backoff->retry_after[i]);
+  free (backoff->failed_engine);
+  memset (backoff->rejects, 0, sizeof backoff->rejects);
+  memset (backoff->retry_after, 0, sizeof backoff->retry_after);
+  backoff->failed_engine = NULL;
 }
 
 static void
-rest_kind (sn_rest_t *rest, const char *name)
+backoff_add_type (sn_backoff_t *backoff, const char *name)
 {
   size_t i;
 
-  for (i = 0; i < SN_ARRIVALS; i++)
-    if (name && strcmp (name, kinds[i]) == 0)
-      rest->refuses[i] = 1;
+  for (i = 0; i < SN_CALL_TYPES; i++)
+    if (name && strcmp (name, call_type_names[i]) == 0)
+      backoff->rejects[i] = 1;
 }
 
-/** Ask for what JSON says from now on; what runs goes on. */
+/** Applies a configuration. Back-off already requested remains in effect;
+    "leaving" can't be taken back. */
 void
-sn_rest_set (sn_rest_t *rest, const json_t *json)
+sn_backoff_configure (sn_backoff_t *backoff, const json_t *json)
 {
   json_t *list = json_object_get (json, "kinds");
-  json_t *asked = json_object_get (json, "asked");
+  json_t *retry_after = json_object_get (json, "asked");
   json_t *row;
   size_t i;
 
-  rest_clear (rest);
-  json_array_foreach (list, i, row) rest_kind (rest, json_string_value (row));
-  for (i = 0; i < ASKED_MAX; i++)
-    rest->asked[i] = text_dup (json_array_get (asked, i));
-  rest->status = (int)json_integer_value (json_object_get (json, "status"));
-  rest->at = text_dup (json_object_get (json, "at"));
-  rest->span
+  backoff_clear (backoff);
+  json_array_foreach (list, i, row)
+      backoff_add_type (backoff, json_string_value (row));
+  for (i = 0; i < RETRY_AFTER_MAX; i++)
+    backoff->retry_after[i] = text_dup (json_array_get (retry_after, i));
+  backoff->status = (int)json_integer_value (json_object_get (json, "status"));
+  backoff->failed_engine = text_dup (json_object_get (json, "at"));
+  backoff->duration
       = (el_time_t)json_integer_value (json_object_get (json, "span_ms"))
         * EL_MSEC;
-  rest->leaving |= json_is_true (json_object_get (json, "leaving"));
+  backoff->leaving |= json_is_true (json_object_get (json, "leaving"));
 }
 
-static rest_host_t *
-host_get (sn_rest_t *rest, const h2o_req_t *req)
+static host_state_t *
+host_get (sn_backoff_t *backoff, const h2o_req_t *req)
 {
   el_str_t via = net_req_header (req, "x-via");
-  rest_host_t *host;
+  host_state_t *host;
 
   if (!via.ptr)
     via = EL_STR ("");
   if (via.len >= VIA_MAX)
     via.len = VIA_MAX - 1;
-  HASH_FIND (hh, rest->hosts, via.ptr, (unsigned)via.len, host);
+  HASH_FIND (hh, backoff->hosts, via.ptr, (unsigned)via.len, host);
   if (host)
     return host;
   host = el_alloc (sizeof *host);
   memcpy (host->via, via.ptr, via.len);
-  HASH_ADD_KEYPTR (hh, rest->hosts, host->via, (unsigned)via.len, host);
+  HASH_ADD_KEYPTR (hh, backoff->hosts, host->via, (unsigned)via.len, host);
   return host;
 }
 
 static void
-arrival_note (const sn_rest_t *rest, const rest_host_t *host,
-              const h2o_req_t *req, const char *what, el_time_t ago)
+record_late_call (const sn_backoff_t *backoff, const host_state_t *host,
+                  const h2o_req_t *req, const char *what, el_time_t ago)
 {
   el_str_t id = net_req_header (req, "x-elmarch-request-id");
   uint64_t now = uv_hrtime () / 1000;
   el_buf_t out = { NULL, 0, 0 };
 
-  if (rest->record < 0 || !id.len || !*host->via)
+  if (backoff->record_fd < 0 || !id.len || !*host->via)
     return;
   el_buf_printf (&out, "%" PRIu64 " %.*s %s %s %s %" PRIu64 " %s\n", now,
-                 (int)id.len, id.ptr, rest->member, host->via, what, now - ago,
-                 *host->by ? host->by : "-");
-  if (write (rest->record, out.ptr, out.len) != (ssize_t)out.len)
-    fprintf (stderr, "standin: an arrival was not noted\n");
+                 (int)id.len, id.ptr, backoff->member, host->via, what,
+                 now - ago, *host->backoff_id ? host->backoff_id : "-");
+  if (write (backoff->record_fd, out.ptr, out.len) != (ssize_t)out.len)
+    fprintf (stderr, "standin: cannot record late calls\n");
   el_buf_free (&out);
 }
 
 static void
-id_copy (char *out, const h2o_req_t *req)
+copy_request_id (char *out, const h2o_req_t *req)
 {
   el_str_t id = net_req_header (req, "x-elmarch-request-id");
 
-  snprintf (out, BY_MAX, "%.*s", (int)id.len, id.len ? id.ptr : "");
+  snprintf (out, ID_MAX, "%.*s", (int)id.len, id.len ? id.ptr : "");
 }
 
-/* It was told before that the member leaves, or is now. */
+/* Announces that the member is leaving, and counts the call if its host was
+   told before. */
 static void
-leaving_count (sn_rest_t *rest, rest_host_t *host, h2o_req_t *req,
-               sn_arrival_t kind)
+count_after_leaving (sn_backoff_t *backoff, host_state_t *host, h2o_req_t *req,
+                     sn_call_type_t type)
 {
-  el_time_t now = net_clock_now (rest->clock);
+  el_time_t now = net_clock_now (backoff->clock);
 
-  if (!rest->leaving)
+  if (!backoff->leaving)
     return;
   net_req_add_header (req, EL_STR ("server-leaving"), EL_STR ("1"));
-  host->counts[kind].after_leaving += host->told != 0;
-  if (!host->told)
+  host->counts[type].after_leaving += host->leaving_told != 0;
+  if (!host->leaving_told)
     {
-      host->told = now;
-      id_copy (host->told_by, req);
+      host->leaving_told = now;
+      copy_request_id (host->leaving_id, req);
     }
-  else if (now >= host->told + CROSSING)
-    arrival_note (rest, host, req, "leaving", now - host->told);
+  else if (now >= host->leaving_told + IN_FLIGHT_TIME)
+    record_late_call (backoff, host, req, "leaving", now - host->leaving_told);
 }
 
-/** Count what arrives, before anything is made of it. */
+/** Counts a call on arrival, before it is processed. */
 void
-sn_rest_arrives (sn_rest_t *rest, h2o_req_t *req, sn_arrival_t kind)
+sn_backoff_count (sn_backoff_t *backoff, h2o_req_t *req, sn_call_type_t type)
 {
-  rest_host_t *host = host_get (rest, req);
-  rest_count_t *count = &host->counts[kind];
-  el_time_t now = net_clock_now (rest->clock);
+  host_state_t *host = host_get (backoff, req);
+  call_counts_t *count = &host->counts[type];
+  el_time_t now = net_clock_now (backoff->clock);
 
   count->all++;
-  leaving_count (rest, host, req, kind);
-  if (now >= host->until)
+  count_after_leaving (backoff, host, req, type);
+  if (now >= host->backoff_until)
     return;
   count->in_rest++;
-  if (now < host->since + CROSSING)
+  if (now < host->backoff_from + IN_FLIGHT_TIME)
     return;
   count->late++;
-  arrival_note (rest, host, req, "rest", now - host->since);
+  record_late_call (backoff, host, req, "rest", now - host->backoff_from);
 }
 
-/** REQ's answer does not go out now, or never: its host is told nothing by
-    it. */
+/** Notes that REQ is answered late or never: a leaving announcement on it
+    doesn't reach the host. */
 void
-sn_rest_held (sn_rest_t *rest, const h2o_req_t *req)
+sn_backoff_unanswered (sn_backoff_t *backoff, const h2o_req_t *req)
 {
-  rest_host_t *host = host_get (rest, req);
-  char id[BY_MAX];
+  host_state_t *host = host_get (backoff, req);
+  char id[ID_MAX];
 
-  id_copy (id, req);
-  if (host->told && strcmp (host->told_by, id) == 0)
-    host->told = 0;
+  copy_request_id (id, req);
+  if (host->leaving_told && strcmp (host->leaving_id, id) == 0)
+    host->leaving_told = 0;
 }
 
-/* Whether the engine at ADDRESS is on the request's line. */
+/* Whether the request's chain includes the engine at ADDRESS. */
 static int
-passes (const h2o_req_t *req, const char *address)
+chain_includes (const h2o_req_t *req, const char *address)
 {
-  el_str_t line = net_req_header (req, "path");
-  char *text = strndup (line.ptr ? line.ptr : "", line.len);
+  el_str_t chain = net_req_header (req, "path");
+  char *text = strndup (chain.ptr ? chain.ptr : "", chain.len);
   int found = strstr (text, address) != NULL;
 
   free (text);
@@ -251,68 +259,71 @@
 }
 
 static void
-rest_begins (rest_host_t *host, const h2o_req_t *req, el_time_t now,
-             el_time_t span)
+backoff_start (host_state_t *host, const h2o_req_t *req, el_time_t now,
+               el_time_t span)
 {
-  host->since = now;
-  host->until = now + span;
+  host->backoff_from = now;
+  host->backoff_until = now + span;
   host->rests++;
-  id_copy (host->by, req);
+  copy_request_id (host->backoff_id, req);
 }
 
-/** Turn REQ away if that is asked for; gives 0 if it is to be served. */
+/** Rejects REQ if so configured; returns 0 if it is to be served. */
 int
-sn_rest_refuses (sn_rest_t *rest, h2o_req_t *req, sn_arrival_t kind)
+sn_backoff_reject (sn_backoff_t *backoff, h2o_req_t *req, sn_call_type_t type)
 {
-  rest_host_t *host = host_get (rest, req);
-  el_time_t now = net_clock_now (rest->clock);
+  host_state_t *host = host_get (backoff, req);
+  el_time_t now = net_clock_now (backoff->clock);
   size_t i;
 
-  if (!rest->refuses[kind] || (rest->at && !passes (req, rest->at)))
+  if (!backoff->rejects[type]
+      || (backoff->failed_engine
+          && !chain_includes (req, backoff->failed_engine)))
     return 0;
-  for (i = 0; i < ASKED_MAX; i++)
-    if (rest->asked[i])
+  for (i = 0; i < RETRY_AFTER_MAX; i++)
+    if (backoff->retry_after[i])
       net_req_add_header (req, EL_STR ("retry-after"),
-                          el_str (rest->asked[i]));
-  if (rest->at)
-    net_req_add_header (req, EL_STR ("at-server"), el_str (rest->at));
+                          el_str (backoff->retry_after[i]));
+  if (backoff->failed_engine)
+    net_req_add_header (req, EL_STR ("at-server"),
+                        el_str (backoff->failed_engine));
   net_req_add_header (req, EL_STR ("x-elmarch-not-executed"), EL_STR ("1"));
   net_req_add_header (req, EL_STR ("x-elmarch-request-id"),
                       net_req_header (req, "x-elmarch-request-id"));
-  net_req_reply (req, rest->status, EL_STR ("text/plain"), EL_STR (""));
-  if (rest->span && now + rest->span > host->until)
-    rest_begins (host, req, now, rest->span);
+  net_req_reply (req, backoff->status, EL_STR ("text/plain"), EL_STR (""));
+  if (backoff->duration && now + backoff->duration > host->backoff_until)
+    backoff_start (host, req, now, backoff->duration);
   return 1;
 }
 
-/** What came, over all hosts. */
+/** Returns the counts summed over all hosts. */
 json_t *
-sn_rest_json (const sn_rest_t *rest)
+sn_backoff_stats (const sn_backoff_t *backoff)
 {
   json_t *json = json_object ();
-  const rest_host_t *host;
+  const host_state_t *host;
   uint64_t rests = 0;
   size_t i;
 
-  for (i = 0; i < SN_ARRIVALS; i++)
+  for (i = 0; i < SN_CALL_TYPES; i++)
     {
-      rest_count_t sum = { 0 };
+      call_counts_t sum = { 0 };
 
-      for (host = rest->hosts; host; host = host->hh.next)
+      for (host = backoff->hosts; host; host = host->hh.next)
         {
           sum.all += host->counts[i].all;
           sum.in_rest += host->counts[i].in_rest;
           sum.late += host->counts[i].late;
           sum.after_leaving += host->counts[i].after_leaving;
         }
-      json_object_set_new (json, kinds[i],
+      json_object_set_new (json, call_type_names[i],
                            json_pack ("{s:I,s:I,s:I,s:I}", "all",
                                       (json_int_t)sum.all, "in_rest",
                                       (json_int_t)sum.in_rest, "late",
                                       (json_int_t)sum.late, "after_leaving",
                                       (json_int_t)sum.after_leaving));
     }
-  for (host = rest->hosts; host; host = host->hh.next)
+  for (host = backoff->hosts; host; host = host->hh.next)
     rests += host->rests;
   json_object_set_new (json, "rests", json_integer ((json_int_t)rests));
   return json;
--- a/standin/rest.h
+++ b/standin/rest.h
@@ -3,31 +3,33 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * What a member asks of hosts beside its answers, rest and that it leaves, and
- * what comes from them in spite of it.
+ * Back-off: a member rejects calls and asks hosts to back off, or announces
+ * that it is leaving, and counts the calls that arrive nevertheless.
  */
 #ifndef ELMARCH_STANDIN_REST_H
 #define ELMARCH_STANDIN_REST_H
 
 #include "standin.h"
 
-/** What arrives at a member. */
-typedef enum sn_arrival
+/** Types of calls that hosts make to a member. */
+typedef enum sn_call_type
 {
-  SN_REQUEST,
-  SN_REPORT,
-  SN_ORDER,
-  SN_ARRIVALS
-} sn_arrival_t;
+  SN_CALL_REQUEST,
+  SN_CALL_REPORT,
+  SN_CALL_ORDER,
+  SN_CALL_TYPES
+} sn_call_type_t;
 
-typedef struct sn_rest sn_rest_t;
+typedef struct sn_backoff sn_backoff_t;
 
-sn_rest_t *sn_rest_new (net_clock_t *clock, const char *member,
-                        const char *record);
-void sn_rest_set (sn_rest_t *rest, const json_t *json);
-json_t *sn_rest_json (const sn_rest_t *rest);
-void sn_rest_arrives (sn_rest_t *rest, h2o_req_t *req, sn_arrival_t kind);
-void sn_rest_held (sn_rest_t *rest, const h2o_req_t *req);
-int sn_rest_refuses (sn_rest_t *rest, h2o_req_t *req, sn_arrival_t kind);
+sn_backoff_t *sn_backoff_new (net_clock_t *clock, const char *member,
+                              const char *record);
+void sn_backoff_configure (sn_backoff_t *backoff, const json_t *json);
+json_t *sn_backoff_stats (const sn_backoff_t *backoff);
+void sn_backoff_count (sn_backoff_t *backoff, h2o_req_t *req,
+                       sn_call_type_t kind);
+void sn_backoff_unanswered (sn_backoff_t *backoff, const h2o_req_t *req);
+int sn_backoff_reject (sn_backoff_t *backoff, h2o_req_t *req,
+                       sn_call_type_t kind);
 
 #endif
--- a/standin/service.c
+++ b/standin/service.c
@@ -3,9 +3,9 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * A plain service whose calls may not be repeated. POST /pay {"id": ID} runs
- * once more for the id each time that it is called; GET /runs?id=ID tells how
- * often; GET /big?bytes=N gives a long answer.
+ * A plain service whose calls are not idempotent. POST /pay {"id": ID} counts
+ * a run for the id at each call, GET /runs returns the counts of all ids, GET
+ * /big?bytes=N returns a long answer.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -48,13 +48,13 @@
 static void
 pay_answer (h2o_req_t *req, json_t *answer)
 {
-  sn_json (req, 200, answer);
+  sn_reply_json (req, 200, answer);
 }
 
 static void
 pay_serve (sn_process_t *process, h2o_req_t *req, sn_fault_t fault)
 {
-  json_t *json = sn_body (req);
+  json_t *json = sn_parse_body (req);
   const char *id = json_string_value (json_object_get (json, "id"));
   el_str_t customer = net_req_header (req, "x-elmarch-customer");
   run_t *run;
@@ -63,7 +63,7 @@
   if (!id)
     {
       json_decref (json);
-      sn_json (req, 400, json_pack ("{s:s}", "error", "id is required"));
+      sn_reply_json (req, 400, json_pack ("{s:s}", "error", "id is required"));
       return;
     }
   run = run_get (process, id);
@@ -78,10 +78,11 @@
     {
       json_decref (answer);
       if (fault == SN_LOSE)
-        sn_lose (req);
+        sn_drop_connection (req);
     }
   else if (fault == SN_SLOW)
-    sn_later (process, req, answer, process->delay_ms * EL_MSEC, pay_answer);
+    sn_reply_later (process, req, answer, process->delay_ms * EL_MSEC,
+                    pay_answer);
   else
     pay_answer (req, answer);
 }
@@ -96,10 +97,10 @@
 
   HASH_ITER (hh, runs, run, next)
   json_object_set_new (all, run->id, json_integer ((json_int_t)run->count));
-  sn_json (req, 200, all);
+  sn_reply_json (req, 200, all);
 }
 
-/* GET /big?bytes=N answers with that many bytes. */
+/* GET /big?bytes=N answers with N bytes. */
 static void
 big_serve (h2o_req_t *req)
 {
@@ -131,13 +132,13 @@
       big_serve (req);
       return;
     }
-  fault = sn_fault_take (process);
+  fault = sn_fault_next (process);
   if (fault == SN_DIE_BEFORE)
     exit (EXIT_FAILURE);
   if (fault == SN_LEAVING || fault == SN_BUSY)
     sn_refuse (process, req, fault == SN_LEAVING ? "leaving" : "busy");
   else if (fault == SN_DOWN)
-    sn_json (req, 500, json_object ());
+    sn_reply_json (req, 500, json_object ());
   else
     pay_serve (process, req, fault);
 }
--- a/standin/standin.h
+++ b/standin/standin.h
@@ -3,8 +3,9 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Stand-ins for what is outside the project: the platform, a model engine, a
- * plain service. Used by the demo, the tests and the bench; never installed.
+ * Stand-ins for systems outside this project: the platform, its store, model
+ * engines and plain services. Used by the demo, the tests, the soak test and
+ * the benchmarks; never installed.
  */
 #ifndef ELMARCH_STANDIN_H
 #define ELMARCH_STANDIN_H
@@ -13,20 +14,22 @@
 
 #include <jansson.h>
 
-/** What a stand-in does wrong when it is told to. */
+/** Faults that can be injected into a stand-in. */
 typedef enum sn_fault
 {
   SN_NONE,
-  SN_LEAVING,    /**< refuse new work: leaving */
-  SN_BUSY,       /**< refuse: no room */
-  SN_DIE_BEFORE, /**< end the process on a call, before it runs */
-  SN_DIE_AFTER,  /**< end the process after the call ran, unanswered */
-  SN_LOSE,       /**< run the call and lose its answer */
+  SN_LEAVING,    /**< reject new work: leaving */
+  SN_BUSY,       /**< reject: no capacity */
+  SN_DIE_BEFORE, /**< exit on a call, before running it */
+  SN_DIE_AFTER,  /**< exit after running a call, without an answer */
+  SN_LOSE,       /**< run the call but drop its answer */
   SN_HANG,       /**< never answer */
-  SN_CROSS,      /**< answer with another call's place */
-  SN_DOWN,       /**< answer 500 without running anything */
-  SN_SLOW,       /**< answer after DELAY */
-  SN_FAULTS
+  SN_CROSS,      /**< answer with the identity of another call */
+  SN_DOWN, /**< fail: engines and services answer 500 without running the call,
+              a member runs it and answers 500, the platform drops the
+              connection */
+  SN_SLOW, /**< answer after delay_ms */
+  SN_FAULT_COUNT
 } sn_fault_t;
 
 typedef struct sn_settings
@@ -45,24 +48,24 @@
   const char *announce;
   const char *record;
   int same_id;
-  uint64_t layers_most;
+  uint64_t max_layers;
 } sn_settings_t;
 
 typedef struct sn_process
 {
-  sn_settings_t set;
+  sn_settings_t settings;
   uv_loop_t loop;
   net_clock_t clock;
   net_server_t *server;
   sn_fault_t fault;
-  uint64_t after;    /**< calls to let pass before the fault */
-  uint64_t times;    /**< calls that it hits; 0 is all */
-  uint64_t delay_ms; /**< of a slow answer; of the rest that a refusal asks
-                          for, 0: none */
+  uint64_t after;    /**< calls to serve before the fault applies */
+  uint64_t times;    /**< calls that it applies to; 0: all */
+  uint64_t delay_ms; /**< delay of a slow answer; Retry-After of a rejection,
+                        0: none */
   void *state;
 } sn_process_t;
 
-/** One role's functions. */
+/** Callbacks of a role. */
 typedef struct sn_role
 {
   const char *name;
@@ -76,15 +79,16 @@
 extern const sn_role_t sn_store;
 extern const sn_role_t sn_member;
 
-sn_fault_t sn_fault_take (sn_process_t *process);
-void sn_lose (h2o_req_t *req);
+sn_fault_t sn_fault_next (sn_process_t *process);
+void sn_drop_connection (h2o_req_t *req);
 void sn_refuse (const sn_process_t *process, h2o_req_t *req, const char *word);
-void sn_json (h2o_req_t *req, int status, json_t *json);
-json_t *sn_body (const h2o_req_t *req);
+void sn_reply_json (h2o_req_t *req, int status, json_t *json);
+json_t *sn_parse_body (const h2o_req_t *req);
 
-/** Call FN with ARG, a copy of the request's hold, after WAIT. */
-typedef void (*sn_later_fn) (h2o_req_t *req, json_t *answer);
-void sn_later (sn_process_t *process, h2o_req_t *req, json_t *answer,
-               el_time_t wait, sn_later_fn fn);
+/** Calls SEND with the request and ANSWER after WAIT; releases ANSWER if the
+    caller has disconnected by then. */
+typedef void (*sn_reply_fn) (h2o_req_t *req, json_t *answer);
+void sn_reply_later (sn_process_t *process, h2o_req_t *req, json_t *answer,
+                     el_time_t wait, sn_reply_fn send);
 
 #endif
--- a/standin/store.c
+++ b/standin/store.c
@@ -3,15 +3,16 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * The users' platform's store, as far as the tests need it: ranges, watches,
- * leases, writes under a condition. PUT /test/KEY sets a key as an operator
- * or an endpoint would, DELETE /test/KEY removes it; POST /test/forget drops
- * the history, POST /test/mute {"on": BOOL} leaves calls unanswered. POST
- * /test/copy notes what it holds, POST /test/restore {"again_ms": N} has it go
- * on from there: what the system wrote since is gone, leases too, what
- * operators and endpoints wrote is written again after N ms, and revisions and
- * numbers of leases are given out again. With --record what is
- * acknowledged stands in a file, from which it starts again.
+ * The users' platform's store, as far as the tests need it: range reads,
+ * watches, leases and conditional writes. PUT /test/KEY writes a key as an
+ * operator or an endpoint would, DELETE /test/KEY removes it. POST
+ * /test/forget compacts the history, POST /test/mute {"on": BOOL} leaves calls
+ * unanswered. POST /test/copy takes a snapshot and POST /test/restore
+ * {"again_ms": N} rolls the store back to it: keys that hosts wrote and leases
+ * granted since then are lost, keys of operators and endpoints are written
+ * again after N ms, and revisions and lease ids are reused. With --record
+ * acknowledged changes are appended to a file, which is replayed at the next
+ * start.
  */
 #include <fcntl.h>
 #include <stdio.h>
@@ -31,7 +32,7 @@
 typedef struct store_item
 {
   char *key;
-  char *value; /* base64; NULL once gone */
+  char *value; /* base64; NULL once deleted */
   uint64_t revision;
   uint64_t lease;
   UT_hash_handle hh;
@@ -40,19 +41,19 @@
 typedef struct store_watch
 {
   struct store *store;
-  gt_deferred_t *hold;
+  gt_deferred_t *deferred;
   char *prefix;
   uint64_t since;
-  el_timer_t over;
+  el_timer_t timer;
   struct store_watch *prev;
   struct store_watch *next;
 } store_watch_t;
 
 typedef struct store_lease
 {
-  uint64_t id; /* 0 once over */
+  uint64_t id; /* 0 once expired */
   el_time_t ttl;
-  el_timer_t over;
+  el_timer_t timer;
   struct store *store;
 } store_lease_t;
 
@@ -64,15 +65,15 @@
   store_lease_t leases[LEASES_MAX];
   uint64_t next_lease;
   uint64_t revision;
-  uint64_t forgotten; /* changes up to it are no longer kept */
-  uint64_t era;       /* times that it went on from a copy */
-  store_item_t *copy;
-  uint64_t copy_revision;
-  uint64_t copy_lease; /* numbers up to it were given */
-  store_item_t *lost;  /* as it was before it went on from the copy */
-  el_timer_t again;    /* writers of these write anew */
+  uint64_t compacted_revision; /* history up to this revision is discarded */
+  uint64_t era;                /* number of restores from a snapshot */
+  store_item_t *snapshot;
+  uint64_t snapshot_revision;
+  uint64_t snapshot_lease;      /* highest lease id at the snapshot */
+  store_item_t *before_restore; /* content before the restore */
+  el_timer_t rewrite_timer;     /* operators and endpoints write again */
   int mute;
-  int record; /* descriptor; -1 is none */
+  int record_fd; /* file descriptor; -1: none */
 } store_t;
 
 #define RECORD_LINE_MAX 65536
@@ -106,21 +107,22 @@
 watch_end (store_watch_t *watch)
 {
   store_t *store = watch->store;
-  h2o_req_t *req = gt_deferred_finish (watch->hold);
+  h2o_req_t *req = gt_deferred_finish (watch->deferred);
 
-  net_clock_cancel (&store->process->clock, &watch->over);
+  net_clock_cancel (&store->process->clock, &watch->timer);
   DL_DELETE (store->watches, watch);
   if (req)
-    sn_json (req, 200,
-             json_pack ("{s:o,s:I}", "events",
-                        items_json (store, watch->prefix, watch->since, 1),
-                        "at", (json_int_t)store->revision));
+    sn_reply_json (
+        req, 200,
+        json_pack ("{s:o,s:I}", "events",
+                   items_json (store, watch->prefix, watch->since, 1), "at",
+                   (json_int_t)store->revision));
   free (watch->prefix);
   free (watch);
 }
 
 static void
-watch_over (void *arg, el_time_t now)
+watch_expire (void *arg, el_time_t now)
 {
   (void)now;
   watch_end (arg);
@@ -140,7 +142,7 @@
   return item;
 }
 
-static void lease_over (void *arg, el_time_t now);
+static void lease_expire (void *arg, el_time_t now);
 
 static store_lease_t *
 lease_find (store_t *store, uint64_t id)
@@ -151,35 +153,36 @@
 }
 
 static void
-lease_set (store_t *store, uint64_t id, el_time_t ttl)
+lease_start (store_t *store, uint64_t id, el_time_t ttl)
 {
   store_lease_t *lease = &store->leases[id % LEASES_MAX];
 
   *lease = (store_lease_t){ .id = id, .ttl = ttl, .store = store };
-  lease->over.cb = lease_over;
-  lease->over.arg = lease;
-  net_clock_set (&store->process->clock, &lease->over, ttl);
+  lease->timer.cb = lease_expire;
+  lease->timer.arg = lease;
+  net_clock_set (&store->process->clock, &lease->timer, ttl);
 }
 
-/* Write "KEY LEASE TTL VALUE", without VALUE for a key that is gone, before
-   the change is acknowledged. */
+/* Appends "KEY LEASE TTL VALUE", without VALUE for a deleted key. Called
+   before the change is acknowledged. */
 static void
-item_record (const store_t *store, const char *key, const char *value,
-             uint64_t lease)
+item_write_record (const store_t *store, const char *key, const char *value,
+                   uint64_t lease)
 {
   el_buf_t line = { NULL, 0, 0 };
 
-  if (store->record < 0)
+  if (store->record_fd < 0)
     return;
   el_buf_printf (&line, "%s %llu %llu %s\n", key, (unsigned long long)lease,
                  (unsigned long long)store->leases[lease % LEASES_MAX].ttl,
                  value ? value : "");
-  if (write (store->record, line.ptr, line.len) != (ssize_t)line.len)
-    fprintf (stderr, "standin: a change was not noted\n");
+  if (write (store->record_fd, line.ptr, line.len) != (ssize_t)line.len)
+    fprintf (stderr, "standin: cannot record a change\n");
   el_buf_free (&line);
 }
 
-/* Set a key, or remove it without VALUE, and wake those who wait for it. */
+/* Writes a key, or deletes it if VALUE is NULL, and answers the watches on it.
+ */
 static void
 item_set (store_t *store, const char *key, const char *value, uint64_t lease)
 {
@@ -187,7 +190,7 @@
   store_watch_t *watch;
   store_watch_t *next;
 
-  item_record (store, key, value, lease);
+  item_write_record (store, key, value, lease);
   free (item->value);
   item->value = value ? strdup (value) : NULL;
   item->revision = ++store->revision;
@@ -197,7 +200,7 @@
     watch_end (watch);
 }
 
-/* Take in what stood in the record at the last end. Leases run anew. */
+/* Replays the record file. Leases start again with their full TTL. */
 static void
 store_replay (store_t *store, const char *path)
 {
@@ -206,7 +209,7 @@
   unsigned long long lease;
   unsigned long long ttl;
   char *value;
-  int at;
+  int offset;
 
   while (file && fgets (line, RECORD_LINE_MAX, file))
     {
@@ -215,13 +218,13 @@
       if (!value)
         continue;
       *value++ = '\0';
-      if (sscanf (value, "%llu %llu %n", &lease, &ttl, &at) != 2)
+      if (sscanf (value, "%llu %llu %n", &lease, &ttl, &offset) != 2)
         continue;
       if (lease && !lease_find (store, lease))
-        lease_set (store, lease, ttl);
+        lease_start (store, lease, ttl);
       if (lease > store->next_lease)
         store->next_lease = lease;
-      item_set (store, line, value[at] ? value + at : NULL, lease);
+      item_set (store, line, value[offset] ? value + offset : NULL, lease);
     }
   if (file)
     fclose (file);
@@ -232,22 +235,22 @@
 store_open (sn_process_t *process)
 {
   store_t *store = el_alloc (sizeof *store);
-  const char *path = process->set.record;
+  const char *path = process->settings.record;
 
   store->process = process;
   store->revision = 1;
-  store->record = -1;
+  store->record_fd = -1;
   if (path[0])
     {
       store_replay (store, path);
-      store->record
+      store->record_fd
           = open (path, O_WRONLY | O_APPEND | O_CREAT | O_CLOEXEC, 0600);
     }
   process->state = store;
 }
 
 static void
-lease_over (void *arg, el_time_t now)
+lease_expire (void *arg, el_time_t now)
 {
   store_lease_t *lease = arg;
   store_t *store = lease->store;
@@ -276,10 +279,10 @@
 {
   char *prefix = query_text (req, "PathPrefix");
 
-  sn_json (req, 200,
-           json_pack ("{s:o,s:b,s:I}", "Items",
-                      items_json (store, prefix, 0, 0), "more", 0, "at",
-                      (json_int_t)store->revision));
+  sn_reply_json (req, 200,
+                 json_pack ("{s:o,s:b,s:I}", "Items",
+                            items_json (store, prefix, 0, 0), "more", 0, "at",
+                            (json_int_t)store->revision));
   free (prefix);
 }
 
@@ -294,18 +297,19 @@
   watch->store = store;
   watch->prefix = query_text (req, "PathPrefix");
   watch->since = strtoull (since, NULL, 10);
-  watch->hold = gt_deferred_new (req);
-  watch->over.cb = watch_over;
-  watch->over.arg = watch;
+  watch->deferred = gt_deferred_new (req);
+  watch->timer.cb = watch_expire;
+  watch->timer.arg = watch;
   DL_APPEND (store->watches, watch);
-  net_clock_set (&store->process->clock, &watch->over,
+  net_clock_set (&store->process->clock, &watch->timer,
                  strtoull (wait, NULL, 10) * EL_MSEC);
   free (since);
   free (wait);
-  if (watch->since < store->forgotten || watch->since > store->revision)
+  if (watch->since < store->compacted_revision
+      || watch->since > store->revision)
     {
-      req = gt_deferred_finish (watch->hold);
-      net_clock_cancel (&store->process->clock, &watch->over);
+      req = gt_deferred_finish (watch->deferred);
+      net_clock_cancel (&store->process->clock, &watch->timer);
       DL_DELETE (store->watches, watch);
       free (watch->prefix);
       free (watch);
@@ -321,13 +325,14 @@
 static void
 serve_lease (store_t *store, h2o_req_t *req)
 {
-  json_t *json = sn_body (req);
+  json_t *json = sn_parse_body (req);
   uint64_t id = ++store->next_lease;
   json_int_t ttl = json_integer_value (json_object_get (json, "ttl_ms"));
 
-  lease_set (store, id, (el_time_t)ttl * EL_MSEC);
-  sn_json (req, 200,
-           json_pack ("{s:I,s:I}", "lease", (json_int_t)id, "ttl_ms", ttl));
+  lease_start (store, id, (el_time_t)ttl * EL_MSEC);
+  sn_reply_json (
+      req, 200,
+      json_pack ("{s:I,s:I}", "lease", (json_int_t)id, "ttl_ms", ttl));
   json_decref (json);
 }
 
@@ -343,8 +348,8 @@
   lease = lease_find (store, id);
   if (lease)
     {
-      net_clock_cancel (&store->process->clock, &lease->over);
-      lease_over (lease, 0);
+      net_clock_cancel (&store->process->clock, &lease->timer);
+      lease_expire (lease, 0);
     }
   net_req_reply (req, lease ? 200 : 404, EL_STR (""), EL_STR ("{}"));
 }
@@ -359,13 +364,14 @@
   el_str_to_u64 (el_str_after (path, sizeof "/elmarch/kv-keep/" - 1), &id);
   lease = lease_find (store, id);
   if (lease)
-    net_clock_set (&store->process->clock, &lease->over, lease->ttl);
+    net_clock_set (&store->process->clock, &lease->timer, lease->ttl);
   net_req_reply (req, lease ? 200 : 404, EL_STR (""), EL_STR ("{}"));
 }
 
-/* Whether the rows of a condition hold. */
+/* Whether each key of the condition has the expected revision; 0 stands for a
+   key that does not exist. */
 static int
-txn_holds (store_t *store, json_t *rows)
+txn_condition_met (store_t *store, json_t *rows)
 {
   store_item_t *item;
   json_t *row;
@@ -374,10 +380,11 @@
   json_array_foreach (rows, i, row)
   {
     const char *key = json_string_value (json_object_get (row, "Key"));
-    json_int_t want = json_integer_value (json_object_get (row, "Revision"));
+    json_int_t expected
+        = json_integer_value (json_object_get (row, "Revision"));
 
     HASH_FIND_STR (store->items, key, item);
-    if ((item && item->value ? (json_int_t)item->revision : 0) != want)
+    if ((item && item->value ? (json_int_t)item->revision : 0) != expected)
       return 0;
   }
   return 1;
@@ -386,11 +393,11 @@
 static void
 serve_txn (store_t *store, h2o_req_t *req)
 {
-  json_t *json = sn_body (req);
+  json_t *json = sn_parse_body (req);
   json_t *row;
   size_t i;
 
-  if (!txn_holds (store, json_object_get (json, "ExpectedRev")))
+  if (!txn_condition_met (store, json_object_get (json, "ExpectedRev")))
     {
       net_req_reply (req, 412, EL_STR (""), EL_STR ("{}"));
       json_decref (json);
@@ -402,8 +409,8 @@
               json_string_value (json_object_get (row, "Value")),
               (uint64_t)json_integer_value (json_object_get (row, "lease")));
   }
-  sn_json (req, 200,
-           json_pack ("{s:I}", "Revision", (json_int_t)store->revision));
+  sn_reply_json (req, 200,
+                 json_pack ("{s:I}", "Revision", (json_int_t)store->revision));
   json_decref (json);
 }
 
@@ -453,68 +460,67 @@
 }
 
 static void
-store_copy (store_t *store)
+store_take_snapshot (store_t *store)
 {
-  items_free (&store->copy);
-  items_copy (store->items, &store->copy);
-  store->copy_revision = store->revision;
-  store->copy_lease = store->next_lease;
+  items_free (&store->snapshot);
+  items_copy (store->items, &store->snapshot);
+  store->snapshot_revision = store->revision;
+  store->snapshot_lease = store->next_lease;
 }
 
-/* Whether others than the system write ITEM. */
+/* Whether operators or endpoints write ITEM, rather than hosts. */
 static int
-item_of_others (const store_item_t *item)
+item_is_external (const store_item_t *item)
 {
   return strncmp (item->key, "op/", 3) == 0
          || strncmp (item->key, "servers/", 8) == 0;
 }
 
 static int
-item_same (const store_item_t *a, const store_item_t *b)
+item_same_value (const store_item_t *a, const store_item_t *b)
 {
   if (!a->value || !b || !b->value)
     return !a->value && (!b || !b->value);
   return strcmp (a->value, b->value) == 0;
 }
 
-/* Leases that were granted since the copy are gone, and their numbers are
-   given out again. */
+/* Drops leases granted since the snapshot; their ids are granted again. */
 static void
-leases_restore (store_t *store)
+leases_roll_back (store_t *store)
 {
   size_t i;
 
   for (i = 0; i < LEASES_MAX; i++)
-    if (store->leases[i].id > store->copy_lease)
+    if (store->leases[i].id > store->snapshot_lease)
       {
-        net_clock_cancel (&store->process->clock, &store->leases[i].over);
+        net_clock_cancel (&store->process->clock, &store->leases[i].timer);
         store->leases[i].id = 0;
       }
-  store->next_lease = store->copy_lease;
+  store->next_lease = store->snapshot_lease;
 }
 
-/* What others had written since the copy, and have not since then, they write
-   again. */
+/* Writes keys of operators and endpoints again that the restore reverted,
+   except for those written since then. */
 static void
-lost_again (void *arg, el_time_t due)
+rewrite_lost (void *arg, el_time_t due)
 {
   store_t *store = arg;
   const store_item_t *item;
   store_item_t *now;
 
   (void)due;
-  for (item = store->lost; item; item = item->hh.next)
+  for (item = store->before_restore; item; item = item->hh.next)
     {
       HASH_FIND_STR (store->items, item->key, now);
-      if (item_of_others (item) && !item_same (item, now)
-          && (!now || now->revision <= store->copy_revision))
+      if (item_is_external (item) && !item_same_value (item, now)
+          && (!now || now->revision <= store->snapshot_revision))
         item_set (store, item->key, item->value, 0);
     }
-  items_free (&store->lost);
+  items_free (&store->before_restore);
 }
 
 static void
-store_restore (store_t *store, el_time_t again)
+store_restore (store_t *store, el_time_t rewrite_after)
 {
   h2o_req_t *req;
 
@@ -522,27 +528,28 @@
     {
       store_watch_t *watch = store->watches;
 
-      net_clock_cancel (&store->process->clock, &watch->over);
+      net_clock_cancel (&store->process->clock, &watch->timer);
       DL_DELETE (store->watches, watch);
-      req = gt_deferred_finish (watch->hold);
+      req = gt_deferred_finish (watch->deferred);
       if (req)
         net_req_reply (req, 503, EL_STR (""), EL_STR (""));
       free (watch->prefix);
       free (watch);
     }
-  items_free (&store->lost);
-  store->lost = store->items;
+  items_free (&store->before_restore);
+  store->before_restore = store->items;
   store->items = NULL;
-  items_copy (store->copy, &store->items);
-  store->revision = store->copy_revision;
-  leases_restore (store);
+  items_copy (store->snapshot, &store->items);
+  store->revision = store->snapshot_revision;
+  leases_roll_back (store);
   store->era++;
-  store->again.cb = lost_again;
-  store->again.arg = store;
-  if (again)
-    net_clock_set (&store->process->clock, &store->again, again);
+  store->rewrite_timer.cb = rewrite_lost;
+  store->rewrite_timer.arg = store;
+  if (rewrite_after)
+    net_clock_set (&store->process->clock, &store->rewrite_timer,
+                   rewrite_after);
   else
-    lost_again (store, 0);
+    rewrite_lost (store, 0);
 }
 
 static void
@@ -562,17 +569,17 @@
     }
   else if (strcmp (key, "forget") == 0)
     {
-      store->forgotten = ++store->revision;
+      store->compacted_revision = ++store->revision;
       net_req_reply (req, 200, EL_STR (""), EL_STR ("{}"));
     }
   else if (strcmp (key, "copy") == 0)
     {
-      store_copy (store);
+      store_take_snapshot (store);
       net_req_reply (req, 200, EL_STR (""), EL_STR ("{}"));
     }
   else if (strcmp (key, "restore") == 0)
     {
-      json = sn_body (req);
+      json = sn_parse_body (req);
       store_restore (store, (el_time_t)json_integer_value (
                                 json_object_get (json, "again_ms"))
                                 * EL_MSEC);
@@ -581,7 +588,7 @@
     }
   else if (strcmp (key, "mute") == 0)
     {
-      json = sn_body (req);
+      json = sn_parse_body (req);
       store->mute = json_is_true (json_object_get (json, "on"));
       json_decref (json);
       net_req_reply (req, 200, EL_STR (""), EL_STR ("{}"));
@@ -595,7 +602,7 @@
 {
   el_str_t path;
   void (*serve) (store_t *store, h2o_req_t *req);
-} calls[] = {
+} routes[] = {
   { EL_STR ("/elmarch/kv-range"), serve_range },
   { EL_STR ("/elmarch/kv-watch"), serve_watch },
   { EL_STR ("/elmarch/kv-lease-end/"), serve_lease_end },
@@ -625,10 +632,10 @@
       gt_deferred_new (req); /* never answered */
       return;
     }
-  for (i = 0; i < sizeof calls / sizeof *calls; i++)
-    if (el_str_starts (path, calls[i].path))
+  for (i = 0; i < sizeof routes / sizeof *routes; i++)
+    if (el_str_starts (path, routes[i].path))
       {
-        calls[i].serve (store, req);
+        routes[i].serve (store, req);
         return;
       }
   net_req_reply (req, 404, EL_STR (""), EL_STR (""));
