--- a/bench/bench.h
+++ b/bench/bench.h
@@ -3,7 +3,8 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * What the measurements share: lines of key=value on standard output.
+ * Helpers of the benchmarks, which print lines of key=value to standard
+ * output.
  */
 #ifndef ELMARCH_BENCH_H
 #define ELMARCH_BENCH_H
@@ -22,7 +23,7 @@
   return (uint64_t)now.tv_sec * 1000000000U + (uint64_t)now.tv_nsec;
 }
 
-/** Bytes that the process has allocated. */
+/** Bytes allocated on the heap. */
 static inline size_t
 bench_heap (void)
 {
--- a/bench/bench_blame.c
+++ b/bench/bench_blame.c
@@ -3,9 +3,9 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Ways to judge and to place requests under which engines ended, on the same
- * seeds: with requests that end engines and without, where engines end for
- * other reasons, too.
+ * Compares strategies for blaming and isolating requests under which engines
+ * crashed, on the same seeds: with and without requests that crash engines,
+ * and with engines that crash for other reasons.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -20,7 +20,7 @@
 {
   const char *name;
   sim_options_t o;
-} cases[] = {
+} scenarios[] = {
   { "small",
     { .hosts = 7, .engines = 6, .rate = 62, .deadly = 1, .again_s = 1 } },
   { "small-three",
@@ -67,7 +67,7 @@
   int apart;
   int patient;
   int tell_late;
-} ways[] = {
+} strategies[] = {
   { "none", NULL, 0, 0, 0 },
   { "count", &rt_blame_rule_count, 0, 0, 0 },
   { "count+apart", &rt_blame_rule_count, 1, 0, 0 },
@@ -97,17 +97,17 @@
 static void
 measure (size_t c, size_t w, unsigned seeds)
 {
-  sim_options_t options = cases[c].o;
+  sim_options_t options = scenarios[c].o;
   sim_result_t sum = { 0 };
   sim_result_t one;
-  double most = 0;
+  double max_ended = 0;
   uint64_t begin = bench_ns ();
   unsigned seed;
 
-  options.rule = ways[w].rule;
-  options.apart = ways[w].apart;
-  options.patient = ways[w].patient;
-  options.tell_late = ways[w].tell_late;
+  options.rule = strategies[w].rule;
+  options.apart = strategies[w].apart;
+  options.patient = strategies[w].patient;
+  options.tell_late = strategies[w].tell_late;
   options.seconds = SECONDS;
   options.loss = 0.02;
   for (seed = 1; seed <= seeds; seed++)
@@ -115,14 +115,14 @@
       options.seed = seed;
       one = sim_run (&options);
       sum_add (&sum, &one);
-      if ((double)one.ended > most)
-        most = (double)one.ended;
+      if ((double)one.ended > max_ended)
+        max_ended = (double)one.ended;
     }
   printf ("case=%s way=%s deadly_sends=%.1f engines_ended=%.2f most=%.0f "
           "late_sends_most=%zu other_ends=%.1f broken=%.0f failed=%.1f "
           "of=%.0f innocents_blocked=%.3f blocked=%.2f ms=%.0f\n",
-          cases[c].name, ways[w].name, (double)sum.sends / seeds,
-          (double)sum.ended / seeds, most, sum.late,
+          scenarios[c].name, strategies[w].name, (double)sum.sends / seeds,
+          (double)sum.ended / seeds, max_ended, sum.late,
           (double)sum.others / seeds, (double)sum.broken / seeds,
           (double)sum.failed / seeds, (double)sum.streams / seeds,
           (double)sum.refused / seeds, (double)sum.blocked / seeds,
@@ -130,12 +130,13 @@
   fflush (stdout);
 }
 
-/* Whether a way is to be measured; those that are not kept and take minutes
-   only by name. */
+/* Whether to measure a strategy. The patient ones, which are not in use and
+   take minutes, run only if named. */
 static int
-wanted (size_t w, const char *name)
+selected (size_t w, const char *name)
 {
-  return name ? strcmp (name, ways[w].name) == 0 : !ways[w].patient;
+  return name ? strcmp (name, strategies[w].name) == 0
+              : !strategies[w].patient;
 }
 
 int
@@ -145,10 +146,10 @@
   size_t c;
   size_t w;
 
-  for (c = 0; c < sizeof cases / sizeof *cases; c++)
-    for (w = 0; w < sizeof ways / sizeof *ways; w++)
-      if ((argc < 3 || strcmp (argv[2], cases[c].name) == 0)
-          && wanted (w, argc > 3 ? argv[3] : NULL))
+  for (c = 0; c < sizeof scenarios / sizeof *scenarios; c++)
+    for (w = 0; w < sizeof strategies / sizeof *strategies; w++)
+      if ((argc < 3 || strcmp (argv[2], scenarios[c].name) == 0)
+          && selected (w, argc > 3 ? argv[3] : NULL))
         measure (c, w, seeds);
   return EXIT_SUCCESS;
 }
--- a/bench/bench_control.sh
+++ b/bench/bench_control.sh
@@ -1,5 +1,6 @@
 #!/bin/sh
-# What hosts cost when no caller asks anything: real processes on one machine.
+# Load that idle hosts cause, and how fast a configuration change and the death
+# of a host spread. Runs real processes on one machine.
 set -eu
 bin=$1
 net=127.74.0
--- a/bench/bench_core.c
+++ b/bench/bench_core.c
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * The cost of decisions and of state at the sizes to design for: the library's
- * own objects, no processes.
+ * Time and memory of routing decisions and of state at the scales that the
+ * system is designed for. Uses the library's objects in one process.
  */
 #include <inttypes.h>
 #include <stdlib.h>
@@ -17,7 +17,7 @@
 #include "route.h"
 #include "store_keys.h"
 
-#define LINE_STAGES 4
+#define PIPELINE_STAGES 4
 #define LAYERS 32
 #define REQUESTS 20000
 #define CUSTOMERS 460
@@ -28,7 +28,7 @@
 static uint64_t calls;
 
 static void
-act_note (void *arg, const rt_action_t *action)
+record_call (void *arg, const rt_action_t *action)
 {
   (void)arg;
   if (action->kind != RT_ACT_CALL)
@@ -60,9 +60,9 @@
   json_decref (spec);
 }
 
-/* A fleet of WORKERS engines in lines of LINE_STAGES. */
+/* Configures WORKERS engines in pipelines of PIPELINE_STAGES. */
 static void
-fleet (co_config_t *config, unsigned workers)
+load_fleet (co_config_t *config, unsigned workers)
 {
   uint64_t revision = 1;
   char name[32];
@@ -79,18 +79,18 @@
                         "h", "role", "engine"),
              revision++);
     }
-  for (i = 0; i + LINE_STAGES <= workers; i += LINE_STAGES)
+  for (i = 0; i + PIPELINE_STAGES <= workers; i += PIPELINE_STAGES)
     {
       json_t *stages = json_array ();
       int k;
 
-      for (k = 0; k < LINE_STAGES; k++)
+      for (k = 0; k < PIPELINE_STAGES; k++)
         {
           snprintf (name, sizeof name, "e%u", i + (unsigned)k);
           json_array_append_new (
               stages, json_pack ("{s:s,s:i,s:i}", "endpoint", name, "first",
-                                 k * LAYERS / LINE_STAGES, "last",
-                                 (k + 1) * LAYERS / LINE_STAGES - 1));
+                                 k * LAYERS / PIPELINE_STAGES, "last",
+                                 (k + 1) * LAYERS / PIPELINE_STAGES - 1));
         }
       snprintf (name, sizeof name, "p%u", i);
       apply (config, CO_PIPELINE, name,
@@ -108,7 +108,7 @@
 }
 
 static void
-request (rt_router_t *router, uint64_t stream, uint64_t max_tokens)
+send_request (rt_router_t *router, uint64_t stream, uint64_t max_tokens)
 {
   rt_event_t event = { .kind = RT_EV_REQUEST,
                        .stream = stream,
@@ -123,7 +123,7 @@
 }
 
 static void
-reply (rt_router_t *router)
+send_reply (rt_router_t *router)
 {
   rt_event_t event = { .kind = RT_EV_REPLY,
                        .stream = last_call.stream,
@@ -138,14 +138,14 @@
 }
 
 static void
-decisions (unsigned workers)
+bench_decisions (unsigned workers)
 {
   rt_options_t options = { .seed = 1,
                            .max_active = 100000,
                            .max_queue = 1000,
                            .call_limit = EL_SEC,
                            .leave_hold = EL_SEC,
-                           .act = act_note };
+                           .act = record_call };
   rt_router_t *router = rt_router_new (&options);
   co_config_options_t config_options
       = { .changed = config_to_router, .arg = router };
@@ -153,30 +153,30 @@
   size_t heap = bench_heap ();
   uint64_t began = bench_ns ();
   uint64_t load_ns;
-  size_t fleet_bytes;
+  size_t config_bytes;
   uint64_t i;
 
-  fleet (config, workers);
+  load_fleet (config, workers);
   load_ns = bench_ns () - began;
-  fleet_bytes = bench_heap () - heap;
+  config_bytes = bench_heap () - heap;
   began = bench_ns ();
   calls = 0;
   for (i = 1; i <= REQUESTS; i++)
     {
-      request (router, i, 1);
+      send_request (router, i, 1);
       while (rt_router_active (router))
-        reply (router);
+        send_reply (router);
     }
   printf ("bench=decisions workers=%u resources=%zu load_us_per_resource=%.2f "
           "bytes_per_resource=%zu request_ns=%.0f per_call_ns=%.0f\n",
           workers, co_config_count (config),
           (double)load_ns / 1e3 / (double)co_config_count (config),
-          fleet_bytes / co_config_count (config),
+          config_bytes / co_config_count (config),
           (double)(bench_ns () - began) / REQUESTS,
           (double)(bench_ns () - began) / (double)calls);
   heap = bench_heap ();
   for (i = 1; i <= STREAMS; i++)
-    request (router, REQUESTS + i, 256);
+    send_request (router, REQUESTS + i, 256);
   printf ("bench=streams workers=%u streams=%d bytes_per_stream=%zu\n",
           workers, STREAMS, (bench_heap () - heap) / STREAMS);
   rt_router_free (router);
@@ -191,14 +191,14 @@
 }
 
 static void
-ledger (void)
+bench_ledger (void)
 {
   co_ledger_options_t options = { .max_sessions = ENTRIES,
                                   .max_entries = 64,
                                   .max_bytes = 1U << 30,
                                   .idle = EL_SEC,
                                   .release = release_none };
-  co_ledger_t *book = co_ledger_new (&options);
+  co_ledger_t *ledger = co_ledger_new (&options);
   size_t heap = bench_heap ();
   uint64_t began;
   uint64_t session = 0;
@@ -208,39 +208,39 @@
   size_t sessions_bytes;
 
   for (i = 0; i < ENTRIES / 8; i++)
-    co_ledger_open (book, 1, EL_STR ("c"), &session, NULL);
+    co_ledger_open (ledger, 1, EL_STR ("c"), &session, NULL);
   sessions_bytes = bench_heap () - heap;
   heap = bench_heap ();
   began = bench_ns ();
   for (i = 0; i < ENTRIES; i++)
     {
       key.id = i % (ENTRIES / 8) + 1;
-      co_ledger_begin (book, 1, &key, i / (ENTRIES / 8) + 1, i, &session,
+      co_ledger_begin (ledger, 1, &key, i / (ENTRIES / 8) + 1, i, &session,
                        &answer);
-      co_ledger_end (book, 1, &key, i / (ENTRIES / 8) + 1, EL_RAN, 0);
+      co_ledger_end (ledger, 1, &key, i / (ENTRIES / 8) + 1, EL_RAN, 0);
     }
   printf ("bench=ledger sessions=%d entries=%zu bytes_per_session=%zu "
           "bytes_per_entry=%zu begin_and_end_ns=%.0f\n",
-          ENTRIES / 8, co_ledger_entries (book),
+          ENTRIES / 8, co_ledger_entries (ledger),
           sessions_bytes / (ENTRIES / 8), (bench_heap () - heap) / ENTRIES,
           (double)(bench_ns () - began) / ENTRIES);
-  co_ledger_free (book);
+  co_ledger_free (ledger);
 }
 
 static int
-item_none (void *arg, const pr_store_item_t *item)
+ignore_item (void *arg, const pr_store_item_t *item)
 {
   (void)arg;
   (void)item;
   return 1;
 }
 
-/* A store's keys that are known, and all of them read anew in an epoch that
-   shows them as they were. */
+/* Memory of the known keys of a store, and the time to read all of them again,
+   unchanged, in a new epoch. */
 static void
-keys_read (unsigned n)
+bench_keys (unsigned n)
 {
-  const gt_keys_options_t options = { .item = item_none };
+  const gt_keys_options_t options = { .item = ignore_item };
   gt_keys_t *keys = gt_keys_new (&options);
   char value[300];
   char name[32];
@@ -273,28 +273,27 @@
 }
 
 static void
-blocked_none (void *arg, rt_digest_t digest,
-              const rt_blame_status_t *judgement)
+ignore_block (void *arg, rt_digest_t digest, const rt_blame_status_t *status)
 {
   (void)arg;
   (void)digest;
-  (void)judgement;
+  (void)status;
 }
 
-/* ENDS endpoints that ended, with RUNS requests under each: what they take,
-   and how long judging them all does. */
+/* ENDS crashed endpoints with RUNS requests running on each: memory, and the
+   time to evaluate all requests. */
 static void
-blame (unsigned ends, unsigned runs)
+bench_blame (unsigned ends, unsigned runs)
 {
   const rt_blame_options_t options = { .max_requests = 4096,
                                        .max_customer_requests = 4096,
                                        .rule = &rt_blame_rule_odds };
-  rt_blame_t *book = rt_blame_new (&options);
+  rt_blame_t *blame = rt_blame_new (&options);
   rt_crash_report_t ended
       = { .host = 1, .at = EL_SEC, .ran = EL_SEC, .first = 1 };
   size_t heap = bench_heap ();
   uint64_t began = bench_ns ();
-  uint64_t judge_ns;
+  uint64_t update_began;
   unsigned end;
   unsigned run;
 
@@ -304,24 +303,24 @@
         ended.instance.born = end;
         ended.at = EL_SEC + end * EL_MSEC;
         ended.digest = 1 + end * runs + run;
-        rt_blame_add_report (book, EL_SEC, &ended);
+        rt_blame_add_report (blame, EL_SEC, &ended);
       }
-  judge_ns = bench_ns ();
-  rt_blame_update (book, 2 * EL_SEC, 1900, blocked_none, NULL);
+  update_began = bench_ns ();
+  rt_blame_update (blame, 2 * EL_SEC, 1900, ignore_block, NULL);
   printf ("bench=blame ends=%u runs=%u bytes=%zu bytes_per_run=%zu "
           "add_ns=%.0f judge_us=%.0f\n",
           ends, runs, bench_heap () - heap,
           (bench_heap () - heap) / ((size_t)ends * runs),
-          (double)(judge_ns - began) / ends / runs,
-          (double)(bench_ns () - judge_ns) / 1e3);
-  rt_blame_free (book);
+          (double)(update_began - began) / ends / runs,
+          (double)(bench_ns () - update_began) / 1e3);
+  rt_blame_free (blame);
 }
 
 static void
-digest (void)
+bench_digest (void)
 {
   char body[800] = "";
-  const rt_digest_input_t asked = { .customer = EL_STR ("parking"),
+  const rt_digest_input_t input = { .customer = EL_STR ("parking"),
                                     .method = EL_STR ("POST"),
                                     .host = EL_STR ("rel.example"),
                                     .path = EL_STR ("/chat/x"),
@@ -332,14 +331,14 @@
   for (i = 0; i < REQUESTS; i++)
     {
       body[0] = (char)i;
-      rt_digest (EL_STR ("a key that the hosts share"), &asked);
+      rt_digest (EL_STR ("a key that the hosts share"), &input);
     }
   printf ("bench=digest body=%zu ns=%.0f\n", sizeof body,
           (double)(bench_ns () - began) / REQUESTS);
 }
 
 static double
-picks_ns (rt_fleet_t *fleet)
+mean_pick_ns (rt_fleet_t *fleet)
 {
   const rt_tried_t tried = { .n = 0 };
   uint64_t began = bench_ns ();
@@ -350,19 +349,19 @@
   return (double)(bench_ns () - began) / REQUESTS;
 }
 
-/* A plain service of so many endpoints: a choice among them while none rests
-   and while half of them do, and what is kept of an endpoint that asked for
-   rest and is not listed now. */
+/* A plain service: the time to pick an endpoint while all are available and
+   while half of them back off, and the memory that it takes to remember the
+   back-off of an endpoint that is no longer listed. */
 static void
-rests (unsigned endpoints)
+bench_backoff (unsigned endpoints)
 {
   rt_fleet_t *fleet = rt_fleet_new (1);
   rt_attrs_t attrs = { .service = EL_STR ("s"),
                        .address = EL_STR ("10.0.0.1:80"),
                        .hall = EL_STR ("h"),
                        .slots = 6 };
-  double none_ns;
-  double half_ns;
+  double available_ns;
+  double half_available_ns;
   size_t heap;
   char id[16];
   unsigned i;
@@ -373,7 +372,7 @@
       attrs.id = el_str (id);
       rt_fleet_update (fleet, &attrs);
     }
-  none_ns = picks_ns (fleet);
+  available_ns = mean_pick_ns (fleet);
   heap = bench_heap ();
   for (i = 0; i < endpoints; i += 2)
     {
@@ -381,29 +380,30 @@
       rt_fleet_rest (fleet, rt_fleet_find (fleet, el_str (id)), EL_SEC,
                      60 * EL_SEC);
     }
-  half_ns = picks_ns (fleet);
+  half_available_ns = mean_pick_ns (fleet);
   printf ("bench=rests endpoints=%u access_bytes=%zu bytes_per_rest=%zu "
           "pick_ns=%.0f pick_half_rest_ns=%.0f\n",
           endpoints, sizeof (rt_avail_t),
-          (bench_heap () - heap) / (endpoints / 2), none_ns, half_ns);
+          (bench_heap () - heap) / (endpoints / 2), available_ns,
+          half_available_ns);
   rt_fleet_free (fleet);
 }
 
 int
 main (void)
 {
-  rests (12);
-  rests (40);
-  rests (1900);
-  digest ();
-  keys_read (475);
-  keys_read (950);
-  keys_read (1900);
-  blame (1, 60);
-  blame (64, 60);
-  decisions (40);
-  decisions (400);
-  decisions (1900);
-  ledger ();
+  bench_backoff (12);
+  bench_backoff (40);
+  bench_backoff (1900);
+  bench_digest ();
+  bench_keys (475);
+  bench_keys (950);
+  bench_keys (1900);
+  bench_blame (1, 60);
+  bench_blame (64, 60);
+  bench_decisions (40);
+  bench_decisions (400);
+  bench_decisions (1900);
+  bench_ledger ();
   return EXIT_SUCCESS;
 }
--- a/bench/bench_gate.c
+++ b/bench/bench_gate.c
@@ -3,9 +3,9 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * The cost of going through a host, against calling the stand-ins directly in
- * the same run. bench_gate HOST HOST-PID KEY SERVICE ENGINE-1 ENGINE-2
- * ENGINE-3.
+ * Overhead of a host, measured against direct calls of the stand-ins in the
+ * same run. Usage: bench_gate HOST HOST-PID KEY SERVICE ENGINE-1 ENGINE-2
+ * ENGINE-3
  */
 #include <inttypes.h>
 #include <stdlib.h>
@@ -46,17 +46,17 @@
   el_hist_t *times;
 } bench_t;
 
-typedef struct shot
+typedef struct load_request
 {
   bench_t *bench;
   uint64_t began;
   const net_send_t *send;
-} shot_t;
+} load_request_t;
 
-static void load_next (bench_t *bench, const net_send_t *send);
+static void send_next (bench_t *bench, const net_send_t *send);
 
 static void
-one_done (void *arg, const net_result_t *result)
+on_response (void *arg, const net_result_t *result)
 {
   bench_t *bench = arg;
 
@@ -66,10 +66,10 @@
   el_buf_add (&bench->body, result->body);
 }
 
-/* One exchange, waited for. */
+/* Sends a request and waits for the response; returns whether it is 200. */
 static int
-one (bench_t *bench, const char *address, const char *method, const char *path,
-     el_str_t body)
+send_and_wait (bench_t *bench, const char *address, const char *method,
+               const char *path, el_str_t body)
 {
   net_send_t send = { .address = el_str (address),
                       .method = el_str (method),
@@ -77,7 +77,7 @@
                       .headers = bench->headers,
                       .nheaders = 1,
                       .body = body,
-                      .done = one_done,
+                      .done = on_response,
                       .arg = bench };
 
   bench->ended = 0;
@@ -87,9 +87,11 @@
   return bench->status == 200;
 }
 
-/* One stage of one token, as a host calls it; gives what goes on. */
+/* Runs one stage of a step as a host would; returns the input of the next
+   stage. */
 static json_t *
-stage (bench_t *bench, unsigned session, unsigned step, int i, json_t *carry)
+run_stage (bench_t *bench, unsigned session, unsigned step, int i,
+           json_t *prev)
 {
   char name[32];
   json_t *call;
@@ -102,19 +104,20 @@
                     i * LAYERS / STAGES, "last", (i + 1) * LAYERS / STAGES - 1,
                     "generation", 1, "priority", 1, "final", i == STAGES - 1);
   if (i > 0)
-    json_object_set (call, "hidden", json_object_get (carry, "hidden"));
+    json_object_set (call, "hidden", json_object_get (prev, "hidden"));
   else if (step > 0)
     json_object_set_new (call, "feed",
-                         json_pack ("[O]", json_object_get (carry, "token")));
+                         json_pack ("[O]", json_object_get (prev, "token")));
   else
     json_object_set_new (call, "prompt", json_pack ("{s:s}", "text", "hi"));
   text = json_dumps (call, JSON_COMPACT);
-  if (!one (bench, bench->engines[i], "POST", "/v1/stage", el_str (text)))
+  if (!send_and_wait (bench, bench->engines[i], "POST", "/v1/stage",
+                      el_str (text)))
     bench->failed++;
   answer = json_loadb (bench->body.ptr, bench->body.len, 0, NULL);
   free (text);
   json_decref (call);
-  json_decref (carry);
+  json_decref (prev);
   return answer;
 }
 
@@ -122,14 +125,14 @@
 direct_chat (bench_t *bench, unsigned session)
 {
   uint64_t began = bench_ns ();
-  json_t *carry = NULL;
+  json_t *prev = NULL;
   unsigned step;
   int i;
 
   for (step = 0; step < TOKENS; step++)
     for (i = 0; i < STAGES; i++)
-      carry = stage (bench, session, step, i, carry);
-  json_decref (carry);
+      prev = run_stage (bench, session, step, i, prev);
+  json_decref (prev);
   return bench_ns () - began;
 }
 
@@ -142,7 +145,7 @@
             TOKENS, stream ? "true" : "false");
 }
 
-/* Tokens of the chat that the bench asks for. */
+/* Number of tokens in the last chat's answer. */
 static unsigned
 chat_tokens (bench_t *bench)
 {
@@ -155,7 +158,7 @@
 }
 
 static int
-by_value (const void *a, const void *b)
+compare_u64 (const void *a, const void *b)
 {
   uint64_t x = *(const uint64_t *)a;
   uint64_t y = *(const uint64_t *)b;
@@ -166,12 +169,12 @@
 static uint64_t
 median (uint64_t *list, size_t n)
 {
-  qsort (list, n, sizeof *list, by_value);
+  qsort (list, n, sizeof *list, compare_u64);
   return list[n / 2];
 }
 
 static void
-added_time (bench_t *bench)
+measure_latency (bench_t *bench)
 {
   uint64_t direct[ROUNDS];
   uint64_t routed[ROUNDS];
@@ -186,8 +189,8 @@
 
       direct[i] = direct_chat (bench, i);
       began = bench_ns ();
-      if (!one (bench, bench->host, "POST", "/v1/chat/completions",
-                el_str (body)))
+      if (!send_and_wait (bench, bench->host, "POST", "/v1/chat/completions",
+                          el_str (body)))
         bench->failed++;
       routed[i] = bench_ns () - began;
       tokens = chat_tokens (bench);
@@ -203,10 +206,11 @@
     {
       uint64_t began = bench_ns ();
 
-      one (bench, bench->service, "GET", "/runs", EL_STR (""));
+      send_and_wait (bench, bench->service, "GET", "/runs", EL_STR (""));
       direct[i] = bench_ns () - began;
       began = bench_ns ();
-      one (bench, bench->host, "GET", "/services/zahl-app/runs", EL_STR (""));
+      send_and_wait (bench, bench->host, "GET", "/services/zahl-app/runs",
+                     EL_STR (""));
       routed[i] = bench_ns () - began;
     }
   printf ("bench=request direct_us=%.1f routed_us=%.1f added_us=%.1f\n",
@@ -216,7 +220,8 @@
               / 1e3);
 }
 
-/* Processor time of the host, in seconds, and its memory, in KB. */
+/* Returns the host's CPU time in seconds and sets its resident memory in KB.
+ */
 static double
 host_cpu (const bench_t *bench, long *rss_kb)
 {
@@ -243,41 +248,41 @@
 }
 
 static void
-load_done (void *arg, const net_result_t *result)
+request_done (void *arg, const net_result_t *result)
 {
-  shot_t *shot = arg;
-  bench_t *bench = shot->bench;
+  load_request_t *load_request = arg;
+  bench_t *bench = load_request->bench;
 
-  el_hist_add (bench->times, (bench_ns () - shot->began) / 1000);
+  el_hist_add (bench->times, (bench_ns () - load_request->began) / 1000);
   if (result->net != NET_OK || result->status != 200)
     bench->failed++;
   bench->running--;
-  load_next (bench, shot->send);
-  free (shot);
+  send_next (bench, load_request->send);
+  free (load_request);
 }
 
 static void
-load_next (bench_t *bench, const net_send_t *send)
+send_next (bench_t *bench, const net_send_t *send)
 {
   net_send_t next = *send;
-  shot_t *shot;
+  load_request_t *load_request;
 
   if (!bench->left)
     return;
   bench->left--;
   bench->running++;
-  shot = el_alloc (sizeof *shot);
-  shot->bench = bench;
-  shot->began = bench_ns ();
-  shot->send = send;
-  next.done = load_done;
-  next.arg = shot;
+  load_request = el_alloc (sizeof *load_request);
+  load_request->bench = bench;
+  load_request->began = bench_ns ();
+  load_request->send = send;
+  next.done = request_done;
+  next.arg = load_request;
   net_client_send (bench->client, &next);
 }
 
 static void
-load (bench_t *bench, const char *name, const char *method, const char *path,
-      const char *body, unsigned rounds)
+measure_load (bench_t *bench, const char *name, const char *method,
+              const char *path, const char *body, unsigned rounds)
 {
   net_send_t send = { .address = el_str (bench->host),
                       .method = el_str (method),
@@ -295,7 +300,7 @@
   bench->failed = 0;
   bench->left = rounds;
   for (i = 0; i < CONCURRENCY; i++)
-    load_next (bench, &send);
+    send_next (bench, &send);
   while (bench->running)
     uv_run (&bench->loop, UV_RUN_ONCE);
   seconds = (double)(bench_ns () - began) / 1e9;
@@ -333,9 +338,11 @@
   bench.service = argv[4];
   for (i = 0; i < STAGES; i++)
     bench.engines[i] = argv[5 + i];
-  added_time (&bench);
+  measure_latency (&bench);
   chat_text (body, sizeof body, 0);
-  load (&bench, "call", "GET", "/services/zahl-app/runs", "", CALL_ROUNDS);
-  load (&bench, "chat", "POST", "/v1/chat/completions", body, LOAD_ROUNDS);
+  measure_load (&bench, "call", "GET", "/services/zahl-app/runs", "",
+                CALL_ROUNDS);
+  measure_load (&bench, "chat", "POST", "/v1/chat/completions", body,
+                LOAD_ROUNDS);
   return EXIT_SUCCESS;
 }
--- a/bench/bench_gate.sh
+++ b/bench/bench_gate.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# One host before one line of three engines and a service, measured against
-# calling them directly.
+# Measures one host in front of a pipeline of three engines and a service
+# against direct calls of these.
 set -eu
 bin=$1
 net=127.73.0
--- a/bench/bench_members.c
+++ b/bench/bench_members.c
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * The cost of membership at 3 to 570 hosts: the library's own objects on a
- * network of events, with the sizes that the messages have on the wire.
+ * Cost of membership at 3 to 570 hosts. Runs the library's objects on a
+ * simulated network, with messages of their encoded size.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -18,13 +18,13 @@
 #include "peer_proto.h"
 
 #define RUMOR_SEEDS 20
-/* Bytes of the net's rumors. */
-#define RUMOR_BODY 26
-#define SETTLE (60 * EL_SEC)
-#define SPAN (30 * EL_SEC)
-#define LIMIT (120 * EL_SEC)
+/* Bytes of a rumor in rumor_net. */
+#define RUMOR_BODY_BYTES 26
+#define SETTLE_TIME (60 * EL_SEC)
+#define MEASURE_TIME (30 * EL_SEC)
+#define TIME_LIMIT (120 * EL_SEC)
 #define STEP (50 * EL_MSEC)
-/* The RPC header, the code, and the lengths around them; IP and UDP. */
+/* RPC header, authentication code, length fields, IP and UDP headers. */
 #define ENVELOPE_BYTES (40 + 32 + 4 + 28)
 #define WATCHERS 2
 
@@ -70,7 +70,7 @@
 }
 
 static void
-totals (const net_t *net, uint64_t *sent, uint64_t *bytes)
+sum_traffic (const net_t *net, uint64_t *sent, uint64_t *bytes)
 {
   size_t i;
 
@@ -83,9 +83,9 @@
     }
 }
 
-/* Milliseconds until the watchers' revision is everywhere. */
+/* Milliseconds until every host has the watchers' revision. */
 static uint64_t
-change_spreads (net_t *net)
+change_spread_ms (net_t *net)
 {
   el_time_t began = net->now;
   size_t behind = 1;
@@ -94,7 +94,7 @@
   for (i = 0; i < net->n; i++)
     if (co_members_chosen (net->hosts[i].members, WATCHERS))
       net_seen (&net->hosts[i], 7);
-  while (behind && net->now < began + LIMIT)
+  while (behind && net->now < began + TIME_LIMIT)
     {
       net_run (net, net->now + STEP);
       behind = 0;
@@ -104,21 +104,22 @@
   return (net->now - began) / EL_MSEC;
 }
 
-/* Milliseconds until no host gives a dead one out as an entry address. */
+/* Milliseconds until no other host considers a dead host alive, and so none
+   hands it out as an entry address. */
 static uint64_t
-death_spreads (net_t *net, size_t hosts)
+death_spread_ms (net_t *net, size_t hosts)
 {
   el_time_t began = net->now;
-  size_t wrong = 1;
+  size_t stale = 1;
   size_t i;
 
   net->hosts[1].down = 1;
-  while (wrong && net->now < began + LIMIT)
+  while (stale && net->now < began + TIME_LIMIT)
     {
       net_run (net, net->now + STEP);
-      wrong = 0;
+      stale = 0;
       for (i = 0; i < hosts; i++)
-        wrong += !net->hosts[i].down
+        stale += !net->hosts[i].down
                  && net_sees (net, i, CO_MBR_ALIVE) > hosts - 1;
     }
   return (net->now - began) / EL_MSEC;
@@ -138,35 +139,37 @@
   double cpu;
 
   net->size = gossip_size;
-  net_run (net, net->now + SETTLE);
-  totals (net, &sent[0], &bytes[0]);
+  net_run (net, net->now + SETTLE_TIME);
+  sum_traffic (net, &sent[0], &bytes[0]);
   cpu = cpu_seconds ();
-  net_run (net, net->now + SPAN);
+  net_run (net, net->now + MEASURE_TIME);
   cpu = cpu_seconds () - cpu;
-  totals (net, &sent[1], &bytes[1]);
+  sum_traffic (net, &sent[1], &bytes[1]);
   heap = bench_heap () - heap;
-  change_ms = change_spreads (net);
-  death_ms = death_spreads (net, hosts);
-  totals (net, &news_sent, &news_bytes);
-  printf (
-      "bench=members objects=library hosts=%zu halls=%zu "
-      "messages_per_s_host=%.1f bytes_per_s_host=%.0f "
-      "cpu_us_per_s_host=%.0f bytes_of_memory_host=%zu change_ms=%llu "
-      "dead_out_ms=%llu\n",
-      hosts, halls,
-      (double)(sent[1] - sent[0]) / (double)hosts / ((double)SPAN / EL_SEC),
-      (double)(bytes[1] - bytes[0]) / (double)hosts / ((double)SPAN / EL_SEC),
-      cpu * 1e6 / (double)hosts / ((double)SPAN / EL_SEC), heap / hosts,
-      (unsigned long long)change_ms, (unsigned long long)death_ms);
+  change_ms = change_spread_ms (net);
+  death_ms = death_spread_ms (net, hosts);
+  sum_traffic (net, &news_sent, &news_bytes);
+  printf ("bench=members objects=library hosts=%zu halls=%zu "
+          "messages_per_s_host=%.1f bytes_per_s_host=%.0f "
+          "cpu_us_per_s_host=%.0f bytes_of_memory_host=%zu change_ms=%llu "
+          "dead_out_ms=%llu\n",
+          hosts, halls,
+          (double)(sent[1] - sent[0]) / (double)hosts
+              / ((double)MEASURE_TIME / EL_SEC),
+          (double)(bytes[1] - bytes[0]) / (double)hosts
+              / ((double)MEASURE_TIME / EL_SEC),
+          cpu * 1e6 / (double)hosts / ((double)MEASURE_TIME / EL_SEC),
+          heap / hosts, (unsigned long long)change_ms,
+          (unsigned long long)death_ms);
   net_free (net);
 }
 
-/* How soon all hosts know a rumor, over seeds. */
+/* Time for a rumor to reach all hosts, over several seeds. */
 static void
 measure_rumor (size_t hosts, double loss)
 {
   el_time_t half = 0;
-  el_time_t most = 0;
+  el_time_t max = 0;
   uint64_t bytes = 0;
   uint64_t seed;
   size_t i;
@@ -181,7 +184,7 @@
       rumor_net_run (net, began + 5 * EL_SEC);
       half += rumor_net_quantile (net, 0.5) - began;
       last = rumor_net_quantile (net, 1) - began;
-      most = last > most ? last : most;
+      max = last > max ? last : max;
       for (i = 0; i < hosts; i++)
         bytes += net->hosts[i].bytes;
       rumor_net_free (net);
@@ -189,8 +192,8 @@
   printf ("bench=rumor objects=library hosts=%zu loss=%.2f p50_ms=%.1f "
           "most_ms=%.1f bodies_sent_host=%.1f\n",
           hosts, loss, (double)half / RUMOR_SEEDS / (double)EL_MSEC,
-          (double)most / (double)EL_MSEC,
-          (double)bytes / (double)hosts / RUMOR_SEEDS / RUMOR_BODY);
+          (double)max / (double)EL_MSEC,
+          (double)bytes / (double)hosts / RUMOR_SEEDS / RUMOR_BODY_BYTES);
 }
 
 int
--- a/bench/bench_rest.c
+++ b/bench/bench_rest.c
@@ -3,10 +3,11 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Ways to take it that endpoints ask for rest, on the same seeds: many hosts
- * that each choose by the fleet's own code, endpoints that turn requests away
- * because they are full, or whether they are or not. Arithmetic endpoints in
- * steps of a millisecond; nothing here reads a clock but to time the runs.
+ * Compares strategies for reacting to endpoints that ask for back-off, on the
+ * same seeds. Many hosts each choose endpoints with the code of rt_fleet;
+ * endpoints reject requests because they are full or because a fault is
+ * injected. Endpoints are simulated in steps of a millisecond, in simulated
+ * time.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -19,59 +20,59 @@
 #define SEEDS_LARGE 2
 #define HOSTS_LARGE 300
 #define STEP EL_MSEC
-#define LENGTH (24 * EL_SEC)
-#define HOSTS_MOST 570
+#define SIM_TIME (24 * EL_SEC)
+#define HOSTS_MAX 570
 #define ENDPOINTS_MAX 64
 #define SENDS_MAX 4
-/* A stream that was taken begins to be answered after this. */
-#define ANSWER (50 * EL_MSEC)
-/* A news passes from one host to all in about this. */
-#define NEWS (20 * EL_MSEC)
-#define ASKED (3 * EL_SEC)
+/* Delay until an accepted stream starts to be answered. */
+#define FIRST_EVENT_DELAY (50 * EL_MSEC)
+/* Approximate time for a gossip message to reach all hosts. */
+#define GOSSIP_DELAY (20 * EL_MSEC)
+#define BACKOFF_TIME (3 * EL_SEC)
 #define FAULT_FROM (5 * EL_SEC)
-#define FAULT_LASTS (9 * EL_SEC)
+#define FAULT_TIME (9 * EL_SEC)
 #define SERVICE EL_STR ("s")
 #define HALL EL_STR ("h")
 
-typedef struct way
+typedef struct strategy
 {
   const char *name;
-  int rests;  /* the time asked for is kept to */
-  int spread; /* hosts come back one after another */
-  int trial;  /* one request of a host goes first */
-  int told;   /* other hosts set the endpoint aside, too */
-  int limit;  /* a host sends it half as much as before at first */
-} way_t;
-
-static const way_t ways[] = {
+  int backs_off; /* hosts wait for the requested time */
+  int jitter;    /* hosts return at different times */
+  int trial;     /* each host sends one trial request first */
+  int gossip;    /* other hosts avoid the endpoint, too */
+  int halve;     /* at first a host sends it half of its previous load */
+} strategy_t;
+
+static const strategy_t strategies[] = {
   { .name = "aside-100ms" },
-  { .name = "rest", .rests = 1 },
-  { .name = "rest-spread", .rests = 1, .spread = 1 },
-  { .name = "rest-first", .rests = 1, .trial = 1 },
-  { .name = "rest-spread-first", .rests = 1, .spread = 1, .trial = 1 },
+  { .name = "rest", .backs_off = 1 },
+  { .name = "rest-spread", .backs_off = 1, .jitter = 1 },
+  { .name = "rest-first", .backs_off = 1, .trial = 1 },
+  { .name = "rest-spread-first", .backs_off = 1, .jitter = 1, .trial = 1 },
   { .name = "rest-spread-first-told",
-    .rests = 1,
-    .spread = 1,
+    .backs_off = 1,
+    .jitter = 1,
     .trial = 1,
-    .told = 1 },
+    .gossip = 1 },
   { .name = "rest-spread-first-limit",
-    .rests = 1,
-    .spread = 1,
+    .backs_off = 1,
+    .jitter = 1,
     .trial = 1,
-    .limit = 1 },
+    .halve = 1 },
 };
 
-/* What an endpoint does in the fault. */
+/* Behaviour of the endpoints during the fault. */
 typedef enum shed
 {
-  SHED_ALL,  /* one after another turns all away */
-  SHED_SOME, /* half of them turn four in ten away */
-  SHED_MOST, /* all but one turn all away */
-  SHED_FULL, /* none; more requests come than there is room for */
-  SHEDS
+  SHED_IN_TURN,     /* one endpoint after another rejects all */
+  SHED_HALF,        /* half of them reject 40 % */
+  SHED_ALL_BUT_ONE, /* all but one reject all */
+  SHED_BURST,       /* no injected rejections, but more load than capacity */
+  SHED_COUNT
 } shed_t;
 
-static const char *const sheds[SHEDS]
+static const char *const shed_names[SHED_COUNT]
     = { "one-after-another", "half-some", "all-but-one", "burst" };
 
 static const struct
@@ -81,8 +82,8 @@
   unsigned endpoints;
   unsigned slots;
   unsigned queue; /* requests that may wait for a slot */
-  el_time_t runs; /* mean */
-  double load;    /* share of the slots in use */
+  el_time_t runs; /* mean duration of a request */
+  double load;    /* fraction of the slots in use */
 } sites[] = {
   { "plain", 7, 3, 6, 24, 20 * EL_MSEC, 0.5 },
   { "small", 7, 5, 192, 96, 2 * EL_SEC, 0.5 },
@@ -103,65 +104,67 @@
 {
   run_t *running;
   unsigned n;
-  el_time_t asked[HOSTS_MOST]; /* each host's rest, as the endpoint counts */
+  el_time_t backoff_until[HOSTS_MAX]; /* end of the back-off for each host, as
+                                         the endpoint counts it */
 } endpoint_t;
 
-typedef struct figures
+typedef struct results
 {
   uint64_t requests;
   uint64_t sends;
-  uint64_t away;    /* turned away */
-  uint64_t in_rest; /* of these, in a rest */
+  uint64_t rejected; /* sends rejected */
+  uint64_t in_rest;  /* of these, sent during back-off */
   uint64_t rests;
-  uint64_t refused; /* requests */
-  uint64_t peak;    /* most that one endpoint got in 50 ms, against its slots,
-                       percent */
-  uint64_t worst;   /* least served of a second's requests, percent */
-} figures_t;
+  uint64_t refused; /* requests that no endpoint accepted */
+  uint64_t peak;    /* most sends to an endpoint in 50 ms, percent of slots */
+  uint64_t worst;   /* lowest share served in a second, percent */
+} results_t;
 
 typedef struct sim
 {
-  const way_t *way;
+  const strategy_t *strategy;
   unsigned site;
   shed_t shed;
   uint64_t random;
   el_time_t now;
-  rt_fleet_t *fleets[HOSTS_MOST];
-  rt_target_t *targets[HOSTS_MOST][ENDPOINTS_MAX];
-  double limits[HOSTS_MOST][ENDPOINTS_MAX]; /* 0: none */
+  rt_fleet_t *fleets[HOSTS_MAX];
+  rt_target_t *targets[HOSTS_MAX][ENDPOINTS_MAX];
+  double limits[HOSTS_MAX][ENDPOINTS_MAX]; /* in flight; 0: no limit */
   endpoint_t endpoints[ENDPOINTS_MAX];
-  unsigned lately[ENDPOINTS_MAX];
-  figures_t f;
-  uint64_t second_asked;
+  unsigned recent_sends[ENDPOINTS_MAX];
+  results_t f;
+  uint64_t second_requests;
   uint64_t second_served;
 } sim_t;
 
 static double
-draw (sim_t *sim)
+random_fraction (sim_t *sim)
 {
   return (double)(el_random (&sim->random) % 1000000) / 1000000;
 }
 
-/* A sum of three draws of the same mean: most runs are near it. */
+/* The sum of three random numbers keeps most durations close to the mean. */
 static el_time_t
-run_draw (sim_t *sim)
+random_duration (sim_t *sim)
 {
   return (el_time_t)((double)sites[sim->site].runs
-                     * (draw (sim) + draw (sim) + draw (sim)) / 1.5);
+                     * (random_fraction (sim) + random_fraction (sim)
+                        + random_fraction (sim))
+                     / 1.5);
 }
 
 static int
 in_fault (const sim_t *sim)
 {
-  return sim->now >= FAULT_FROM && sim->now < FAULT_FROM + FAULT_LASTS;
+  return sim->now >= FAULT_FROM && sim->now < FAULT_FROM + FAULT_TIME;
 }
 
-/* Whether endpoint I turns a request away. */
+/* Whether endpoint I rejects a request. */
 static int
-turns_away (sim_t *sim, unsigned i)
+endpoint_rejects (sim_t *sim, unsigned i)
 {
   unsigned n = sites[sim->site].endpoints;
-  unsigned turn = (unsigned)((sim->now - FAULT_FROM) / (FAULT_LASTS / 3));
+  unsigned turn = (unsigned)((sim->now - FAULT_FROM) / (FAULT_TIME / 3));
 
   if (sim->endpoints[i].n >= sites[sim->site].slots + sites[sim->site].queue)
     return 1;
@@ -169,11 +172,11 @@
     return 0;
   switch (sim->shed)
     {
-    case SHED_ALL:
+    case SHED_IN_TURN:
       return i == turn % n;
-    case SHED_SOME:
-      return i < (n + 1) / 2 && draw (sim) < 0.4;
-    case SHED_MOST:
+    case SHED_HALF:
+      return i < (n + 1) / 2 && random_fraction (sim) < 0.4;
+    case SHED_ALL_BUT_ONE:
       return i > 0;
     default:
       return 0;
@@ -181,7 +184,7 @@
 }
 
 static void
-endpoint_takes (sim_t *sim, unsigned host, unsigned i)
+endpoint_accept (sim_t *sim, unsigned host, unsigned i)
 {
   endpoint_t *endpoint = &sim->endpoints[i];
   unsigned slots = sites[sim->site].slots;
@@ -189,36 +192,39 @@
 
   run->host = host;
   run->began = sim->now;
-  run->end = sim->now + run_draw (sim) * (endpoint->n / slots + 1);
+  run->end = sim->now + random_duration (sim) * (endpoint->n / slots + 1);
   run->next = endpoint->running;
   endpoint->running = run;
   endpoint->n++;
 }
 
-/* The host hears that it was turned away. */
+/* Handles a rejection at HOST. */
 static void
-host_hears (sim_t *sim, unsigned host, unsigned i)
+host_handle_rejection (sim_t *sim, unsigned host, unsigned i)
 {
-  const way_t *way = sim->way;
+  const strategy_t *strategy = sim->strategy;
   rt_target_t *target = sim->targets[host][i];
   unsigned other;
 
   rt_target_busy (target, sim->now);
-  if (!way->rests)
+  if (!strategy->backs_off)
     return;
-  sim->f.rests += rt_avail_rest (&target->avail, sim->now, ASKED,
-                                 way->spread ? el_random (&sim->random) : 0);
-  if (!way->trial)
+  sim->f.rests
+      += rt_avail_rest (&target->avail, sim->now, BACKOFF_TIME,
+                        strategy->jitter ? el_random (&sim->random) : 0);
+  if (!strategy->trial)
     target->avail.trial = 0;
-  if (way->limit)
+  if (strategy->halve)
     sim->limits[host][i] = target->running > 1 ? target->running / 2.0 : 1;
-  for (other = 0; way->told && other < sites[sim->site].hosts; other++)
-    rt_avail_busy (&sim->targets[other][i]->avail, sim->now, NEWS + ASKED / 3);
+  for (other = 0; strategy->gossip && other < sites[sim->site].hosts; other++)
+    rt_avail_busy (&sim->targets[other][i]->avail, sim->now,
+                   GOSSIP_DELAY + BACKOFF_TIME / 3);
 }
 
-/* Send to the endpoint that HOST chooses; gives 0 when there is none. */
+/* Sends to the endpoint that HOST picks; returns 1 if the request may be sent
+   again, 0 if it was accepted or no endpoint is left. */
 static int
-host_sends (sim_t *sim, unsigned host, rt_tried_t *tried, int *served)
+host_send (sim_t *sim, unsigned host, rt_tried_t *tried, int *served)
 {
   rt_target_t *target
       = rt_fleet_pick (sim->fleets[host], sim->now, SERVICE, HALL, tried);
@@ -236,27 +242,27 @@
   endpoint = &sim->endpoints[i];
   rt_avail_sent (&target->avail, sim->now);
   sim->f.sends++;
-  sim->lately[i]++;
-  if (!turns_away (sim, i))
+  sim->recent_sends[i]++;
+  if (!endpoint_rejects (sim, i))
     {
-      endpoint_takes (sim, host, i);
+      endpoint_accept (sim, host, i);
       target->running++;
       if (sim->limits[host][i] > 0)
         sim->limits[host][i] += 0.1;
       *served = 1;
       return 0;
     }
-  sim->f.away++;
-  sim->f.in_rest += sim->now < endpoint->asked[host];
-  if (sim->now >= endpoint->asked[host])
-    endpoint->asked[host] = sim->now + ASKED;
-  host_hears (sim, host, i);
+  sim->f.rejected++;
+  sim->f.in_rest += sim->now < endpoint->backoff_until[host];
+  if (sim->now >= endpoint->backoff_until[host])
+    endpoint->backoff_until[host] = sim->now + BACKOFF_TIME;
+  host_handle_rejection (sim, host, i);
   rt_tried_add (tried, target);
   return 1;
 }
 
 static void
-request (sim_t *sim)
+sim_request (sim_t *sim)
 {
   unsigned host
       = (unsigned)(el_random (&sim->random) % sites[sim->site].hosts);
@@ -265,18 +271,19 @@
   int served = 0;
 
   while (sim->f.sends < before + SENDS_MAX
-         && host_sends (sim, host, &tried, &served))
+         && host_send (sim, host, &tried, &served))
     ;
   sim->f.requests++;
   sim->f.refused += !served;
-  sim->second_asked++;
+  sim->second_requests++;
   sim->second_served += (uint64_t)served;
 }
 
 static void
-run_answers (sim_t *sim, run_t *run, unsigned i)
+run_answer (sim_t *sim, run_t *run, unsigned i)
 {
-  if (run->answered || (sim->now < run->began + ANSWER && sim->now < run->end))
+  if (run->answered
+      || (sim->now < run->began + FIRST_EVENT_DELAY && sim->now < run->end))
     return;
   run->answered = 1;
   rt_avail_answered (&sim->targets[run->host][i]->avail);
@@ -293,7 +300,7 @@
     {
       rt_target_t *target = sim->targets[run->host][i];
 
-      run_answers (sim, run, i);
+      run_answer (sim, run, i);
       if (run->end > sim->now)
         {
           at = &run->next;
@@ -308,33 +315,35 @@
 }
 
 static void
-peaks_look (sim_t *sim)
+update_peak (sim_t *sim)
 {
   unsigned i;
 
   for (i = 0; i < sites[sim->site].endpoints; i++)
     {
-      uint64_t part = 100ULL * sim->lately[i] / sites[sim->site].slots;
+      uint64_t percent
+          = 100ULL * sim->recent_sends[i] / sites[sim->site].slots;
 
-      if (sim->now > FAULT_FROM && part > sim->f.peak)
-        sim->f.peak = part;
-      sim->lately[i] = 0;
+      if (sim->now > FAULT_FROM && percent > sim->f.peak)
+        sim->f.peak = percent;
+      sim->recent_sends[i] = 0;
     }
 }
 
 static void
-second_look (sim_t *sim)
+update_worst (sim_t *sim)
 {
-  uint64_t part
-      = sim->second_asked ? 100 * sim->second_served / sim->second_asked : 100;
+  uint64_t percent = sim->second_requests
+                         ? 100 * sim->second_served / sim->second_requests
+                         : 100;
 
-  if (sim->now > EL_SEC && part < sim->f.worst)
-    sim->f.worst = part;
-  sim->second_asked = sim->second_served = 0;
+  if (sim->now > EL_SEC && percent < sim->f.worst)
+    sim->f.worst = percent;
+  sim->second_requests = sim->second_served = 0;
 }
 
 static void
-sim_open (sim_t *sim)
+sim_init (sim_t *sim)
 {
   char id[16];
   unsigned h;
@@ -358,7 +367,7 @@
 }
 
 static void
-sim_close (sim_t *sim)
+sim_free (sim_t *sim)
 {
   unsigned i;
 
@@ -369,75 +378,76 @@
     rt_fleet_free (sim->fleets[i]);
 }
 
-/* Requests that come in a step, on the mean. */
+/* Mean number of requests that arrive in a step. */
 static double
-rate (const sim_t *sim)
+arrivals_per_step (const sim_t *sim)
 {
   double slots = (double)sites[sim->site].endpoints * sites[sim->site].slots;
   double load = sites[sim->site].load;
 
-  if (sim->shed == SHED_FULL && in_fault (sim))
+  if (sim->shed == SHED_BURST && in_fault (sim))
     load *= 2.4;
   return load * slots / (double)sites[sim->site].runs * (double)STEP;
 }
 
 static void
-sim_play (const way_t *way, unsigned site, shed_t shed, uint64_t seed,
-          figures_t *sum)
+sim_run (const strategy_t *strategy, unsigned site, shed_t shed, uint64_t seed,
+         results_t *sum)
 {
   sim_t *sim = el_alloc (sizeof *sim);
   double due = 0;
-  unsigned come;
+  unsigned arrivals;
   unsigned i;
 
-  sim->way = way;
+  sim->strategy = strategy;
   sim->site = site;
   sim->shed = shed;
   sim->random = seed * 2 + 1;
   sim->f.worst = 100;
-  sim_open (sim);
-  for (sim->now = EL_MSEC; sim->now < LENGTH; sim->now += STEP)
+  sim_init (sim);
+  for (sim->now = EL_MSEC; sim->now < SIM_TIME; sim->now += STEP)
     {
       for (i = 0; i < sites[site].endpoints; i++)
         endpoint_step (sim, i);
-      due += rate (sim) * 2 * draw (sim);
-      come = (unsigned)due;
-      due -= come;
-      while (come--)
-        request (sim);
+      due += arrivals_per_step (sim) * 2 * random_fraction (sim);
+      arrivals = (unsigned)due;
+      due -= arrivals;
+      while (arrivals--)
+        sim_request (sim);
       if (sim->now % (50 * EL_MSEC) == 0)
-        peaks_look (sim);
+        update_peak (sim);
       if (sim->now % EL_SEC == 0)
-        second_look (sim);
+        update_worst (sim);
     }
   sum->requests += sim->f.requests;
   sum->sends += sim->f.sends;
-  sum->away += sim->f.away;
+  sum->rejected += sim->f.rejected;
   sum->in_rest += sim->f.in_rest;
   sum->rests += sim->f.rests;
   sum->refused += sim->f.refused;
   sum->peak += sim->f.peak;
   sum->worst += sim->f.worst;
-  sim_close (sim);
+  sim_free (sim);
   free (sim);
 }
 
 static void
-measure (const way_t *way, unsigned site, shed_t shed)
+measure (const strategy_t *strategy, unsigned site, shed_t shed)
 {
   unsigned seeds = sites[site].hosts < HOSTS_LARGE ? SEEDS : SEEDS_LARGE;
   uint64_t began = bench_ns ();
-  figures_t f = { 0 };
+  results_t f = { 0 };
   uint64_t seed;
 
   for (seed = 0; seed < seeds; seed++)
-    sim_play (way, site, shed, seed, &f);
+    sim_run (strategy, site, shed, seed, &f);
   printf ("bench=rest site=%s shed=%s way=%s requests=%.0f away_percent=%.2f "
           "in_rest=%.1f rests=%.0f refused_percent=%.2f peak_percent=%.0f "
           "worst_second_percent=%.0f ns_per_send=%.0f\n",
-          sites[site].name, sheds[shed], way->name, (double)f.requests / seeds,
-          100.0 * (double)f.away / (double)f.sends, (double)f.in_rest / seeds,
-          (double)f.rests / seeds,
+          sites[site].name, shed_names[shed], strategy->name,
+          (double)f.requests / seeds,
+          100.0 * (double)f.rejected / (double)f.sends,
+          (double)f.in_rest / seeds, (double)f.rests / seeds,
           100.0 * (double)f.refused / (double)f.requests,
           (double)f.peak / seeds, (double)f.worst / seeds,
           (double)(bench_ns () - began) / (double)f.sends);
@@ -449,12 +459,13 @@
 {
   unsigned site;
   unsigned shed;
-  unsigned way;
+  unsigned strategy;
 
   for (site = 0; site < sizeof sites / sizeof *sites; site++)
-    for (shed = 0; shed < SHEDS; shed++)
-      for (way = 0; way < sizeof ways / sizeof *ways; way++)
+    for (shed = 0; shed < SHED_COUNT; shed++)
+      for (strategy = 0; strategy < sizeof strategies / sizeof *strategies;
+           strategy++)
         if (argc < 2 || strcmp (argv[1], sites[site].name) == 0)
-          measure (&ways[way], site, (shed_t)shed);
+          measure (&strategies[strategy], site, (shed_t)shed);
   return EXIT_SUCCESS;
 }
--- a/bench/bench_route.c
+++ b/bench/bench_route.c
@@ -3,9 +3,9 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Throughput of the choice of route against the bound that the engines allow:
- * the daemon's own router before arithmetic engines. Round robin, least
- * requests and random choose among the same pipelines in the same run.
+ * Throughput of the router relative to the capacity of the engines. Runs the
+ * router of elmarchd with simulated engines, and round robin, least requests
+ * and random choice on the same pipelines for comparison.
  */
 #include <inttypes.h>
 #include <stdlib.h>
@@ -16,20 +16,20 @@
 
 #define STAGES 4
 #define LAYERS 32
-#define KINDS 8
-#define SLOTS 8 /* steps that an engine runs at once */
+#define ENGINE_KINDS 8
+#define SLOTS 8 /* steps that an engine runs concurrently */
 #define STEP_FASTEST (8 * EL_MSEC)
-#define LINK (1 * EL_MSEC)
+#define LINK_DELAY (1 * EL_MSEC)
 #define TOKENS_MEAN 64
-#define WARM (12 * EL_SEC)
-#define SPAN (8 * EL_SEC)
+#define WARM_UP_TIME (12 * EL_SEC)
+#define MEASURE_TIME (8 * EL_SEC)
 #define NAME_MAX_BYTES 32
 #define OVERLOAD 1.5
 #define DEADLINE (60 * EL_SEC)
 
 typedef struct sim sim_t;
 
-/* A call at an engine. */
+/* A call that is running or queued at an engine. */
 typedef struct job
 {
   el_timer_t timer;
@@ -51,12 +51,12 @@
 typedef struct stream
 {
   el_time_t arrived;
-  el_time_t last; /* token */
-  unsigned line;
-  uint64_t tokens; /* that it asks for */
+  el_time_t last_token; /* time of the last token */
+  unsigned pipeline;
+  uint64_t tokens; /* number of tokens requested */
 } stream_t;
 
-/* How a line is chosen; NULL leaves it to the router. */
+/* How a pipeline is chosen; NULL: by the router. */
 typedef struct policy
 {
   const char *name;
@@ -72,12 +72,12 @@
   el_time_t now;
   uint64_t rng;
   engine_t *engines;
-  unsigned nlines;
-  unsigned *running; /* streams of each line */
-  unsigned turn;
+  unsigned npipelines;
+  unsigned *running; /* streams of each pipeline */
+  unsigned next_pipeline;
   stream_t *streams;
   uint64_t nstreams;
-  double rate; /* requests a second */
+  double rate; /* requests per second */
   int measuring;
   uint64_t tokens;
   uint64_t refused;
@@ -85,13 +85,13 @@
   el_hist_t between;
 };
 
-static unsigned choose_turn (sim_t *);
+static unsigned choose_round_robin (sim_t *);
 static unsigned choose_least (sim_t *);
 static unsigned choose_random (sim_t *);
 
 static const policy_t policies[] = {
   { "elmarch", NULL },
-  { "round-robin", choose_turn },
+  { "round-robin", choose_round_robin },
   { "least-requests", choose_least },
   { "random", choose_random },
 };
@@ -104,9 +104,9 @@
 }
 
 static unsigned
-choose_turn (sim_t *sim)
+choose_round_robin (sim_t *sim)
 {
-  return sim->turn++ % sim->nlines;
+  return sim->next_pipeline++ % sim->npipelines;
 }
 
 static unsigned
@@ -115,7 +115,7 @@
   unsigned best = 0;
   unsigned i;
 
-  for (i = 1; i < sim->nlines; i++)
+  for (i = 1; i < sim->npipelines; i++)
     if (sim->running[i] < sim->running[best])
       best = i;
   return best;
@@ -124,7 +124,7 @@
 static unsigned
 choose_random (sim_t *sim)
 {
-  return (unsigned)(sim_random (sim) % sim->nlines);
+  return (unsigned)(sim_random (sim) % sim->npipelines);
 }
 
 static void
@@ -172,7 +172,7 @@
     {
       engine->busy++;
       el_timers_set (&sim->timers, &job->timer,
-                     sim->now + LINK + engine->step);
+                     sim->now + LINK_DELAY + engine->step);
       return;
     }
   *engine->tail = job;
@@ -187,12 +187,12 @@
   if (sim->measuring)
     {
       sim->tokens++;
-      if (stream->last)
-        el_hist_add (&sim->between, sim->now - stream->last);
+      if (stream->last_token)
+        el_hist_add (&sim->between, sim->now - stream->last_token);
       else
         el_hist_add (&sim->first, sim->now - stream->arrived);
     }
-  stream->last = sim->now;
+  stream->last_token = sim->now;
 }
 
 static void
@@ -206,7 +206,7 @@
     act_token (sim, action);
   else if (action->kind == RT_ACT_END)
     {
-      sim->running[sim->streams[action->stream].line]--;
+      sim->running[sim->streams[action->stream].pipeline]--;
       sim->refused += sim->measuring && action->verdict == EL_NOT_RUN;
     }
 }
@@ -230,10 +230,10 @@
   stream->tokens = 1 + sim_random (sim) % (2 * TOKENS_MEAN - 1);
   if (sim->policy->choose)
     {
-      stream->line = sim->policy->choose (sim);
-      snprintf (target, sizeof target, "m%u", stream->line);
+      stream->pipeline = sim->policy->choose (sim);
+      snprintf (target, sizeof target, "m%u", stream->pipeline);
     }
-  sim->running[stream->line]++;
+  sim->running[stream->pipeline]++;
   event.stream = sim->nstreams++;
   event.target = el_str (target);
   event.max_tokens = stream->tokens;
@@ -262,19 +262,20 @@
   json_decref (spec);
 }
 
-/* A line's engines are of one kind, its weight is its rate. Each line is a
-   deployment of its own, too, for those who choose lines themselves. */
+/* All engines of a pipeline are of the same kind, and its weight follows from
+   their speed. Each pipeline is also a deployment of its own, for the policies
+   that choose a pipeline themselves. */
 static double
-declare_line (sim_t *sim, unsigned line)
+declare_pipeline (sim_t *sim, unsigned pipeline)
 {
-  unsigned kind = 1 + (unsigned)(line * 5 % KINDS);
+  unsigned kind = 1 + (unsigned)(pipeline * 5 % ENGINE_KINDS);
   char name[NAME_MAX_BYTES];
   json_t *stages = json_array ();
   unsigned i;
 
   for (i = 0; i < STAGES; i++)
     {
-      unsigned at = line * STAGES + i;
+      unsigned at = pipeline * STAGES + i;
 
       snprintf (name, sizeof name, "e%u", at);
       sim->engines[at].step = STEP_FASTEST * kind;
@@ -287,12 +288,12 @@
                              (int)i * LAYERS / STAGES, "last",
                              ((int)i + 1) * LAYERS / STAGES - 1));
     }
-  snprintf (name, sizeof name, "m%u", line);
+  snprintf (name, sizeof name, "m%u", pipeline);
   declare (sim, CO_DEPLOYMENT, name,
            json_pack ("{s:s,s:i}", "model", name, "layers", LAYERS));
   declare (sim, CO_PIPELINE, name,
            json_pack ("{s:s,s:O}", "deployment", name, "stages", stages));
-  snprintf (name, sizeof name, "p%u", line);
+  snprintf (name, sizeof name, "p%u", pipeline);
   declare (sim, CO_PIPELINE, name,
            json_pack ("{s:s,s:i,s:o}", "deployment", "m", "weight",
                       (int)(840 / kind), "stages", stages));
@@ -322,13 +323,13 @@
 }
 
 static void
-measure (const policy_t *policy, unsigned lines, double load)
+measure (const policy_t *policy, unsigned pipelines, double load)
 {
   sim_t *sim = el_alloc (sizeof *sim);
   rt_options_t options
       = { .seed = 1,
-          .max_active = (size_t)lines * SLOTS * STAGES * 3 / 2,
-          .max_queue = (size_t)lines * SLOTS,
+          .max_active = (size_t)pipelines * SLOTS * STAGES * 3 / 2,
+          .max_queue = (size_t)pipelines * SLOTS,
           .call_limit = DEADLINE,
           .leave_hold = EL_SEC,
           .act = sim_act,
@@ -337,11 +338,11 @@
   unsigned i;
 
   sim->policy = policy;
-  sim->nlines = lines;
+  sim->npipelines = pipelines;
   sim->now = 1;
   sim->rng = 7;
-  sim->engines = el_alloc (lines * STAGES * sizeof *sim->engines);
-  sim->running = el_alloc (lines * sizeof *sim->running);
+  sim->engines = el_alloc (pipelines * STAGES * sizeof *sim->engines);
+  sim->running = el_alloc (pipelines * sizeof *sim->running);
   sim->router = rt_router_new (&options);
   declare (sim, CO_DEPLOYMENT, "m",
            json_pack ("{s:s,s:i}", "model", "m", "layers", LAYERS));
@@ -350,22 +351,22 @@
                       "00000000000000000000000000000000"
                       "00000000000000000000000000000000",
                       "maxInFlight", 1000000));
-  for (i = 0; i < lines; i++)
-    bound += declare_line (sim, i);
+  for (i = 0; i < pipelines; i++)
+    bound += declare_pipeline (sim, i);
   sim->rate = bound / TOKENS_MEAN * load;
   sim->arrival.cb = arrive;
   sim->arrival.arg = sim;
   el_timers_set (&sim->timers, &sim->arrival, 1);
-  sim_run (sim, WARM);
+  sim_run (sim, WARM_UP_TIME);
   sim->measuring = 1;
-  sim_run (sim, WARM + SPAN);
+  sim_run (sim, WARM_UP_TIME + MEASURE_TIME);
   printf ("bench=route policy=%s workers=%u load=%.1f bound_tokens_per_s=%.0f "
           "tokens_per_s=%.0f ratio=%.3f refused=%" PRIu64
           " first_token_ms=%" PRIu64 "/%" PRIu64 "/%" PRIu64
           " between_tokens_ms=%" PRIu64 "/%" PRIu64 "/%" PRIu64 "\n",
-          policy->name, lines * STAGES, load, bound,
-          (double)sim->tokens * EL_SEC / SPAN,
-          (double)sim->tokens * EL_SEC / SPAN / bound, sim->refused,
+          policy->name, pipelines * STAGES, load, bound,
+          (double)sim->tokens * EL_SEC / MEASURE_TIME,
+          (double)sim->tokens * EL_SEC / MEASURE_TIME / bound, sim->refused,
           el_hist_quantile (&sim->first, 0.5) / EL_MSEC,
           el_hist_quantile (&sim->first, 0.95) / EL_MSEC,
           el_hist_quantile (&sim->first, 0.99) / EL_MSEC,
@@ -377,15 +378,15 @@
 int
 main (void)
 {
-  static const unsigned lines[] = { 10, 100 };
+  static const unsigned pipelines[] = { 10, 100 };
   size_t size;
   size_t i;
 
   for (size = 0; size < 2; size++)
     for (i = 0; i < sizeof policies / sizeof *policies; i++)
       {
-        measure (&policies[i], lines[size], 0.8);
-        measure (&policies[i], lines[size], OVERLOAD);
+        measure (&policies[i], pipelines[size], 0.8);
+        measure (&policies[i], pipelines[size], OVERLOAD);
       }
   return EXIT_SUCCESS;
 }
--- a/standin/rest.h
+++ b/standin/rest.h
@@ -6,8 +6,8 @@
  * Back-off: a member rejects calls and asks hosts to back off, or announces
  * that it is leaving, and counts the calls that arrive nevertheless.
  */
-#ifndef ELMARCH_STANDIN_REST_H
-#define ELMARCH_STANDIN_REST_H
+#ifndef ELMARCH_STANDIN_BACKOFF_H
+#define ELMARCH_STANDIN_BACKOFF_H
 
 #include "standin.h"
 
--- a/tools/deps.sh
+++ b/tools/deps.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Install what building and testing need, where it is missing.
+# Installs the packages that are missing for building and testing.
 set -eu
 want="gcc make libuv1-dev libh2o-dev libhttp-parser-dev libcurl4-openssl-dev libtirpc-dev
 libpopt-dev liblog4c-dev libjansson-dev libxxhash-dev libssl-dev uthash-dev
--- a/tools/licence.sh
+++ b/tools/licence.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Put the licence line at the head of each source file that lacks it; with
-# --check only say which does.
+# Adds the licence header to each source file that lacks it. With --check,
+# reports the first file that lacks it and exits with status 1.
 set -eu
 for f in $(git ls-files -co --exclude-standard '*.c' '*.h' '*.x'); do
   case $f in peer/peer_xdr.c | peer/peer_proto.h) continue ;; esac
--- a/tools/record.sh
+++ b/tools/record.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
-# Record the traces that tests/replay holds: tools/record.sh BIN OUT-DIR.
-# Each scenario runs one host against the stand-ins with a fault, and keeps
-# what the host's router was told and what it decided.
+# Records the traces in tests/replay. Usage: tools/record.sh BIN OUT-DIR
+# Each scenario runs one host against stand-ins, mostly with an injected fault,
+# and saves the events that the host's router received and its decisions.
 set -eu
 bin=$1
 out=$2
--- a/tools/tidy.sh
+++ b/tools/tidy.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Run clang-tidy: tidy.sh FLAG... FILE...
+# Runs clang-tidy. Usage: tidy.sh FLAG... FILE...
 flags=
 files=
 take=
