--- a/bench/bench_gate.c
+++ b/bench/bench_gate.c
@@ -37,13 +37,13 @@
   char bearer[256];
   long pid;
   net_header_t headers[1];
-  unsigned left;
+  unsigned remaining;
   unsigned running;
   unsigned failed;
   int ended;
   el_buf_t body;
   int status;
-  el_hist_t *times;
+  el_hist_t *latencies;
 } bench_t;
 
 typedef struct load_request
@@ -253,7 +253,7 @@
   load_request_t *load_request = arg;
   bench_t *bench = load_request->bench;
 
-  el_hist_add (bench->times, (bench_ns () - load_request->began) / 1000);
+  el_hist_add (bench->latencies, (bench_ns () - load_request->began) / 1000);
   if (result->net != NET_OK || result->status != 200)
     bench->failed++;
   bench->running--;
@@ -267,9 +267,9 @@
   net_send_t next = *send;
   load_request_t *load_request;
 
-  if (!bench->left)
+  if (!bench->remaining)
     return;
-  bench->left--;
+  bench->remaining--;
   bench->running++;
   load_request = el_alloc (sizeof *load_request);
   load_request->bench = bench;
@@ -296,9 +296,9 @@
   double seconds;
   unsigned i;
 
-  memset (bench->times, 0, sizeof *bench->times);
+  memset (bench->latencies, 0, sizeof *bench->latencies);
   bench->failed = 0;
-  bench->left = rounds;
+  bench->remaining = rounds;
   for (i = 0; i < CONCURRENCY; i++)
     send_next (bench, &send);
   while (bench->running)
@@ -311,9 +311,9 @@
           " p99_us=%" PRIu64 "\n",
           name, CONCURRENCY, rounds, bench->failed, rounds / seconds,
           cpu / rounds * 1e6, cpu / seconds, rss,
-          el_hist_quantile (bench->times, 0.5),
-          el_hist_quantile (bench->times, 0.95),
-          el_hist_quantile (bench->times, 0.99));
+          el_hist_quantile (bench->latencies, 0.5),
+          el_hist_quantile (bench->latencies, 0.95),
+          el_hist_quantile (bench->latencies, 0.99));
 }
 
 int
@@ -329,7 +329,7 @@
   uv_loop_init (&bench.loop);
   net_clock_open (&bench.clock, &bench.loop);
   bench.client = net_client_new (&bench.clock);
-  bench.times = el_alloc (sizeof *bench.times);
+  bench.latencies = el_alloc (sizeof *bench.latencies);
   bench.host = argv[1];
   bench.pid = strtol (argv[2], NULL, 10);
   snprintf (bench.bearer, sizeof bench.bearer, "Bearer %s", argv[3]);
--- a/bench/bench_members.c
+++ b/bench/bench_members.c
@@ -88,18 +88,18 @@
 change_spread_ms (net_t *net)
 {
   el_time_t began = net->now;
-  size_t behind = 1;
+  size_t outdated = 1;
   size_t i;
 
   for (i = 0; i < net->n; i++)
     if (co_members_chosen (net->hosts[i].members, WATCHERS))
       net_seen (&net->hosts[i], 7);
-  while (behind && net->now < began + TIME_LIMIT)
+  while (outdated && net->now < began + TIME_LIMIT)
     {
       net_run (net, net->now + STEP);
-      behind = 0;
+      outdated = 0;
       for (i = 0; i < net->n; i++)
-        behind += net->hosts[i].revision < 7;
+        outdated += net->hosts[i].revision < 7;
     }
   return (net->now - began) / EL_MSEC;
 }
--- a/bench/bench_route.c
+++ b/bench/bench_route.c
@@ -81,8 +81,8 @@
   int measuring;
   uint64_t tokens;
   uint64_t refused;
-  el_hist_t first;
-  el_hist_t between;
+  el_hist_t first_token;
+  el_hist_t token_interval;
 };
 
 static unsigned choose_round_robin (sim_t *);
@@ -188,9 +188,9 @@
     {
       sim->tokens++;
       if (stream->last_token)
-        el_hist_add (&sim->between, sim->now - stream->last_token);
+        el_hist_add (&sim->token_interval, sim->now - stream->last_token);
       else
-        el_hist_add (&sim->first, sim->now - stream->arrived);
+        el_hist_add (&sim->first_token, sim->now - stream->arrived);
     }
   stream->last_token = sim->now;
 }
@@ -367,12 +367,12 @@
           policy->name, pipelines * STAGES, load, bound,
           (double)sim->tokens * EL_SEC / MEASURE_TIME,
           (double)sim->tokens * EL_SEC / MEASURE_TIME / bound, sim->refused,
-          el_hist_quantile (&sim->first, 0.5) / EL_MSEC,
-          el_hist_quantile (&sim->first, 0.95) / EL_MSEC,
-          el_hist_quantile (&sim->first, 0.99) / EL_MSEC,
-          el_hist_quantile (&sim->between, 0.5) / EL_MSEC,
-          el_hist_quantile (&sim->between, 0.95) / EL_MSEC,
-          el_hist_quantile (&sim->between, 0.99) / EL_MSEC);
+          el_hist_quantile (&sim->first_token, 0.5) / EL_MSEC,
+          el_hist_quantile (&sim->first_token, 0.95) / EL_MSEC,
+          el_hist_quantile (&sim->first_token, 0.99) / EL_MSEC,
+          el_hist_quantile (&sim->token_interval, 0.5) / EL_MSEC,
+          el_hist_quantile (&sim->token_interval, 0.95) / EL_MSEC,
+          el_hist_quantile (&sim->token_interval, 0.99) / EL_MSEC);
 }
 
 int
--- a/standin/main.c
+++ b/standin/main.c
@@ -132,11 +132,11 @@
 }
 
 void
-sn_refuse (const sn_process_t *process, h2o_req_t *req, const char *word)
+sn_refuse (const sn_process_t *process, h2o_req_t *req, const char *reason)
 {
   char text[32];
 
-  net_req_add_header (req, EL_STR ("x-refused"), el_str (word));
+  net_req_add_header (req, EL_STR ("x-refused"), el_str (reason));
   if (process->delay_ms)
     {
       snprintf (text, sizeof text, "%.3f", (double)process->delay_ms / 1000);
--- a/standin/member.c
+++ b/standin/member.c
@@ -27,7 +27,7 @@
 #include "rest.h"
 
 #define STREAM_EVENTS 40
-#define SEAL "seal.of.a.stand-in"
+#define RESPONSE_SEAL "seal.of.a.stand-in"
 #define CRASH_MARKER "deadly"
 /* Time from the start of a request with CRASH_MARKER to the process's exit. */
 #define CRASH_DELAY (20 * EL_MSEC)
@@ -359,7 +359,8 @@
   req->res.reason = "OK";
   net_req_add_header (req, EL_STR ("content-type"),
                       EL_STR ("text/event-stream"));
-  net_req_add_header (req, EL_STR ("x-elmarch-response-seal"), EL_STR (SEAL));
+  net_req_add_header (req, EL_STR ("x-elmarch-response-seal"),
+                      EL_STR (RESPONSE_SEAL));
   net_req_add_header (req, EL_STR ("x-elmarch-request-id"),
                       net_req_header (req, "x-elmarch-request-id"));
   h2o_start_response (req, &stream->generator);
@@ -527,7 +528,7 @@
 {
   char *text = json_dumps (answer, JSON_COMPACT);
 
-  reply_with_id (req, 200, "x-elmarch-response-seal", SEAL, text);
+  reply_with_id (req, 200, "x-elmarch-response-seal", RESPONSE_SEAL, text);
   free (text);
   json_decref (answer);
 }
@@ -547,7 +548,7 @@
   member_record_run (member, req);
   if (fault == SN_DOWN)
     {
-      reply_with_id (req, 500, "x-elmarch-response-seal", SEAL, "");
+      reply_with_id (req, 500, "x-elmarch-response-seal", RESPONSE_SEAL, "");
       return;
     }
   if (fault == SN_LOSE)
@@ -561,7 +562,7 @@
       net_req_add_header (req, EL_STR ("x-elmarch-request-id"),
                           EL_STR ("another"));
       net_req_add_header (req, EL_STR ("x-elmarch-response-seal"),
-                          EL_STR (SEAL));
+                          EL_STR (RESPONSE_SEAL));
       net_req_reply (req, 200, EL_STR (""), EL_STR ("another's"));
       return;
     }
--- a/standin/standin.h
+++ b/standin/standin.h
@@ -81,7 +81,8 @@
 
 sn_fault_t sn_fault_next (sn_process_t *process);
 void sn_drop_connection (h2o_req_t *req);
-void sn_refuse (const sn_process_t *process, h2o_req_t *req, const char *word);
+void sn_refuse (const sn_process_t *process, h2o_req_t *req,
+                const char *reason);
 void sn_reply_json (h2o_req_t *req, int status, json_t *json);
 json_t *sn_parse_body (const h2o_req_t *req);
 
--- a/standin/store.c
+++ b/standin/store.c
@@ -355,7 +355,7 @@
 }
 
 static void
-serve_keep (store_t *store, h2o_req_t *req)
+serve_lease_renew (store_t *store, h2o_req_t *req)
 {
   el_str_t path = net_req_path (req);
   uint64_t id = 0;
@@ -607,7 +607,7 @@
   { EL_STR ("/elmarch/kv-watch"), serve_watch },
   { EL_STR ("/elmarch/kv-lease-end/"), serve_lease_end },
   { EL_STR ("/elmarch/kv-lease"), serve_lease },
-  { EL_STR ("/elmarch/kv-keep/"), serve_keep },
+  { EL_STR ("/elmarch/kv-keep/"), serve_lease_renew },
   { EL_STR ("/elmarch/kv-txn"), serve_txn },
 };
 
