--- a/Makefile
+++ b/Makefile
@@ -37,7 +37,7 @@
 PLATFORM = platform/pf_store.c platform/pf_rules.c platform/pf_endpoints.c \
            platform/pf_engine.c platform/pf_entry.c platform/pf_hints.c platform/pf_blocked.c platform/pf_json.c
 STANDIN = standin/main.c standin/platform.c standin/engine.c standin/service.c \
-          standin/store.c standin/member.c standin/rest.c
+          standin/store.c standin/member.c standin/backoff.c
 
 LIBS = -lh2o -lhttp_parser -luv -lssl -lcrypto -ljansson -lpopt -llog4c -lxxhash -ltirpc \
        -lpthread -lm
--- a/standin/rest.c
+++ b/standin/backoff.c
@@ -27,7 +27,7 @@
 #include <unistd.h>
 
 #include "map.h"
-#include "rest.h"
+#include "backoff.h"
 
 /* Calls may still arrive this long after the answer, as they may have been
    sent before the host received it. The limit is the users' requirement. */
--- a/standin/member.c
+++ b/standin/member.c
@@ -24,7 +24,7 @@
 #include <unistd.h>
 
 #include "libgate.h"
-#include "rest.h"
+#include "backoff.h"
 
 #define STREAM_EVENTS 40
 #define RESPONSE_SEAL "seal.of.a.stand-in"
