--- a/soak/caller.c
+++ b/soak/caller.c
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Callers: each a thread that asks where to go, keeps its connections, sends
- * requests of all kinds, and resumes streams that break.
+ * Callers: each is a thread that looks up the hosts, keeps a connection to
+ * each, sends requests of all kinds, and resumes streams that broke off.
  */
 #include <inttypes.h>
 #include <stdio.h>
@@ -16,46 +16,46 @@
 
 #include "soak.h"
 
-#define LOOK_UP_EVERY (2 * EL_SEC)
-#define STREAM_RESUMES 4
-#define STREAM_GAP_S 3L
-#define PLAIN_LIMIT_MS 2500L
-#define STREAM_LIMIT_MS 8000L
-#define CONNECT_LIMIT_MS 1000L
-#define PAUSE_NS 20000000
-/* One request of so many bears a key that was taken away, if there is one. */
-#define OLD_KEY_EACH 8
-#define SEAL "x-elmarch-response-seal: seal.of.a.stand-in"
-#define ID_NAME "x-elmarch-request-id: "
+#define RESOLVE_INTERVAL (2 * EL_SEC)
+#define STREAM_RESUMES_MAX 4
+#define STREAM_STALL_S 3L
+#define PLAIN_TIMEOUT_MS 2500L
+#define STREAM_TIMEOUT_MS 8000L
+#define CONNECT_TIMEOUT_MS 1000L
+#define REQUEST_PAUSE_NS 20000000
+/* One request in this many is sent with a revoked key, if there is one. */
+#define REVOKED_KEY_ONE_IN 8
+#define SEAL_HEADER "x-elmarch-response-seal: seal.of.a.stand-in"
+#define ID_HEADER "x-elmarch-request-id: "
 
 typedef struct caller
 {
-  sk_callers_t *all;
+  sk_callers_t *pool;
   pthread_t thread;
   uint64_t random;
   unsigned number;
   unsigned sent;
-  CURL *curl[SK_HOSTS]; /* keeps its connection */
+  CURL *curl[SK_HOSTS]; /* a handle keeps its connection */
   unsigned hosts[SK_HOSTS];
   unsigned nhosts;
-  el_time_t looked_up;
+  el_time_t resolved_at;
 } caller_t;
 
 struct sk_callers
 {
-  sk_world_t *world;
-  sk_seen_t *seen;
+  sk_cluster_t *cluster;
+  sk_requests_t *requests;
   caller_t *list;
-  unsigned n;
+  unsigned count;
   int stop;
 };
 
-/* One exchange as it comes in. */
-typedef struct answer
+/* A response while it is received. */
+typedef struct response
 {
   sk_request_t *request;
-  el_buf_t part; /* of an event */
-} answer_t;
+  el_buf_t partial_event;
+} response_t;
 
 static const char *const paths[SK_REQUEST_KINDS] = {
   [SK_SAFE] = "/look/x",
@@ -64,73 +64,75 @@
 };
 
 static size_t
-answer_head (char *data, size_t size, size_t n, void *arg)
+response_header (char *data, size_t size, size_t n, void *arg)
 {
-  answer_t *answer = arg;
+  response_t *response = arg;
   el_str_t line = { data, size * n };
-  el_str_t name = EL_STR (ID_NAME);
+  el_str_t name = EL_STR (ID_HEADER);
   el_str_t value;
 
-  if (el_str_starts (line, EL_STR (SEAL)))
-    answer->request->seal = 1;
+  if (el_str_starts (line, EL_STR (SEAL_HEADER)))
+    response->request->has_seal = 1;
   if (el_str_starts (line, name))
     {
       value = el_str_after (line, name.len);
-      answer->request->own
-          = el_str_starts (value, el_str (answer->request->id));
+      response->request->has_own_id
+          = el_str_starts (value, el_str (response->request->id));
     }
   return size * n;
 }
 
-/* Whole events, in order: "id: N\ndata: pN\n\n". */
+/* Check the complete events received, "id: N\ndata: pN\n\n", and keep the part
+   of an event that remains. */
 static void
-answer_events (answer_t *answer)
+response_events (response_t *response)
 {
-  sk_request_t *request = answer->request;
-  char want[64];
-  const char *at = answer->part.ptr;
+  sk_request_t *request = response->request;
+  char expected[64];
+  const char *pos = response->partial_event.ptr;
   const char *end;
 
-  while (at && (end = strstr (at, "\n\n")))
+  while (pos && (end = strstr (pos, "\n\n")))
     {
-      snprintf (want, sizeof want, "id: %u\ndata: p%u", request->events + 1,
-                request->events + 1);
-      if ((size_t)(end - at) != strlen (want)
-          || strncmp (at, want, strlen (want)) != 0)
-        request->disorder = 1;
-      request->events++;
-      at = end + 2;
+      snprintf (expected, sizeof expected, "id: %u\ndata: p%u",
+                request->last_event + 1, request->last_event + 1);
+      if ((size_t)(end - pos) != strlen (expected)
+          || strncmp (pos, expected, strlen (expected)) != 0)
+        request->out_of_order = 1;
+      request->last_event++;
+      pos = end + 2;
     }
-  if (at && at != answer->part.ptr)
+  if (pos && pos != response->partial_event.ptr)
     {
       el_buf_t rest = { NULL, 0, 0 };
 
-      el_buf_add (&rest, el_str (at));
-      el_buf_free (&answer->part);
-      answer->part = rest;
+      el_buf_add (&rest, el_str (pos));
+      el_buf_free (&response->partial_event);
+      response->partial_event = rest;
     }
 }
 
 static size_t
-answer_body (char *data, size_t size, size_t n, void *arg)
+response_body (char *data, size_t size, size_t n, void *arg)
 {
-  answer_t *answer = arg;
+  response_t *response = arg;
 
-  if (answer->request->kind == SK_STREAM && answer->request->seal)
+  if (response->request->kind == SK_STREAM && response->request->has_seal)
     {
-      el_buf_add (&answer->part, (el_str_t){ data, size * n });
-      answer_events (answer);
+      el_buf_add (&response->partial_event, (el_str_t){ data, size * n });
+      response_events (response);
     }
   return size * n;
 }
 
 static void
-seen_add (sk_seen_t *seen, const sk_request_t *request)
+requests_add (sk_requests_t *requests, const sk_request_t *request)
 {
-  pthread_mutex_lock (&seen->lock);
-  seen->list = el_grow (seen->list, seen->len + 1, sizeof *seen->list);
-  seen->list[seen->len++] = *request;
-  pthread_mutex_unlock (&seen->lock);
+  pthread_mutex_lock (&requests->lock);
+  requests->list
+      = el_grow (requests->list, requests->len + 1, sizeof *requests->list);
+  requests->list[requests->len++] = *request;
+  pthread_mutex_unlock (&requests->lock);
 }
 
 static struct curl_slist *
@@ -140,96 +142,101 @@
   char text[128];
 
   list = curl_slist_append (list, "host: rel.example");
-  snprintf (text, sizeof text, ID_NAME "%s", request->id);
+  snprintf (text, sizeof text, ID_HEADER "%s", request->id);
   list = curl_slist_append (list, text);
   snprintf (text, sizeof text, "authorization: Bearer %s", key);
   list = curl_slist_append (list, text);
   snprintf (text, sizeof text, "x-elmarch-deadline-ms: %ld",
-            request->kind == SK_STREAM ? STREAM_LIMIT_MS : PLAIN_LIMIT_MS);
+            request->kind == SK_STREAM ? STREAM_TIMEOUT_MS : PLAIN_TIMEOUT_MS);
   list = curl_slist_append (list, text);
   snprintf (text, sizeof text, "x-via: %u-%" PRIu64, request->host,
-            request->boot);
+            request->host_starts);
   list = curl_slist_append (list, text);
-  if (request->resumed)
+  if (request->resumed_after)
     {
-      snprintf (text, sizeof text, "last-event-id: %u", request->resumed);
+      snprintf (text, sizeof text, "last-event-id: %u",
+                request->resumed_after);
       list = curl_slist_append (list, text);
     }
   return list;
 }
 
 static void
-curl_prepare (CURL *curl, const sk_world_t *world, const sk_request_t *request)
+curl_prepare (CURL *curl, const sk_cluster_t *cluster,
+              const sk_request_t *request)
 {
   char address[SK_ADDRESS_MAX];
   char url[128];
   int post = request->kind != SK_SAFE;
 
-  sk_host_address (world, request->host, SK_PORT_ENTRY, address);
+  sk_host_address (cluster, request->host, SK_PORT_ENTRY, address);
   snprintf (url, sizeof url, "http://%s%s", address, paths[request->kind]);
   curl_easy_reset (curl);
   curl_easy_setopt (curl, CURLOPT_URL, url);
   curl_easy_setopt (curl, CURLOPT_NOSIGNAL, 1L);
-  curl_easy_setopt (curl, CURLOPT_CONNECTTIMEOUT_MS, CONNECT_LIMIT_MS);
+  curl_easy_setopt (curl, CURLOPT_CONNECTTIMEOUT_MS, CONNECT_TIMEOUT_MS);
   curl_easy_setopt (curl, CURLOPT_TIMEOUT_MS,
-                    request->kind == SK_STREAM ? STREAM_LIMIT_MS
-                                               : PLAIN_LIMIT_MS);
+                    request->kind == SK_STREAM ? STREAM_TIMEOUT_MS
+                                               : PLAIN_TIMEOUT_MS);
   if (post)
     curl_easy_setopt (curl, CURLOPT_POSTFIELDS, "body");
-  /* libcurl sends again by itself on a kept connection that was closed. */
+  /* libcurl retries a request by itself if a reused connection turns out to
+     be closed. A new connection prevents that. */
   if (request->kind == SK_UNSAFE)
     curl_easy_setopt (curl, CURLOPT_FRESH_CONNECT, 1L);
   if (request->kind == SK_STREAM)
     {
       curl_easy_setopt (curl, CURLOPT_LOW_SPEED_LIMIT, 1L);
-      curl_easy_setopt (curl, CURLOPT_LOW_SPEED_TIME, STREAM_GAP_S);
+      curl_easy_setopt (curl, CURLOPT_LOW_SPEED_TIME, STREAM_STALL_S);
     }
 }
 
-/* Send one request and note what came of it. */
+/* Send one request and record its result. */
 static void
-request_send (CURL *curl, const sk_world_t *world, sk_seen_t *seen,
+request_send (CURL *curl, const sk_cluster_t *cluster, sk_requests_t *requests,
               sk_request_t *request)
 {
-  answer_t answer = { request, { NULL, 0, 0 } };
+  response_t response = { request, { NULL, 0, 0 } };
   struct curl_slist *headers;
   char key[32];
 
-  request->boot = world->hosts[request->host].boots;
+  request->host_starts = cluster->hosts[request->host].starts;
   sk_key_text (request->key, request->generation, key, sizeof key);
   headers = request_headers (request, key);
-  curl_prepare (curl, world, request);
+  curl_prepare (curl, cluster, request);
   curl_easy_setopt (curl, CURLOPT_HTTPHEADER, headers);
-  curl_easy_setopt (curl, CURLOPT_HEADERFUNCTION, answer_head);
-  curl_easy_setopt (curl, CURLOPT_HEADERDATA, &answer);
-  curl_easy_setopt (curl, CURLOPT_WRITEFUNCTION, answer_body);
-  curl_easy_setopt (curl, CURLOPT_WRITEDATA, &answer);
-  request->events = request->resumed;
+  curl_easy_setopt (curl, CURLOPT_HEADERFUNCTION, response_header);
+  curl_easy_setopt (curl, CURLOPT_HEADERDATA, &response);
+  curl_easy_setopt (curl, CURLOPT_WRITEFUNCTION, response_body);
+  curl_easy_setopt (curl, CURLOPT_WRITEDATA, &response);
+  request->last_event = request->resumed_after;
   request->sent = sk_now ();
-  request->whole = curl_easy_perform (curl) == CURLE_OK;
+  request->complete = curl_easy_perform (curl) == CURLE_OK;
   request->done = sk_now ();
-  request->rebooted = world->hosts[request->host].boots != request->boot;
-  request->taken
-      = __atomic_load_n (&world->keys[request->key], __ATOMIC_RELAXED)
+  request->host_restarted
+      = cluster->hosts[request->host].starts != request->host_starts;
+  request->key_revoked_since
+      = __atomic_load_n (&cluster->key_generations[request->key],
+                         __ATOMIC_RELAXED)
         > request->generation;
   curl_easy_getinfo (curl, CURLINFO_RESPONSE_CODE, &request->status);
   curl_slist_free_all (headers);
-  el_buf_free (&answer.part);
-  seen_add (seen, request);
+  el_buf_free (&response.partial_event);
+  requests_add (requests, request);
 }
 
-/* Ask any host where to go. */
+/* Ask a random host for the hosts that take requests. */
 static void
-caller_look_up (caller_t *caller)
+caller_resolve (caller_t *caller)
 {
-  const sk_world_t *world = caller->all->world;
-  unsigned asked = (unsigned)(el_random (&caller->random) % SK_HOSTS);
+  const sk_cluster_t *cluster = caller->pool->cluster;
+  unsigned queried = (unsigned)(el_random (&caller->random) % SK_HOSTS);
   char address[SK_ADDRESS_MAX];
   el_buf_t body = { NULL, 0, 0 };
   unsigned i;
 
-  caller->looked_up = sk_now ();
-  sk_host_address (world, asked, SK_PORT_DIRECTORY, address);
+  caller->resolved_at = sk_now ();
+  sk_host_address (cluster, queried, SK_PORT_DIRECTORY, address);
   if (sk_http ("GET", address,
                "/elmarch/resolve?Name=rel.example&Region=r&Zone=hall-a", NULL,
                &body)
@@ -238,7 +245,7 @@
       caller->nhosts = 0;
       for (i = 0; i < SK_HOSTS; i++)
         {
-          sk_host_address (world, i, SK_PORT_ENTRY, address);
+          sk_host_address (cluster, i, SK_PORT_ENTRY, address);
           if (strstr (body.ptr, address))
             caller->hosts[caller->nhosts++] = i;
         }
@@ -246,53 +253,55 @@
   el_buf_free (&body);
 }
 
-/* The key in force, or now and then the one before. */
+/* Set the key of a request: the valid one, or with KEY_REVOKED the one before,
+   if there is one. */
 static void
-request_key (const sk_world_t *world, sk_request_t *request, int old)
+request_key_set (const sk_cluster_t *cluster, sk_request_t *request,
+                 int key_revoked)
 {
-  request->generation
-      = __atomic_load_n (&world->keys[request->key], __ATOMIC_RELAXED);
-  request->changed_at
-      = __atomic_load_n (&world->taken[request->key], __ATOMIC_RELAXED);
-  if (old && request->generation)
+  request->generation = __atomic_load_n (
+      &cluster->key_generations[request->key], __ATOMIC_RELAXED);
+  request->key_changed_at = __atomic_load_n (
+      &cluster->keys_revoked_at[request->key], __ATOMIC_RELAXED);
+  if (key_revoked && request->generation)
     {
-      request->old = 1;
+      request->key_revoked = 1;
       request->generation--;
     }
 }
 
 static void
-request_new (caller_t *caller, sk_request_t *request, sk_request_kind_t kind,
-             unsigned resumed)
+request_init (caller_t *caller, sk_request_t *request, sk_request_kind_t kind,
+              unsigned resumed)
 {
   memset (request, 0, sizeof *request);
   snprintf (request->id, sizeof request->id, "c%u-%u", caller->number,
             caller->sent++);
   request->kind = kind;
   request->key = caller->number % SK_KEYS;
-  request->resumed = resumed;
+  request->resumed_after = resumed;
   request->host = caller->hosts[el_random (&caller->random) % caller->nhosts];
-  request_key (caller->all->world, request,
-               el_random (&caller->random) % OLD_KEY_EACH == 0);
+  request_key_set (caller->pool->cluster, request,
+                   el_random (&caller->random) % REVOKED_KEY_ONE_IN == 0);
 }
 
-/* One request; a stream that breaks is resumed elsewhere. */
+/* Send one request. A stream that broke off is resumed at a random host. */
 static void
-caller_turn (caller_t *caller)
+caller_request (caller_t *caller)
 {
   sk_request_kind_t kind
       = (sk_request_kind_t)(el_random (&caller->random) % SK_REQUEST_KINDS);
-  sk_request_t request = { .events = 0 };
+  sk_request_t request = { .last_event = 0 };
   unsigned i;
 
-  for (i = 0; i <= STREAM_RESUMES; i++)
+  for (i = 0; i <= STREAM_RESUMES_MAX; i++)
     {
-      request_new (caller, &request, kind, request.events);
+      request_init (caller, &request, kind, request.last_event);
       if (!caller->curl[request.host])
         caller->curl[request.host] = curl_easy_init ();
-      request_send (caller->curl[request.host], caller->all->world,
-                    caller->all->seen, &request);
-      if (kind != SK_STREAM || request.events >= SK_EVENTS)
+      request_send (caller->curl[request.host], caller->pool->cluster,
+                    caller->pool->requests, &request);
+      if (kind != SK_STREAM || request.last_event >= SK_STREAM_EVENTS)
         return;
     }
 }
@@ -300,16 +309,17 @@
 static void *
 caller_run (void *arg)
 {
-  const struct timespec pause = { 0, PAUSE_NS };
+  const struct timespec pause = { 0, REQUEST_PAUSE_NS };
   caller_t *caller = arg;
   unsigned i;
 
-  while (!__atomic_load_n (&caller->all->stop, __ATOMIC_RELAXED))
+  while (!__atomic_load_n (&caller->pool->stop, __ATOMIC_RELAXED))
     {
-      if (caller->nhosts == 0 || sk_now () > caller->looked_up + LOOK_UP_EVERY)
-        caller_look_up (caller);
+      if (caller->nhosts == 0
+          || sk_now () > caller->resolved_at + RESOLVE_INTERVAL)
+        caller_resolve (caller);
       if (caller->nhosts)
-        caller_turn (caller);
+        caller_request (caller);
       nanosleep (&pause, NULL);
     }
   for (i = 0; i < SK_HOSTS; i++)
@@ -318,21 +328,21 @@
   return NULL;
 }
 
-/** Begin to send. */
+/** Start the threads that send requests. */
 sk_callers_t *
-sk_callers_start (sk_world_t *world, sk_seen_t *seen, unsigned threads,
-                  uint64_t seed)
+sk_callers_start (sk_cluster_t *cluster, sk_requests_t *requests,
+                  unsigned threads, uint64_t seed)
 {
   sk_callers_t *callers = el_alloc (sizeof *callers);
   unsigned i;
 
-  callers->world = world;
-  callers->seen = seen;
-  callers->n = threads;
+  callers->cluster = cluster;
+  callers->requests = requests;
+  callers->count = threads;
   callers->list = el_alloc (threads * sizeof *callers->list);
   for (i = 0; i < threads; i++)
     {
-      callers->list[i].all = callers;
+      callers->list[i].pool = callers;
       callers->list[i].number = i;
       callers->list[i].random = (seed + 1) * 1000 + i;
       pthread_create (&callers->list[i].thread, NULL, caller_run,
@@ -341,22 +351,22 @@
   return callers;
 }
 
-/** Let the requests under way end, and send no more. */
+/** Send no new requests, and wait for those in flight. */
 void
 sk_callers_stop (sk_callers_t *callers)
 {
   unsigned i;
 
   __atomic_store_n (&callers->stop, 1, __ATOMIC_RELAXED);
-  for (i = 0; i < callers->n; i++)
+  for (i = 0; i < callers->count; i++)
     pthread_join (callers->list[i].thread, NULL);
   free (callers->list);
   free (callers);
 }
 
-/** One request of KIND through HOST; gives whether it was served. */
+/** Send one request of KIND to HOST. Returns whether it was served. */
 int
-sk_caller_probe (sk_world_t *world, sk_seen_t *seen, unsigned host,
+sk_caller_probe (sk_cluster_t *cluster, sk_requests_t *requests, unsigned host,
                  sk_request_kind_t kind)
 {
   static unsigned probes;
@@ -367,9 +377,9 @@
   snprintf (request.id, sizeof request.id, "probe-%u", probes++);
   request.kind = kind;
   request.host = host;
-  request_key (world, &request, 0);
-  request_send (curl, world, seen, &request);
+  request_key_set (cluster, &request, 0);
+  request_send (curl, cluster, requests, &request);
   curl_easy_cleanup (curl);
-  return request.status == 200 && request.whole
-         && (kind != SK_STREAM || request.events == SK_EVENTS);
+  return request.status == 200 && request.complete
+         && (kind != SK_STREAM || request.last_event == SK_STREAM_EVENTS);
 }
--- a/soak/check.c
+++ b/soak/check.c
@@ -3,7 +3,8 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * The promises, held against what callers saw and what endpoints noted.
+ * Checks the invariants against what callers received and what endpoints
+ * recorded.
  */
 #include <inttypes.h>
 #include <stdarg.h>
@@ -14,44 +15,45 @@
 #include "map.h"
 #include "soak.h"
 
-/* A key that was taken away is refused after the hosts' limit; their clocks
-   and this one's differ by less than the margin. */
-#define KEYS_MARGIN (300 * EL_MSEC)
-/* A member that says that it leaves gets nothing new after this. */
-#define LEAVING_LIMIT (2 * EL_SEC)
-/* A fault still counts for this long after its end. */
-#define CALM_AFTER (2 * EL_SEC)
+/* Allowed beyond the hosts' limit until a revoked key must be refused; the
+   clocks of the hosts and of this process differ by less. */
+#define KEYS_CLOCK_MARGIN (300 * EL_MSEC)
+/* Time after which an endpoint that announced that it leaves gets no new
+   requests. */
+#define LEAVE_GRACE (2 * EL_SEC)
+/* Time after its end for which a fault may still have effects. */
+#define FAULT_SETTLE_TIME (2 * EL_SEC)
 #define LINE_MAX_BYTES 1024
 
-/* All that ran under one id. */
-typedef struct check_run
+/* All executions of the request with one id. */
+typedef struct check_executions
 {
   char id[SK_ID_MAX];
-  unsigned n;
+  unsigned count;
   char customer[32];
-  int asked; /* a caller sent it */
+  int sent_by_caller;
   UT_hash_handle hh;
-} check_run_t;
+} check_executions_t;
 
-/* One run, as its member noted it. */
-typedef struct check_note
+/* One execution, as its endpoint recorded it. */
+typedef struct check_record
 {
-  char member[64];
+  char endpoint_id[64];
   char id[SK_ID_MAX];
-  el_time_t at;
-} check_note_t;
+  el_time_t time;
+} check_record_t;
 
-typedef struct check_notes
+typedef struct check_records
 {
-  check_note_t *list;
+  check_record_t *list;
   size_t len;
-} check_notes_t;
+} check_records_t;
 
-static size_t broken;
+static size_t violations;
 
-/** A promise does not hold for the request ID. */
+/** Report that INVARIANT is violated for the request ID. */
 void
-sk_broken (const char *promise, const char *id, const char *fmt, ...)
+sk_violation (const char *invariant, const char *id, const char *fmt, ...)
 {
   char text[256];
   va_list args;
@@ -59,85 +61,89 @@
   va_start (args, fmt);
   vsnprintf (text, sizeof text, fmt, args);
   va_end (args);
-  printf ("broken=%s request=%s %s\n", promise, id, text);
-  broken++;
+  printf ("broken=%s request=%s %s\n", invariant, id, text);
+  violations++;
 }
 
-/* Each layer once and in order: "ADDRESS=FROM-TO,...". */
+/* Check that a chain of engines, "ADDRESS=FROM-TO,...", has each layer once
+   and in order. */
 static void
-line_check (const char *id, const char *line)
+chain_check (const char *id, const char *chain)
 {
-  unsigned at = 0;
+  unsigned next_layer = 0;
   unsigned from;
   unsigned to;
-  const char *part = line;
+  const char *part = chain;
 
   while (part && (part = strchr (part, '=')))
     {
-      if (sscanf (part, "=%u-%u", &from, &to) != 2 || from != at || to <= from)
+      if (sscanf (part, "=%u-%u", &from, &to) != 2 || from != next_layer
+          || to <= from)
         {
-          sk_broken ("layers", id, "line %s", line);
+          sk_violation ("layers", id, "chain %s", chain);
           return;
         }
-      at = to;
+      next_layer = to;
       part = strchr (part, ',');
     }
-  if (at != SK_LAYERS)
-    sk_broken ("layers", id, "line %s", line);
+  if (next_layer != SK_LAYERS)
+    sk_violation ("layers", id, "chain %s", chain);
 }
 
-static check_run_t *
-run_get (check_run_t **runs, const char *id)
+static check_executions_t *
+executions_get (check_executions_t **by_id, const char *id)
 {
-  check_run_t *run;
-
-  HASH_FIND_STR (*runs, id, run);
-  if (run)
-    return run;
-  run = el_alloc (sizeof *run);
-  snprintf (run->id, sizeof run->id, "%s", id);
-  HASH_ADD_STR (*runs, id, run);
-  return run;
+  check_executions_t *executions;
+
+  HASH_FIND_STR (*by_id, id, executions);
+  if (executions)
+    return executions;
+  executions = el_alloc (sizeof *executions);
+  snprintf (executions->id, sizeof executions->id, "%s", id);
+  HASH_ADD_STR (*by_id, id, executions);
+  return executions;
 }
 
-/* Take in one line that a member noted; one that is cut short is left out. */
+/* Parse one line of the record. A truncated line is skipped. */
 static void
-note_read (const char *text, check_notes_t *notes, check_run_t **runs)
+record_parse (const char *text, check_records_t *records,
+              check_executions_t **by_id)
 {
-  check_note_t note;
-  check_run_t *run;
+  check_record_t record;
+  check_executions_t *executions;
   char customer[32];
-  char line[LINE_MAX_BYTES];
+  char chain[LINE_MAX_BYTES];
 
-  if (sscanf (text, "%" SCNu64 " %31s %63s %31s %1023s", &note.at, note.id,
-              note.member, customer, line)
+  if (sscanf (text, "%" SCNu64 " %31s %63s %31s %1023s", &record.time,
+              record.id, record.endpoint_id, customer, chain)
       != 5)
     return;
-  notes->list = el_grow (notes->list, notes->len + 1, sizeof *notes->list);
-  notes->list[notes->len++] = note;
-  run = run_get (runs, note.id);
-  run->n++;
-  snprintf (run->customer, sizeof run->customer, "%s", customer);
-  if (strcmp (line, "-") != 0)
-    line_check (note.id, line);
+  records->list
+      = el_grow (records->list, records->len + 1, sizeof *records->list);
+  records->list[records->len++] = record;
+  executions = executions_get (by_id, record.id);
+  executions->count++;
+  snprintf (executions->customer, sizeof executions->customer, "%s", customer);
+  if (strcmp (chain, "-") != 0)
+    chain_check (record.id, chain);
 }
 
-/* Read what the members noted. */
-static check_run_t *
-runs_read (const sk_world_t *world, check_notes_t *notes)
+/* Read the record of the endpoints. */
+static check_executions_t *
+records_read (const sk_cluster_t *cluster, check_records_t *records)
 {
-  check_run_t *runs = NULL;
+  check_executions_t *by_id = NULL;
   char path[300];
   char text[LINE_MAX_BYTES];
   FILE *file;
 
-  snprintf (path, sizeof path, "%s/runs", world->dir);
+  snprintf (path, sizeof path, "%s/runs", cluster->dir);
   file = fopen (path, "r");
   while (file && fgets (text, sizeof text, file))
-    note_read (text, notes, &runs);
+    record_parse (text, records, &by_id);
   if (file)
     fclose (file);
-  return runs;
+  return by_id;
 }
 
 static int
@@ -146,98 +152,105 @@
   return status == 429 || status == 503 || status == 408 || status == 421;
 }
 
-/* Keys: one that was taken away runs nothing after the limit, one that is in
-   force until the answer is not denied after it. One that goes in between may
-   be: a host that had just started held a request for 581 ms until it had its
-   first configuration, which had the key no more. */
+/* A request with a revoked key is not executed after the limit, and a key that
+   stays valid until the response is not denied after the limit. A key that is
+   revoked while the request is in flight may be denied: a host that had just
+   started held a request for 581 ms until its first configuration arrived,
+   which no longer contained the key. */
 static void
-key_check (const sk_request_t *request, const check_run_t *run)
+key_check (const sk_request_t *request, const check_executions_t *executions)
 {
-  int settled
-      = !request->changed_at
-        || request->sent > request->changed_at + SK_KEYS_LIMIT + KEYS_MARGIN;
-
-  if (request->old && request->changed_at && settled && run)
-    sk_broken ("keys", request->id, "ran %" PRIu64 " us after its key went",
-               request->sent - request->changed_at);
-  if (!request->old && !request->taken && request->status == 401
-      && (request->generation == 0 || (request->changed_at && settled)))
-    sk_broken ("denied", request->id, "a key that is in force");
+  int settled = !request->key_changed_at
+                || request->sent > request->key_changed_at + SK_KEYS_MAX_AGE
+                                       + KEYS_CLOCK_MARGIN;
+
+  if (request->key_revoked && request->key_changed_at && settled && executions)
+    sk_violation ("keys", request->id,
+                  "executed %" PRIu64 " us after its key was revoked",
+                  request->sent - request->key_changed_at);
+  if (!request->key_revoked && !request->key_revoked_since
+      && request->status == 401
+      && (request->generation == 0 || (request->key_changed_at && settled)))
+    sk_violation ("denied", request->id, "status 401 for a valid key");
 }
 
-/* What ran: for the right customer, as often as it may. */
+/* Check that a request was executed for its own customer, not more often than
+   allowed, and not at all if it was refused. */
 static void
-run_check (const sk_request_t *request, check_run_t *run)
+executions_check (const sk_request_t *request, check_executions_t *executions)
 {
   const char *id = request->id;
   char customer[32];
 
-  run->asked = 1;
+  executions->sent_by_caller = 1;
   snprintf (customer, sizeof customer, "customer-%u", request->key);
-  if (strcmp (run->customer, customer) != 0)
-    sk_broken ("customer", id, "ran for %s", run->customer);
-  if (request->kind == SK_UNSAFE && run->n > 1)
-    sk_broken ("at most once", id, "ran %u times", run->n);
+  if (strcmp (executions->customer, customer) != 0)
+    sk_violation ("customer", id, "executed for %s", executions->customer);
+  if (request->kind == SK_UNSAFE && executions->count > 1)
+    sk_violation ("at most once", id, "executed %u times", executions->count);
   if (is_refusal (request->status))
-    sk_broken ("not run is true", id, "status %ld, ran %u times",
-               request->status, run->n);
+    sk_violation ("refused but executed", id, "status %ld, executed %u times",
+                  request->status, executions->count);
 }
 
-/* What the caller got: an endpoint's answer to this request, and all of it. */
+/* Check that the caller received the complete response of an endpoint to this
+   request. */
 static void
-answer_check (const sk_request_t *request)
+response_check (const sk_request_t *request)
 {
   const char *id = request->id;
-  int served = request->status == 200 && request->whole;
-
-  if (served && (!request->seal || !request->own))
-    sk_broken ("own answer", id, "seal %d, own %d", request->seal,
-               request->own);
-  if (request->disorder)
-    sk_broken ("stream order", id, "from %u to %u", request->resumed,
-               request->events);
-  if (served && request->kind == SK_STREAM && request->events != SK_EVENTS)
-    sk_broken ("whole stream", id, "ended after %u", request->events);
+  int served = request->status == 200 && request->complete;
+
+  if (served && (!request->has_seal || !request->has_own_id))
+    sk_violation ("own response", id, "seal %d, own id %d", request->has_seal,
+                  request->has_own_id);
+  if (request->out_of_order)
+    sk_violation ("stream order", id, "resumed after event %u, last event %u",
+                  request->resumed_after, request->last_event);
+  if (served && request->kind == SK_STREAM
+      && request->last_event != SK_STREAM_EVENTS)
+    sk_violation ("complete stream", id, "ended after event %u",
+                  request->last_event);
   if (request->status == 404 || request->status == 403)
-    sk_broken ("denied", id, "status %ld", request->status);
+    sk_violation ("denied", id, "status %ld", request->status);
 }
 
 static void
-request_check (const sk_request_t *request, check_run_t *run)
+request_check (const sk_request_t *request, check_executions_t *executions)
 {
-  key_check (request, run);
-  if (run)
-    run_check (request, run);
-  answer_check (request);
+  key_check (request, executions);
+  if (executions)
+    executions_check (request, executions);
+  response_check (request);
 }
 
-/* How often each outcome was seen. */
+/* Print the number of requests with each outcome. */
 static void
-seen_print (const sk_seen_t *seen)
+outcomes_print (const sk_requests_t *requests)
 {
   unsigned served = 0;
   unsigned refused = 0;
   unsigned other = 0;
   size_t i;
 
-  for (i = 0; i < seen->len; i++)
+  for (i = 0; i < requests->len; i++)
     {
-      const sk_request_t *request = &seen->list[i];
+      const sk_request_t *request = &requests->list[i];
 
-      if (request->status == 200 && request->whole)
+      if (request->status == 200 && request->complete)
         served++;
       else if (is_refusal (request->status))
         refused++;
       else
         other++;
     }
-  printf ("requests=%zu served=%u refused=%u other=%u ", seen->len, served,
+  printf ("requests=%zu served=%u refused=%u other=%u ", requests->len, served,
           refused, other);
 }
 
-/* Whether a fault keeps hosts from hearing of the store. */
+/* Whether a fault may delay changes of the store on their way to hosts. */
 static int
-is_news_fault (const sk_fault_t *fault)
+delays_store_changes (const sk_fault_t *fault)
 {
   switch (fault->kind)
     {
@@ -246,71 +259,75 @@
     case SK_HOST_PAUSE:
     case SK_HOSTS_KILL:
     case SK_STORE_PAUSE:
-    case SK_STORE_FORGET:
+    case SK_STORE_COMPACT:
       return 1;
     case SK_LINK_DELAY:
     case SK_LINK_RESET:
-    case SK_LINK_CUT:
-    case SK_LINK_SILENT:
-      return fault->which < SK_HOSTS;
+    case SK_LINK_PARTITION_ONE_WAY:
+    case SK_LINK_PARTITION:
+      return fault->target < SK_HOSTS;
     default:
       return 0;
     }
 }
 
 static int
-is_fault (const sk_fault_t *fault)
+is_any_fault (const sk_fault_t *fault)
 {
   (void)fault;
   return 1;
 }
 
-/* Whether no other fault of that sort struck around a time. */
+/* Whether no fault that COUNTS selects, other than EXCEPT, was active or had
+   ended recently between FROM and TO. */
 static int
-calm_around (const sk_fault_t *faults, size_t n, const sk_fault_t *except,
-             el_time_t from, el_time_t to,
-             int (*counts) (const sk_fault_t *fault))
+no_fault_around (const sk_fault_t *faults, size_t n, const sk_fault_t *except,
+                 el_time_t from, el_time_t to,
+                 int (*counts) (const sk_fault_t *fault))
 {
   size_t i;
 
   for (i = 0; i < n; i++)
-    if (&faults[i] != except && counts (&faults[i]) && faults[i].at < to
-        && faults[i].at + faults[i].lasts + CALM_AFTER > from)
+    if (&faults[i] != except && counts (&faults[i]) && faults[i].start_at < to
+        && faults[i].start_at + faults[i].duration + FAULT_SETTLE_TIME > from)
       return 0;
   return 1;
 }
 
-/* Whether the host that denied the key of BEFORE took it in AFTER. */
+/* Whether the host that denied the key of BEFORE accepted it for AFTER. */
 static int
-took_again (const sk_request_t *before, const sk_request_t *after)
+is_accepted_again (const sk_request_t *before, const sk_request_t *after)
 {
-  return after->old && after->status == 200 && after->key == before->key
+  return after->key_revoked && after->status == 200
+         && after->key == before->key
          && after->generation == before->generation
-         && after->host == before->host && after->boot == before->boot
+         && after->host == before->host
+         && after->host_starts == before->host_starts
          && after->sent > before->done;
 }
 
-/* A host that has refused a key that was taken away does not take it again as
-   long as its process lives. */
+/* Check that a host process that has refused a revoked key never accepts that
+   key again. */
 static void
-keys_never_back (const sk_seen_t *seen)
+revoked_keys_check (const sk_requests_t *requests)
 {
   size_t i;
   size_t k;
 
-  for (i = 0; i < seen->len; i++)
-    if (seen->list[i].old && seen->list[i].status == 401)
-      for (k = 0; k < seen->len; k++)
-        if (took_again (&seen->list[i], &seen->list[k]))
-          sk_broken ("configuration", seen->list[k].id,
-                     "taken after %s was denied", seen->list[i].id);
+  for (i = 0; i < requests->len; i++)
+    if (requests->list[i].key_revoked && requests->list[i].status == 401)
+      for (k = 0; k < requests->len; k++)
+        if (is_accepted_again (&requests->list[i], &requests->list[k]))
+          sk_violation ("configuration", requests->list[k].id,
+                        "key accepted again after request %s was denied",
+                        requests->list[i].id);
 }
 
-/* A member that has said that it leaves gets nothing new, if nothing else was
-   wrong meanwhile. */
+/* Check that an endpoint that announced that it leaves gets no new requests.
+   Skipped where another fault may have delayed the announcement. */
 static void
-leaving_check (const check_notes_t *notes, const sk_fault_t *faults,
-               size_t nfaults, el_time_t begun)
+leaving_check (const check_records_t *records, const sk_fault_t *faults,
+               size_t nfaults, el_time_t traffic_start)
 {
   size_t f;
   size_t i;
@@ -319,22 +336,26 @@
     {
       const sk_fault_t *leave = &faults[f];
 
-      if (leave->kind != SK_MEMBER_LEAVE
-          || !calm_around (faults, nfaults, leave, leave->at,
-                           leave->at + leave->lasts, is_news_fault))
+      if (leave->kind != SK_ENDPOINT_LEAVE
+          || !no_fault_around (faults, nfaults, leave, leave->start_at,
+                               leave->start_at + leave->duration,
+                               delays_store_changes))
         continue;
-      for (i = 0; i < notes->len; i++)
-        if (strcmp (notes->list[i].member, leave->member) == 0
-            && notes->list[i].at > begun + leave->at + LEAVING_LIMIT)
-          sk_broken ("leaving", notes->list[i].id, "ran at %s, which leaves",
-                     leave->member);
+      for (i = 0; i < records->len; i++)
+        if (strcmp (records->list[i].endpoint_id, leave->endpoint_id) == 0
+            && records->list[i].time
+                   > traffic_start + leave->start_at + LEAVE_GRACE)
+          sk_violation ("leaving", records->list[i].id,
+                        "executed at %s, which is leaving",
+                        leave->endpoint_id);
     }
 }
 
-/* Requests around a planned stop, and nothing else, end with an answer. */
+/* Check that responses in progress at a planned stop are completed. Skipped
+   where another fault was active around the stop. */
 static void
-stops_check (const sk_seen_t *seen, const sk_fault_t *faults, size_t nfaults,
-             el_time_t begun)
+planned_stops_check (const sk_requests_t *requests, const sk_fault_t *faults,
+                     size_t nfaults, el_time_t traffic_start)
 {
   size_t f;
   size_t i;
@@ -344,67 +365,71 @@
       const sk_fault_t *stop = &faults[f];
 
       if (stop->kind != SK_HOST_TERM
-          || !calm_around (faults, nfaults, stop, stop->at,
-                           stop->at + 4 * EL_SEC, is_fault))
+          || !no_fault_around (faults, nfaults, stop, stop->start_at,
+                               stop->start_at + 4 * EL_SEC, is_any_fault))
         continue;
-      for (i = 0; i < seen->len; i++)
+      for (i = 0; i < requests->len; i++)
         {
-          const sk_request_t *r = &seen->list[i];
-
-          if (r->host == stop->which && r->sent < begun + stop->at
-              && r->done > begun + stop->at && !r->whole && r->status)
-            sk_broken ("planned stop", r->id, "cut after %u events",
-                       r->events);
+          const sk_request_t *r = &requests->list[i];
+
+          if (r->host == stop->target
+              && r->sent < traffic_start + stop->start_at
+              && r->done > traffic_start + stop->start_at && !r->complete
+              && r->status)
+            sk_violation ("planned stop", r->id,
+                          "response cut off after event %u", r->last_event);
         }
     }
 }
 
-/* Whether a fault may have held up what passed between a host and a member, or
-   what either of them read, after the member asked for something. */
+/* Whether a fault may have delayed the traffic between a host and an endpoint,
+   or the processing of it in either, and so a notice of the endpoint. */
 static int
-may_hold_up (const sk_fault_t *fault, unsigned host, unsigned member)
+may_delay (const sk_fault_t *fault, unsigned host, unsigned endpoint)
 {
   switch (fault->kind)
     {
     case SK_HOST_PAUSE:
-      return fault->which == host;
-    case SK_MEMBER_PAUSE:
-      return fault->which == member;
+      return fault->target == host;
+    case SK_ENDPOINT_PAUSE:
+      return fault->target == endpoint;
     case SK_LINK_DELAY:
     case SK_LINK_RESET:
-    case SK_LINK_CUT:
-    case SK_LINK_SILENT:
-      return fault->which == SK_HOSTS + member;
+    case SK_LINK_PARTITION_ONE_WAY:
+    case SK_LINK_PARTITION:
+      return fault->target == SK_HOSTS + endpoint;
     default:
       return 0;
     }
 }
 
-/* The member of that id, which begins with its name, "mN-". */
+/* The number of the endpoint with that id, which begins with its name, "mN-".
+ */
 static unsigned
-member_number (const char *id)
+endpoint_number (const char *id)
 {
   return (unsigned)strtoul (id + 1, NULL, 10);
 }
 
 static int
-was_rebooted (const sk_seen_t *seen, const char *id)
+was_host_restarted (const sk_requests_t *requests, const char *id)
 {
   size_t i;
 
-  for (i = 0; i < seen->len; i++)
-    if (strcmp (seen->list[i].id, id) == 0)
-      return seen->list[i].rebooted;
+  for (i = 0; i < requests->len; i++)
+    if (strcmp (requests->list[i].id, id) == 0)
+      return requests->list[i].host_restarted;
   return 0;
 }
 
-/* Whether HOST read a refusal of MEMBER to the request BY. Members note that
-   they sent it: on a machine that stood still for 13 s two of them went to
-   requests that their hosts had given up 132 ms before and 0.2 ms after they
-   were sent, so that nobody read for how long the member asked. */
+/* Whether HOST received the refusal of request BY by an endpoint. Endpoints
+   record only that they sent it: on a machine that stalled for 13 s, two
+   refusals were for requests that their hosts had abandoned 132 ms before and
+   0.2 ms after the refusals were sent, so that no host read the backoff time
+   in them. */
 static int
-refusal_read (const sk_world_t *world, unsigned host, const char *by,
-              const char *member)
+was_refusal_received (const sk_cluster_t *cluster, unsigned host,
+                      const char *by, const char *endpoint_id)
 {
   char path[300];
   char request[96];
@@ -414,9 +439,9 @@
   int found = 0;
   FILE *file;
 
-  snprintf (path, sizeof path, "%s/h%u.log", world->dir, host);
+  snprintf (path, sizeof path, "%s/h%u.log", cluster->dir, host);
   snprintf (request, sizeof request, "event=attempt_failed request=%s ", by);
-  snprintf (endpoint, sizeof endpoint, " endpoint=%s ", member);
+  snprintf (endpoint, sizeof endpoint, " endpoint=%s ", endpoint_id);
   file = fopen (path, "r");
   while (file && !found && getline (&line, &size, file) > 0)
     found = strstr (line, request) && strstr (line, endpoint)
@@ -427,16 +452,19 @@
   return found;
 }
 
-/* A member's note of a request that came though it had asked the host for
-   rest, or told it that it leaves, half a second before or more. A host that
-   was started again since has another name there, unless its caller had made
-   up the name just before: a request that was named for the start before came
-   from one that had been started 13 ms earlier and knew nothing yet. */
+/* Check one line that an endpoint recorded for a request that arrived although
+   the endpoint had asked the host to back off, or had announced to it that it
+   leaves, half a second earlier or more. The caller names the host process in
+   the request, so that a restarted host is told apart. It may name the process
+   before a restart, though: such a request came from a host that had been
+   started 13 ms earlier and had not received the notice. Requests during which
+   the host was restarted are therefore skipped. */
 static void
-asked_check (const sk_world_t *world, const char *text, const sk_seen_t *seen,
-             const sk_fault_t *faults, size_t nfaults, el_time_t begun)
+notice_check (const sk_cluster_t *cluster, const char *text,
+              const sk_requests_t *requests, const sk_fault_t *faults,
+              size_t nfaults, el_time_t traffic_start)
 {
-  check_note_t note;
+  check_record_t record;
   char via[32];
   char what[16];
   char by[64];
@@ -445,72 +473,79 @@
   size_t i;
 
   if (sscanf (text, "%" SCNu64 " %31s %63s %31s %15s %" SCNu64 " %63s",
-              &note.at, note.id, note.member, via, what, &since, by)
+              &record.time, record.id, record.endpoint_id, via, what, &since,
+              by)
       != 7)
     return;
-  if (was_rebooted (seen, note.id))
+  if (was_host_restarted (requests, record.id))
     return;
   host = (unsigned)strtoul (via, NULL, 10);
   for (i = 0; i < nfaults; i++)
-    if (may_hold_up (&faults[i], host, member_number (note.member))
-        && begun + faults[i].at < note.at
-        && begun + faults[i].at + faults[i].lasts + CALM_AFTER > since)
+    if (may_delay (&faults[i], host, endpoint_number (record.endpoint_id))
+        && traffic_start + faults[i].start_at < record.time
+        && traffic_start + faults[i].start_at + faults[i].duration
+                   + FAULT_SETTLE_TIME
+               > since)
       return;
   if (strcmp (what, "rest") == 0
-      && !refusal_read (world, host, by, note.member))
+      && !was_refusal_received (cluster, host, by, record.endpoint_id))
     return;
-  sk_broken (what, note.id, "came to %s from host %s %" PRIu64 " us after",
-             note.member, via, note.at - since);
+  sk_violation (what, record.id,
+                "reached %s from host %s %" PRIu64 " us after its notice",
+                record.endpoint_id, via, record.time - since);
 }
 
 static void
-asked_read (const sk_world_t *world, const sk_seen_t *seen,
-            const sk_fault_t *faults, size_t nfaults, el_time_t begun)
+notices_check (const sk_cluster_t *cluster, const sk_requests_t *requests,
+               const sk_fault_t *faults, size_t nfaults,
+               el_time_t traffic_start)
 {
   char path[300];
   char text[LINE_MAX_BYTES];
   FILE *file;
 
-  snprintf (path, sizeof path, "%s/runs.asked", world->dir);
+  snprintf (path, sizeof path, "%s/runs.asked", cluster->dir);
   file = fopen (path, "r");
   while (file && fgets (text, sizeof text, file))
-    asked_check (world, text, seen, faults, nfaults, begun);
+    notice_check (cluster, text, requests, faults, nfaults, traffic_start);
   if (file)
     fclose (file);
 }
 
-/** Check all promises; gives how many times one is broken. */
+/** Check all invariants. Returns the number of violations. */
 size_t
-sk_check (const sk_world_t *world, const sk_seen_t *seen,
-          const sk_fault_t *faults, size_t nfaults, el_time_t begun)
+sk_check_invariants (const sk_cluster_t *cluster,
+                     const sk_requests_t *requests, const sk_fault_t *faults,
+                     size_t nfaults, el_time_t traffic_start)
 {
-  check_notes_t notes = { NULL, 0 };
-  check_run_t *runs = runs_read (world, &notes);
-  check_run_t *run;
-  check_run_t *next;
+  check_records_t records = { NULL, 0 };
+  check_executions_t *by_id = records_read (cluster, &records);
+  check_executions_t *executions;
+  check_executions_t *next;
   size_t n;
   size_t i;
 
-  for (i = 0; i < seen->len; i++)
+  for (i = 0; i < requests->len; i++)
     {
-      HASH_FIND_STR (runs, seen->list[i].id, run);
-      request_check (&seen->list[i], run);
+      HASH_FIND_STR (by_id, requests->list[i].id, executions);
+      request_check (&requests->list[i], executions);
     }
-  keys_never_back (seen);
-  stops_check (seen, faults, nfaults, begun);
-  leaving_check (&notes, faults, nfaults, begun);
-  asked_read (world, seen, faults, nfaults, begun);
-  free (notes.list);
-  seen_print (seen);
-  printf ("ran=%u ", HASH_COUNT (runs));
-  HASH_ITER (hh, runs, run, next)
+  revoked_keys_check (requests);
+  planned_stops_check (requests, faults, nfaults, traffic_start);
+  leaving_check (&records, faults, nfaults, traffic_start);
+  notices_check (cluster, requests, faults, nfaults, traffic_start);
+  free (records.list);
+  outcomes_print (requests);
+  printf ("ran=%u ", HASH_COUNT (by_id));
+  HASH_ITER (hh, by_id, executions, next)
   {
-    if (!run->asked)
-      sk_broken ("asked", run->id, "nobody sent it");
-    HASH_DEL (runs, run);
-    free (run);
+    if (!executions->sent_by_caller)
+      sk_violation ("asked", executions->id,
+                    "executed, but no caller sent it");
+    HASH_DEL (by_id, executions);
+    free (executions);
   }
-  n = broken;
-  broken = 0;
+  n = violations;
+  violations = 0;
   return n;
 }
--- a/soak/fault.c
+++ b/soak/fault.c
@@ -3,118 +3,120 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * What faults do to the processes and links of a run.
+ * Fault injection: what each kind of fault does to processes and links.
  */
 #include <signal.h>
 #include <stdio.h>
 
 #include "soak.h"
 
-/* An entry of an endpoint that died goes after this, as with three heartbeats
-   missed. */
-#define ENTRY_GOES (1500 * EL_MSEC)
-/* Bytes on a slow link come this much later in the mildest variant, and by
-   DELAY_STEP_MS more in each next one. */
-#define DELAY_MS 20
-#define DELAY_STEP_MS 60
-#define RETURN_MS 100
-#define RETURN_STEP_MS 500
+/* Time until the store entry of a killed endpoint is deleted, as after three
+   missed heartbeats. */
+#define ENTRY_EXPIRY (1500 * EL_MSEC)
+/* Delay of a link in variant 0, and the increase with each further variant. */
+#define LINK_DELAY_MS 20
+#define LINK_DELAY_STEP_MS 60
+/* Time from a rollback until the lost writes are repeated, likewise. */
+#define REWRITE_DELAY_MS 100
+#define REWRITE_DELAY_STEP_MS 500
 
 static void
-host_term (sk_world_t *world, sk_fault_t *fault)
+host_term (sk_cluster_t *cluster, sk_fault_t *fault)
 {
-  sk_proc_t *host = &world->hosts[fault->which];
+  sk_proc_t *host = &cluster->hosts[fault->target];
 
-  if (!host->ending)
+  if (!host->stopping)
     sk_proc_signal (host, SIGTERM);
-  host->ending = 1;
+  host->stopping = 1;
 }
 
 static void
-host_kill_at (sk_world_t *world, unsigned i, el_time_t lasts)
+host_kill_for (sk_cluster_t *cluster, unsigned i, el_time_t duration)
 {
-  sk_proc_t *host = &world->hosts[i];
+  sk_proc_t *host = &cluster->hosts[i];
 
   sk_proc_kill (host);
-  if (!host->back)
-    host->back = sk_now () + lasts;
+  if (!host->restart_at)
+    host->restart_at = sk_now () + duration;
 }
 
 static void
-host_kill (sk_world_t *world, sk_fault_t *fault)
+host_kill (sk_cluster_t *cluster, sk_fault_t *fault)
 {
-  host_kill_at (world, fault->which, fault->lasts);
+  host_kill_for (cluster, fault->target, fault->duration);
 }
 
 static void
-hosts_kill (sk_world_t *world, sk_fault_t *fault)
+hosts_kill (sk_cluster_t *cluster, sk_fault_t *fault)
 {
   unsigned i;
 
   for (i = 0; i < SK_HOSTS; i++)
-    host_kill_at (world, i, fault->lasts);
+    host_kill_for (cluster, i, fault->duration);
 }
 
 static void
-host_pause (sk_world_t *world, sk_fault_t *fault)
+host_pause (sk_cluster_t *cluster, sk_fault_t *fault)
 {
-  sk_proc_pause (&world->hosts[fault->which], 1);
+  sk_proc_pause (&cluster->hosts[fault->target], 1);
 }
 
 static void
-host_continue (sk_world_t *world, sk_fault_t *fault)
+host_resume (sk_cluster_t *cluster, sk_fault_t *fault)
 {
-  sk_proc_pause (&world->hosts[fault->which], 0);
+  sk_proc_pause (&cluster->hosts[fault->target], 0);
 }
 
 static void
-member_kill_for (sk_proc_t *member, el_time_t lasts)
+endpoint_kill_for (sk_proc_t *endpoint, el_time_t duration)
 {
-  if (!member->pid)
+  if (!endpoint->pid)
     return;
-  sk_proc_kill (member);
-  member->gone = sk_now () + ENTRY_GOES;
-  member->back
-      = sk_now () + (lasts > ENTRY_GOES ? lasts : ENTRY_GOES + EL_MSEC);
+  sk_proc_kill (endpoint);
+  endpoint->deregister_at = sk_now () + ENTRY_EXPIRY;
+  endpoint->restart_at
+      = sk_now ()
+        + (duration > ENTRY_EXPIRY ? duration : ENTRY_EXPIRY + EL_MSEC);
 }
 
 static void
-member_kill (sk_world_t *world, sk_fault_t *fault)
+endpoint_kill (sk_cluster_t *cluster, sk_fault_t *fault)
 {
-  member_kill_for (&world->members[fault->which], fault->lasts);
+  endpoint_kill_for (&cluster->endpoints[fault->target], fault->duration);
 }
 
 static void
-member_pause (sk_world_t *world, sk_fault_t *fault)
+endpoint_pause (sk_cluster_t *cluster, sk_fault_t *fault)
 {
-  sk_proc_pause (&world->members[fault->which], 1);
+  sk_proc_pause (&cluster->endpoints[fault->target], 1);
 }
 
 static void
-member_continue (sk_world_t *world, sk_fault_t *fault)
+endpoint_resume (sk_cluster_t *cluster, sk_fault_t *fault)
 {
-  sk_proc_pause (&world->members[fault->which], 0);
+  sk_proc_pause (&cluster->endpoints[fault->target], 0);
 }
 
 static void
-member_leave (sk_world_t *world, sk_fault_t *fault)
+endpoint_leave (sk_cluster_t *cluster, sk_fault_t *fault)
 {
-  const sk_proc_t *member = &world->members[fault->which];
+  const sk_proc_t *endpoint = &cluster->endpoints[fault->target];
 
-  snprintf (fault->member, sizeof fault->member, "%s", member->id);
-  sk_http ("POST", member->address, "/leave", "{}", NULL);
+  snprintf (fault->endpoint_id, sizeof fault->endpoint_id, "%s", endpoint->id);
+  sk_http ("POST", endpoint->address, "/leave", "{}", NULL);
 }
 
 static void
-member_left (sk_world_t *world, sk_fault_t *fault)
+endpoint_stop (sk_cluster_t *cluster, sk_fault_t *fault)
 {
-  sk_proc_t *member = &world->members[fault->which];
+  sk_proc_t *endpoint = &cluster->endpoints[fault->target];
 
-  member_kill_for (member, 0); /* also one that is paused */
+  endpoint_kill_for (endpoint, 0); /* also if it is paused */
 }
 
-/* What a member asks for that turns requests away, in each variant. */
-static const char *const rests[] = {
+/* How an endpoint refuses requests and which backoff it asks for, by variant.
+ */
+static const char *const backoffs[] = {
   "{\"kinds\":[\"requests\"],\"status\":503,\"asked\":[\"1.2\"],"
   "\"span_ms\":1200}",
   "{\"kinds\":[\"requests\"],\"status\":503,\"asked\":[\"0.6\"],"
@@ -126,194 +128,196 @@
 };
 
 static void
-member_ask (const sk_world_t *world, const sk_fault_t *fault, const char *what)
+endpoint_notice_set (const sk_cluster_t *cluster, const sk_fault_t *fault,
+                     const char *what)
 {
-  const sk_proc_t *member = &world->members[fault->which];
+  const sk_proc_t *endpoint = &cluster->endpoints[fault->target];
 
-  if (member->pid && !member->paused)
-    sk_http ("POST", member->address, "/rest", what, NULL);
+  if (endpoint->pid && !endpoint->paused)
+    sk_http ("POST", endpoint->address, "/rest", what, NULL);
 }
 
 static void
-member_rest (sk_world_t *world, sk_fault_t *fault)
+endpoint_backoff (sk_cluster_t *cluster, sk_fault_t *fault)
 {
-  member_ask (world, fault, rests[fault->how]);
+  endpoint_notice_set (cluster, fault, backoffs[fault->variant]);
 }
 
 static void
-member_rested (sk_world_t *world, sk_fault_t *fault)
+endpoint_backoff_end (sk_cluster_t *cluster, sk_fault_t *fault)
 {
-  member_ask (world, fault, "{}");
+  endpoint_notice_set (cluster, fault, "{}");
 }
 
 static void
-member_says (sk_world_t *world, sk_fault_t *fault)
+endpoint_leave_notice (sk_cluster_t *cluster, sk_fault_t *fault)
 {
-  member_ask (world, fault, "{\"leaving\":true}");
+  endpoint_notice_set (cluster, fault, "{\"leaving\":true}");
 }
 
-/* Tell a worker how to answer from now on. */
+/* Set the fault with which a worker responds from now on; "none" clears it. */
 static void
-worker_tell (const sk_world_t *world, const sk_fault_t *fault,
-             const char *name)
+worker_fault_set (const sk_cluster_t *cluster, const sk_fault_t *fault,
+                  const char *name)
 {
   char body[64];
 
   snprintf (body, sizeof body, "{\"fault\":\"%s\"}", name);
-  sk_http ("PUT", world->members[SK_ENGINES + fault->which].address, "/fault",
-           body, NULL);
+  sk_http ("PUT", cluster->endpoints[SK_ENGINES + fault->target].address,
+           "/fault", body, NULL);
 }
 
 static void
-answer_wrong (sk_world_t *world, sk_fault_t *fault)
+worker_fault (sk_cluster_t *cluster, sk_fault_t *fault)
 {
   static const char *const names[] = { "lose", "cross", "busy", "hang" };
 
-  worker_tell (world, fault, names[fault->how]);
+  worker_fault_set (cluster, fault, names[fault->variant]);
 }
 
 static void
-answer_well (sk_world_t *world, sk_fault_t *fault)
+worker_fault_clear (sk_cluster_t *cluster, sk_fault_t *fault)
 {
-  worker_tell (world, fault, "none");
+  worker_fault_set (cluster, fault, "none");
 }
 
 static void
-store_pause (sk_world_t *world, sk_fault_t *fault)
+store_pause (sk_cluster_t *cluster, sk_fault_t *fault)
 {
   (void)fault;
-  sk_proc_pause (&world->store, 1);
+  sk_proc_pause (&cluster->store, 1);
 }
 
 static void
-store_continue (sk_world_t *world, sk_fault_t *fault)
+store_resume (sk_cluster_t *cluster, sk_fault_t *fault)
 {
   (void)fault;
-  sk_proc_pause (&world->store, 0);
+  sk_proc_pause (&cluster->store, 0);
 }
 
 static void
-store_forget (sk_world_t *world, sk_fault_t *fault)
+store_compact (sk_cluster_t *cluster, sk_fault_t *fault)
 {
   (void)fault;
-  sk_http ("POST", world->store.address, "/test/forget", "{}", NULL);
+  sk_http ("POST", cluster->store.address, "/test/forget", "{}", NULL);
 }
 
 static void
-store_copy (sk_world_t *world, sk_fault_t *fault)
+store_snapshot (sk_cluster_t *cluster, sk_fault_t *fault)
 {
   (void)fault;
-  if (!world->store.paused)
-    sk_http ("POST", world->store.address, "/test/copy", "{}", NULL);
+  if (!cluster->store.paused)
+    sk_http ("POST", cluster->store.address, "/test/copy", "{}", NULL);
 }
 
-/* Writers write again what it lost, sooner or later. */
+/* The stand-in repeats the lost writes after a time that depends on the
+   variant. */
 static void
-store_return (sk_world_t *world, sk_fault_t *fault)
+store_rollback (sk_cluster_t *cluster, sk_fault_t *fault)
 {
   char body[64];
 
   snprintf (body, sizeof body, "{\"again_ms\":%u}",
-            RETURN_MS + RETURN_STEP_MS * fault->how);
-  if (!world->store.paused)
-    sk_http ("POST", world->store.address, "/test/restore", body, NULL);
+            REWRITE_DELAY_MS + REWRITE_DELAY_STEP_MS * fault->variant);
+  if (!cluster->store.paused)
+    sk_http ("POST", cluster->store.address, "/test/restore", body, NULL);
 }
 
 static void
-link_delay (sk_world_t *world, sk_fault_t *fault)
+link_delay (sk_cluster_t *cluster, sk_fault_t *fault)
 {
-  sk_proxy_delay (world->proxy, fault->which,
-                  DELAY_MS + DELAY_STEP_MS * fault->how);
+  sk_proxy_delay (cluster->proxy, fault->target,
+                  LINK_DELAY_MS + LINK_DELAY_STEP_MS * fault->variant);
 }
 
 static void
-link_swift (sk_world_t *world, sk_fault_t *fault)
+link_delay_end (sk_cluster_t *cluster, sk_fault_t *fault)
 {
-  sk_proxy_delay (world->proxy, fault->which, 0);
+  sk_proxy_delay (cluster->proxy, fault->target, 0);
 }
 
 static void
-link_reset (sk_world_t *world, sk_fault_t *fault)
+link_reset (sk_cluster_t *cluster, sk_fault_t *fault)
 {
-  sk_proxy_reset (world->proxy, fault->which);
+  sk_proxy_reset (cluster->proxy, fault->target);
 }
 
 static void
-link_cut (sk_world_t *world, sk_fault_t *fault)
+link_partition_one_way (sk_cluster_t *cluster, sk_fault_t *fault)
 {
-  sk_proxy_hold (world->proxy, fault->which, fault->how % 2 ? SK_UP : SK_DOWN,
-                 1);
+  sk_proxy_hold (cluster->proxy, fault->target,
+                 fault->variant % 2 ? SK_UPSTREAM : SK_DOWNSTREAM, 1);
 }
 
 static void
-link_silent (sk_world_t *world, sk_fault_t *fault)
+link_partition (sk_cluster_t *cluster, sk_fault_t *fault)
 {
-  sk_proxy_hold (world->proxy, fault->which, SK_UP, 1);
-  sk_proxy_hold (world->proxy, fault->which, SK_DOWN, 1);
+  sk_proxy_hold (cluster->proxy, fault->target, SK_UPSTREAM, 1);
+  sk_proxy_hold (cluster->proxy, fault->target, SK_DOWNSTREAM, 1);
 }
 
 static void
-link_pass (sk_world_t *world, sk_fault_t *fault)
+link_heal (sk_cluster_t *cluster, sk_fault_t *fault)
 {
-  sk_proxy_hold (world->proxy, fault->which, SK_UP, 0);
-  sk_proxy_hold (world->proxy, fault->which, SK_DOWN, 0);
+  sk_proxy_hold (cluster->proxy, fault->target, SK_UPSTREAM, 0);
+  sk_proxy_hold (cluster->proxy, fault->target, SK_DOWNSTREAM, 0);
 }
 
 static void
-config_again (sk_world_t *world, sk_fault_t *fault)
+config_write (sk_cluster_t *cluster, sk_fault_t *fault)
 {
   (void)fault;
-  if (!world->store.paused)
-    sk_config_write (world);
+  if (!cluster->store.paused)
+    sk_config_write (cluster);
 }
 
 static void
-key_take (sk_world_t *world, sk_fault_t *fault)
+key_revoke (sk_cluster_t *cluster, sk_fault_t *fault)
 {
-  if (!world->store.paused)
-    sk_key_take (world, fault->which);
+  if (!cluster->store.paused)
+    sk_key_revoke (cluster, fault->target);
 }
 
-/* What each kind does when it strikes and at its end; NULL is nothing. */
+/* Actions at the start and at the end of each kind; NULL: none. */
 static const struct
 {
-  void (*begin) (sk_world_t *world, sk_fault_t *fault);
-  void (*end) (sk_world_t *world, sk_fault_t *fault);
-} kinds[SK_KINDS] = {
+  void (*begin) (sk_cluster_t *cluster, sk_fault_t *fault);
+  void (*end) (sk_cluster_t *cluster, sk_fault_t *fault);
+} handlers[SK_FAULT_KINDS] = {
   [SK_HOST_TERM] = { host_term, NULL },
   [SK_HOST_KILL] = { host_kill, NULL },
-  [SK_HOST_PAUSE] = { host_pause, host_continue },
+  [SK_HOST_PAUSE] = { host_pause, host_resume },
   [SK_HOSTS_KILL] = { hosts_kill, NULL },
-  [SK_MEMBER_KILL] = { member_kill, NULL },
-  [SK_MEMBER_PAUSE] = { member_pause, member_continue },
-  [SK_MEMBER_LEAVE] = { member_leave, member_left },
-  [SK_MEMBER_ANSWER] = { answer_wrong, answer_well },
-  [SK_STORE_PAUSE] = { store_pause, store_continue },
-  [SK_STORE_FORGET] = { store_forget, NULL },
-  [SK_LINK_DELAY] = { link_delay, link_swift },
+  [SK_ENDPOINT_KILL] = { endpoint_kill, NULL },
+  [SK_ENDPOINT_PAUSE] = { endpoint_pause, endpoint_resume },
+  [SK_ENDPOINT_LEAVE] = { endpoint_leave, endpoint_stop },
+  [SK_WORKER_FAULT] = { worker_fault, worker_fault_clear },
+  [SK_STORE_PAUSE] = { store_pause, store_resume },
+  [SK_STORE_COMPACT] = { store_compact, NULL },
+  [SK_LINK_DELAY] = { link_delay, link_delay_end },
   [SK_LINK_RESET] = { link_reset, NULL },
-  [SK_LINK_CUT] = { link_cut, link_pass },
-  [SK_LINK_SILENT] = { link_silent, link_pass },
-  [SK_CONFIG] = { config_again, NULL },
-  [SK_KEY] = { key_take, NULL },
-  [SK_MEMBER_REST] = { member_rest, member_rested },
-  [SK_MEMBER_SAYS] = { member_says, member_left },
-  [SK_STORE_COPY] = { store_copy, store_return },
+  [SK_LINK_PARTITION_ONE_WAY] = { link_partition_one_way, link_heal },
+  [SK_LINK_PARTITION] = { link_partition, link_heal },
+  [SK_CONFIG_WRITE] = { config_write, NULL },
+  [SK_KEY_REVOKE] = { key_revoke, NULL },
+  [SK_ENDPOINT_BACKOFF] = { endpoint_backoff, endpoint_backoff_end },
+  [SK_ENDPOINT_LEAVE_NOTICE] = { endpoint_leave_notice, endpoint_stop },
+  [SK_STORE_ROLLBACK] = { store_snapshot, store_rollback },
 };
 
-/** Have FAULT strike. */
+/** Start FAULT. */
 void
-sk_fault_begin (sk_world_t *world, sk_fault_t *fault)
+sk_fault_begin (sk_cluster_t *cluster, sk_fault_t *fault)
 {
-  fault->begun = 1;
-  kinds[fault->kind].begin (world, fault);
+  fault->started = 1;
+  handlers[fault->kind].begin (cluster, fault);
 }
 
-/** End what FAULT began. */
+/** End FAULT. */
 void
-sk_fault_end (sk_world_t *world, sk_fault_t *fault)
+sk_fault_end (sk_cluster_t *cluster, sk_fault_t *fault)
 {
-  fault->over = 1;
-  if (kinds[fault->kind].end)
-    kinds[fault->kind].end (world, fault);
+  fault->ended = 1;
+  if (handlers[fault->kind].end)
+    handlers[fault->kind].end (cluster, fault);
 }
--- a/soak/http.c
+++ b/soak/http.c
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * The clock of a run, and single HTTP exchanges.
+ * The clock of a run, and single HTTP requests.
  */
 #include <stdio.h>
 #include <time.h>
@@ -13,12 +13,13 @@
 
 #include "soak.h"
 
-#define HTTP_LIMIT_MS 1000L
-/* A process answers within READY_TRIES steps, 10 seconds, or not at all. */
-#define READY_TRIES 400
-#define READY_STEP_NS 25000000
+#define HTTP_TIMEOUT_MS 1000L
+/* sk_http_wait() gives up after this many attempts: 10 s of pauses, plus the
+   time of the attempts. */
+#define WAIT_TRIES 400
+#define POLL_PAUSE_NS 25000000
 
-/** Now, in microseconds on the clock that endpoints note runs by. */
+/** Now, in microseconds on the clock that endpoints use in their record. */
 el_time_t
 sk_now (void)
 {
@@ -46,7 +47,7 @@
   curl_easy_setopt (curl, CURLOPT_URL, url);
   curl_easy_setopt (curl, CURLOPT_CUSTOMREQUEST, method);
   curl_easy_setopt (curl, CURLOPT_NOSIGNAL, 1L);
-  curl_easy_setopt (curl, CURLOPT_TIMEOUT_MS, HTTP_LIMIT_MS);
+  curl_easy_setopt (curl, CURLOPT_TIMEOUT_MS, HTTP_TIMEOUT_MS);
   curl_easy_setopt (curl, CURLOPT_WRITEFUNCTION, http_body);
   curl_easy_setopt (curl, CURLOPT_WRITEDATA, out);
   if (body)
@@ -57,29 +58,29 @@
   return status;
 }
 
-/** Wait a little before something is looked at again. */
+/** Pause between two polls. */
 void
-sk_wait_step (void)
+sk_poll_pause (void)
 {
-  struct timespec step = { 0, READY_STEP_NS };
+  struct timespec step = { 0, POLL_PAUSE_NS };
 
   nanosleep (&step, NULL);
 }
 
-/** Wait until ADDRESS answers PATH with 200; gives 0 when it does not. OUT, as
-    for sk_http, has the last answer's body. */
+/** Poll ADDRESS until it responds to GET PATH with 200. Returns 0 if it never
+    does. OUT, as for sk_http(), holds the body of the last response. */
 int
 sk_http_wait (const char *address, const char *path, el_buf_t *out)
 {
   int i;
 
-  for (i = 0; i < READY_TRIES; i++)
+  for (i = 0; i < WAIT_TRIES; i++)
     {
       if (out)
         el_buf_reset (out);
       if (sk_http ("GET", address, path, NULL, out) == 200)
         return 1;
-      sk_wait_step ();
+      sk_poll_pause ();
     }
   return 0;
 }
--- a/soak/main.c
+++ b/soak/main.c
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Runs the seeds that it is given, one after the other; ends with 1 when a
- * promise was broken.
+ * Runs the given seeds one after the other. Exits with status 1 if an
+ * invariant was violated.
  */
 #include <inttypes.h>
 #include <signal.h>
@@ -19,9 +19,9 @@
 
 #include "soak.h"
 
-#define STEP_NS 10000000
-/* After the last fault all hosts serve again within this. */
-#define RECOVERY (15 * EL_SEC)
+#define TICK_NS 10000000
+/* Time after the last fault within which all hosts must serve again. */
+#define RECOVERY_TIMEOUT (15 * EL_SEC)
 
 typedef struct soak_settings
 {
@@ -36,31 +36,33 @@
   int copies;
 } soak_settings_t;
 
-#define AT(field) offsetof (soak_settings_t, field)
+#define FIELD(field) offsetof (soak_settings_t, field)
 
 static const el_set_t table[] = {
-  { "bin", EL_SET_STRING, AT (bin), "build/bin", 1, 255, 0, "DIR",
-    "the programs" },
-  { "dir", EL_SET_STRING, AT (dir), "build/soak", 1, 200, 0, "DIR",
-    "for logs and records, a folder for each seed" },
-  { "seed", EL_SET_U64, AT (seed), "1", 0, UINT32_MAX, 0, "N",
-    "the first seed" },
-  { "seeds", EL_SET_U64, AT (seeds), "1", 1, 100000, 0, "N", "how many" },
-  { "seconds", EL_SET_U64, AT (seconds), "12", 1, 86400, 0, "S",
-    "faults of one seed, 64 at the most" },
-  { "callers", EL_SET_U64, AT (callers), "12", 1, 256, 0, "N", "threads" },
-  { "plan", EL_SET_FLAG, AT (plan), "0", 0, 1, 0, NULL,
-    "print the faults as they strike" },
-  { "asks", EL_SET_FLAG, AT (asks), "0", 0, 1, 0, NULL,
-    "have members ask for rest, and say that they leave, besides" },
-  { "copies", EL_SET_FLAG, AT (copies), "0", 0, 1, 0, NULL,
-    "have the store go on from copies of itself, in place of most faults" },
+  { "bin", EL_SET_STRING, FIELD (bin), "build/bin", 1, 255, 0, "DIR",
+    "directory of the programs under test" },
+  { "dir", EL_SET_STRING, FIELD (dir), "build/soak", 1, 200, 0, "DIR",
+    "logs and records, with a subdirectory for each seed" },
+  { "seed", EL_SET_U64, FIELD (seed), "1", 0, UINT32_MAX, 0, "N",
+    "first seed" },
+  { "seeds", EL_SET_U64, FIELD (seeds), "1", 1, 100000, 0, "N",
+    "number of seeds" },
+  { "seconds", EL_SET_U64, FIELD (seconds), "12", 1, 86400, 0, "S",
+    "duration of the faults of one seed (64 faults at most)" },
+  { "callers", EL_SET_U64, FIELD (callers), "12", 1, 256, 0, "N", "threads" },
+  { "plan", EL_SET_FLAG, FIELD (plan), "0", 0, 1, 0, NULL,
+    "print each fault when it starts" },
+  { "asks", EL_SET_FLAG, FIELD (asks), "0", 0, 1, 0, NULL,
+    "in addition, have endpoints ask for backoff and announce that they "
+    "leave" },
+  { "copies", EL_SET_FLAG, FIELD (copies), "0", 0, 1, 0, NULL,
+    "roll the store back to snapshots, in place of most faults" },
 };
 
-/* Begin and end what is due. */
+/* Start and end the faults that are due. */
 static void
-faults_look (sk_world_t *world, sk_fault_t *faults, size_t n, el_time_t at,
-             int print)
+faults_tick (sk_cluster_t *cluster, sk_fault_t *faults, size_t n,
+             el_time_t elapsed, int print)
 {
   size_t i;
 
@@ -68,55 +70,58 @@
     {
       sk_fault_t *fault = &faults[i];
 
-      if (!fault->begun && at >= fault->at)
+      if (!fault->started && elapsed >= fault->start_at)
         {
           if (print)
-            printf ("at_ms=%" PRIu64 " fault=%s which=%u how=%u ms=%" PRIu64
-                    "\n",
-                    fault->at / EL_MSEC, sk_kind_name (fault->kind),
-                    fault->which, fault->how, fault->lasts / EL_MSEC);
-          sk_fault_begin (world, fault);
+            printf (
+                "at_ms=%" PRIu64 " fault=%s which=%u how=%u ms=%" PRIu64 "\n",
+                fault->start_at / EL_MSEC, sk_fault_kind_name (fault->kind),
+                fault->target, fault->variant, fault->duration / EL_MSEC);
+          sk_fault_begin (cluster, fault);
         }
-      if (fault->begun && !fault->over && at >= fault->at + fault->lasts)
-        sk_fault_end (world, fault);
+      if (fault->started && !fault->ended
+          && elapsed >= fault->start_at + fault->duration)
+        sk_fault_end (cluster, fault);
     }
 }
 
 static void
-step (void)
+tick_sleep (void)
 {
-  const struct timespec wait = { 0, STEP_NS };
+  const struct timespec wait = { 0, TICK_NS };
 
   nanosleep (&wait, NULL);
 }
 
-/* All hosts serve all kinds of requests again. */
+/* Check that all hosts serve all kinds of requests. */
 static void
-recovery_check (sk_world_t *world, sk_seen_t *seen)
+recovery_check (sk_cluster_t *cluster, sk_requests_t *requests)
 {
-  el_time_t until = sk_now () + RECOVERY;
+  el_time_t until = sk_now () + RECOVERY_TIMEOUT;
   unsigned host = 0;
   unsigned kind = 0;
 
   while (host < SK_HOSTS && sk_now () < until)
     {
-      sk_world_tick (world, sk_now ());
-      if (!sk_caller_probe (world, seen, host, (sk_request_kind_t)kind))
+      sk_cluster_tick (cluster, sk_now ());
+      if (!sk_caller_probe (cluster, requests, host, (sk_request_kind_t)kind))
         {
-          step ();
+          tick_sleep ();
           continue;
         }
       kind = (kind + 1) % SK_REQUEST_KINDS;
       host += kind == 0;
     }
   if (host < SK_HOSTS)
-    sk_broken ("recovery", "-", "host %u does not serve kind %u", host, kind);
+    sk_violation ("recovery", "-",
+                  "host %u does not serve requests of kind %u", host, kind);
 }
 
-/* A folder for the logs of one seed; what members noted in an earlier run of
-   it must not count again. */
+/* Create the directory for the logs of one seed. Records of an earlier run of
+   the seed are deleted, as they would be counted again. */
 static void
-dir_make (const soak_settings_t *set, uint64_t seed, char *out, size_t size)
+seed_dir_prepare (const soak_settings_t *set, uint64_t seed, char *out,
+                  size_t size)
 {
   char record[300];
 
@@ -133,38 +138,41 @@
 seed_run (const soak_settings_t *set, uint64_t seed)
 {
   sk_fault_t faults[2 * SK_FAULTS_MAX];
-  sk_seen_t seen = { .lock = PTHREAD_MUTEX_INITIALIZER };
+  sk_requests_t requests = { .lock = PTHREAD_MUTEX_INITIALIZER };
   el_time_t length = set->seconds * EL_SEC;
-  size_t nfaults = set->copies ? sk_plan_copies (seed, length, faults)
+  size_t nfaults = set->copies ? sk_plan_rollbacks (seed, length, faults)
                                : sk_plan (seed, length, faults);
   sk_callers_t *callers;
-  sk_world_t world;
-  el_time_t begun;
+  sk_cluster_t cluster;
+  el_time_t traffic_start;
   char dir[256];
   size_t n;
 
   if (set->asks)
-    nfaults += sk_plan_asks (seed, length, &faults[nfaults]);
-  dir_make (set, seed, dir, sizeof dir);
-  sk_world_open (&world, set->bin, dir);
-  recovery_check (&world, &seen); /* the layers are placed */
-  callers = sk_callers_start (&world, &seen, (unsigned)set->callers, seed);
-  begun = sk_now ();
-  while (sk_now () < begun + length)
+    nfaults += sk_plan_notices (seed, length, &faults[nfaults]);
+  seed_dir_prepare (set, seed, dir, sizeof dir);
+  sk_cluster_start (&cluster, set->bin, dir);
+  recovery_check (&cluster, &requests); /* waits until layers are placed */
+  callers
+      = sk_callers_start (&cluster, &requests, (unsigned)set->callers, seed);
+  traffic_start = sk_now ();
+  while (sk_now () < traffic_start + length)
     {
-      faults_look (&world, faults, nfaults, sk_now () - begun, set->plan);
-      sk_world_tick (&world, sk_now ());
-      step ();
+      faults_tick (&cluster, faults, nfaults, sk_now () - traffic_start,
+                   set->plan);
+      sk_cluster_tick (&cluster, sk_now ());
+      tick_sleep ();
     }
-  faults_look (&world, faults, nfaults, EL_TIME_NEVER / 2, set->plan);
-  sk_world_calm (&world);
-  recovery_check (&world, &seen);
+  faults_tick (&cluster, faults, nfaults, EL_TIME_NEVER / 2, set->plan);
+  sk_cluster_clear_faults (&cluster);
+  recovery_check (&cluster, &requests);
   sk_callers_stop (callers);
-  sk_world_close (&world);
-  n = sk_check (&world, &seen, faults, nfaults, begun);
+  sk_cluster_stop (&cluster);
+  n = sk_check_invariants (&cluster, &requests, faults, nfaults,
+                           traffic_start);
   printf ("seed=%" PRIu64 " faults=%zu broken=%zu\n", seed, nfaults, n);
   fflush (stdout);
-  free (seen.list);
+  free (requests.list);
   return n;
 }
 
--- a/soak/operator.c
+++ b/soak/operator.c
@@ -3,22 +3,23 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * The operator of a run: the configuration, and the keys of customers.
+ * The operator: writes the configuration and revokes keys of customers.
  */
 #include <stdio.h>
 
 #include "soak.h"
 
-/** The text of a key; each time that it is taken away it becomes another. */
+/** The text of a key, which differs for each generation. */
 void
 sk_key_text (unsigned key, unsigned generation, char *out, size_t size)
 {
   snprintf (out, size, "key-%u-%u", key, generation);
 }
 
-/** The operator writes a new version; gives whether the store took it. */
+/** Write a new version of the configuration. Returns whether the store
+   accepted it. */
 int
-sk_config_write (sk_world_t *world)
+sk_config_write (sk_cluster_t *cluster)
 {
   static const char *const head
       = "{\"Version\":%d,\"Routes\":["
@@ -42,30 +43,30 @@
   long status;
   unsigned k;
 
-  el_buf_printf (&body, head, ++world->version);
+  el_buf_printf (&body, head, ++cluster->config_version);
   for (k = 0; k < SK_KEYS; k++)
     {
-      sk_key_text (k, world->keys[k], key, sizeof key);
+      sk_key_text (k, cluster->key_generations[k], key, sizeof key);
       el_buf_printf (&body,
                      "%s{\"Name\":\"customer-%u\",\"ApiKeys\":[\"%s\"]}",
                      k ? "," : "", k, key);
     }
   el_buf_printf (&body, "]}");
-  status = sk_http ("PUT", world->store.address, "/test/op/config", body.ptr,
+  status = sk_http ("PUT", cluster->store.address, "/test/op/config", body.ptr,
                     NULL);
   el_buf_free (&body);
   return status == 200;
 }
 
-/** Take a key away and give its customer another. */
+/** Revoke a key and give its customer a new one. */
 void
-sk_key_take (sk_world_t *world, unsigned key)
+sk_key_revoke (sk_cluster_t *cluster, unsigned key)
 {
-  int written;
+  int accepted;
 
-  __atomic_store_n (&world->taken[key], 0, __ATOMIC_RELAXED);
-  __atomic_add_fetch (&world->keys[key], 1, __ATOMIC_RELAXED);
-  written = sk_config_write (world);
-  __atomic_store_n (&world->taken[key], written ? sk_now () : 0,
+  __atomic_store_n (&cluster->keys_revoked_at[key], 0, __ATOMIC_RELAXED);
+  __atomic_add_fetch (&cluster->key_generations[key], 1, __ATOMIC_RELAXED);
+  accepted = sk_config_write (cluster);
+  __atomic_store_n (&cluster->keys_revoked_at[key], accepted ? sk_now () : 0,
                     __ATOMIC_RELAXED);
 }
--- a/soak/plan.c
+++ b/soak/plan.c
@@ -3,178 +3,189 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * The schedule of faults that a seed makes.
+ * Derives the fault schedule of a run from its seed.
  */
 #include "soak.h"
 
-/* Mean time between two faults; several overlap. */
-#define EVERY (700 * EL_MSEC)
-/* The first one: hosts have taken in their callers by then. */
-#define FIRST (300 * EL_MSEC)
-/* Half of the keys that are taken away are so while a host is cut from the
-   store, for longer than hosts go on without it. */
-#define UNHEARD_BEFORE (100 * EL_MSEC)
-#define UNHEARD_LASTS (5 * EL_SEC)
-
-/* What each kind strikes, for how long (milliseconds), and how often beside
-   the others. */
+/* Mean time between the starts of two faults; faults may overlap. */
+#define FAULT_INTERVAL (700 * EL_MSEC)
+/* The first fault; hosts have accepted their callers by then. */
+#define FIRST_FAULT_AT (300 * EL_MSEC)
+/* Half of the key revocations happen while a host is partitioned from the
+   store, for longer than hosts accept keys without it. */
+#define REVOKE_PARTITION_LEAD (100 * EL_MSEC)
+#define REVOKE_PARTITION_DURATION (5 * EL_SEC)
+
+/* For each kind the number of targets, the range of durations, and the weight
+   when one kind is drawn among others. */
 static const struct
 {
   const char *name;
-  unsigned things;
-  unsigned least;
-  unsigned most;
+  unsigned targets;
+  unsigned min_ms;
+  unsigned max_ms;
   unsigned weight;
-} kinds[SK_KINDS] = {
+} fault_kinds[SK_FAULT_KINDS] = {
   [SK_HOST_TERM] = { "host_term", SK_HOSTS, 0, 0, 4 },
   [SK_HOST_KILL] = { "host_kill", SK_HOSTS, 100, 2000, 3 },
   [SK_HOST_PAUSE] = { "host_pause", SK_HOSTS, 100, 4000, 3 },
   [SK_HOSTS_KILL] = { "hosts_kill", 1, 100, 1000, 1 },
-  [SK_MEMBER_KILL] = { "member_kill", SK_MEMBERS, 500, 3000, 5 },
-  [SK_MEMBER_PAUSE] = { "member_pause", SK_MEMBERS, 100, 3000, 4 },
-  [SK_MEMBER_LEAVE] = { "member_leave", SK_MEMBERS, 2500, 4000, 3 },
-  [SK_MEMBER_ANSWER] = { "member_answer", SK_WORKERS, 300, 3000, 4 },
+  [SK_ENDPOINT_KILL] = { "member_kill", SK_ENDPOINTS, 500, 3000, 5 },
+  [SK_ENDPOINT_PAUSE] = { "member_pause", SK_ENDPOINTS, 100, 3000, 4 },
+  [SK_ENDPOINT_LEAVE] = { "member_leave", SK_ENDPOINTS, 2500, 4000, 3 },
+  [SK_WORKER_FAULT] = { "member_answer", SK_WORKERS, 300, 3000, 4 },
   [SK_STORE_PAUSE] = { "store_pause", 1, 200, 4000, 2 },
-  [SK_STORE_FORGET] = { "store_forget", 1, 0, 0, 2 },
+  [SK_STORE_COMPACT] = { "store_forget", 1, 0, 0, 2 },
   [SK_LINK_DELAY] = { "link_delay", SK_LINKS, 500, 3000, 3 },
   [SK_LINK_RESET] = { "link_reset", SK_LINKS, 0, 0, 4 },
-  [SK_LINK_CUT] = { "link_cut", SK_LINKS, 200, 4000, 4 },
-  [SK_LINK_SILENT] = { "link_silent", SK_LINKS, 200, 4000, 3 },
-  [SK_CONFIG] = { "config", 1, 0, 0, 3 },
-  [SK_KEY] = { "key", SK_KEYS, 0, 0, 5 },
-  [SK_MEMBER_REST] = { "member_rest", SK_MEMBERS, 500, 4000, 4 },
-  [SK_MEMBER_SAYS] = { "member_says", SK_MEMBERS, 2000, 4000, 1 },
-  [SK_STORE_COPY] = { "store_copy", 1, 1000, 2500, 0 },
+  [SK_LINK_PARTITION_ONE_WAY] = { "link_cut", SK_LINKS, 200, 4000, 4 },
+  [SK_LINK_PARTITION] = { "link_silent", SK_LINKS, 200, 4000, 3 },
+  [SK_CONFIG_WRITE] = { "config", 1, 0, 0, 3 },
+  [SK_KEY_REVOKE] = { "key", SK_KEYS, 0, 0, 5 },
+  [SK_ENDPOINT_BACKOFF] = { "member_rest", SK_ENDPOINTS, 500, 4000, 4 },
+  [SK_ENDPOINT_LEAVE_NOTICE] = { "member_says", SK_ENDPOINTS, 2000, 4000, 1 },
+  [SK_STORE_ROLLBACK] = { "store_copy", 1, 1000, 2500, 0 },
 };
 
-/** The kind's name, as runs print it. */
+/** The name of a kind in the output of --plan. */
 const char *
-sk_kind_name (sk_kind_t kind)
+sk_fault_kind_name (sk_fault_kind_t kind)
 {
-  return kinds[kind].name;
+  return fault_kinds[kind].name;
 }
 
-/* One of the kinds from FIRST to before END, by their weights. */
-static sk_kind_t
-kind_draw (uint64_t *random, sk_kind_t first, sk_kind_t end)
+/* Draw one of the kinds from FIRST to before END by their weights. */
+static sk_fault_kind_t
+kind_draw (uint64_t *random, sk_fault_kind_t first, sk_fault_kind_t end)
 {
-  unsigned all = 0;
+  unsigned total_weight = 0;
   unsigned draw;
   unsigned k;
 
   for (k = first; k < end; k++)
-    all += kinds[k].weight;
-  draw = (unsigned)(el_random (random) % all);
-  for (k = first; draw >= kinds[k].weight; k++)
-    draw -= kinds[k].weight;
-  return (sk_kind_t)k;
+    total_weight += fault_kinds[k].weight;
+  draw = (unsigned)(el_random (random) % total_weight);
+  for (k = first; draw >= fault_kinds[k].weight; k++)
+    draw -= fault_kinds[k].weight;
+  return (sk_fault_kind_t)k;
 }
 
-/* A fault of that kind: what it strikes, how, and for how long. */
+/* Draw target, variant and duration of a fault of KIND. */
 static void
-fault_draw (uint64_t *random, sk_kind_t kind, el_time_t at, sk_fault_t *out)
+fault_draw (uint64_t *random, sk_fault_kind_t kind, el_time_t at,
+            sk_fault_t *out)
 {
-  unsigned span = kinds[kind].most - kinds[kind].least;
-
-  *out = (sk_fault_t){ .kind = kind, .at = at };
-  out->which = (unsigned)(el_random (random) % kinds[kind].things);
-  out->how = (unsigned)(el_random (random) % 4);
-  if (kind >= SK_LINK_DELAY && kind <= SK_LINK_SILENT && out->how >= 2)
-    out->which %= SK_HOSTS; /* the store's links, as often as others */
-  out->lasts = (kinds[kind].least + el_random (random) % (span + 1)) * EL_MSEC;
+  unsigned range_ms = fault_kinds[kind].max_ms - fault_kinds[kind].min_ms;
+
+  *out = (sk_fault_t){ .kind = kind, .start_at = at };
+  out->target = (unsigned)(el_random (random) % fault_kinds[kind].targets);
+  out->variant = (unsigned)(el_random (random) % 4);
+  if (kind >= SK_LINK_DELAY && kind <= SK_LINK_PARTITION && out->variant >= 2)
+    out->target
+        %= SK_HOSTS; /* half of the link faults are on links to the store */
+  out->duration
+      = (fault_kinds[kind].min_ms + el_random (random) % (range_ms + 1))
+        * EL_MSEC;
 }
 
-/* A host that can't hear of the store while a key is taken away. */
+/* A partition of a host from the store while KEY is revoked. */
 static void
-key_unheard (const sk_fault_t *key, sk_fault_t *out)
+revoke_partition (const sk_fault_t *key, sk_fault_t *out)
 {
-  *out = (sk_fault_t){ .kind = SK_LINK_SILENT,
-                       .at = key->at - UNHEARD_BEFORE,
-                       .lasts = UNHEARD_LASTS,
-                       .which = key->which % SK_HOSTS };
+  *out = (sk_fault_t){ .kind = SK_LINK_PARTITION,
+                       .start_at = key->start_at - REVOKE_PARTITION_LEAD,
+                       .duration = REVOKE_PARTITION_DURATION,
+                       .target = key->target % SK_HOSTS };
 }
 
-/** Fill OUT with the faults of a run of that length; gives their number. */
+/** Fill OUT with the faults of a run of LENGTH. Returns their number. */
 size_t
 sk_plan (uint64_t seed, el_time_t length, sk_fault_t *out)
 {
   uint64_t random = seed * 2 + 1;
-  el_time_t at = FIRST;
+  el_time_t at = FIRST_FAULT_AT;
   size_t n = 0;
 
   while (at < length && n < SK_FAULTS_MAX)
     {
       sk_fault_t *fault = &out[n++];
-      sk_kind_t kind = kind_draw (&random, 0, SK_DRAWN);
+      sk_fault_kind_t kind = kind_draw (&random, 0, SK_BASIC_KINDS_END);
 
       fault_draw (&random, kind, at, fault);
-      if (kind == SK_KEY && fault->how >= 2 && n < SK_FAULTS_MAX)
-        key_unheard (fault, &out[n++]);
-      at += el_random (&random) % (2 * EVERY);
+      if (kind == SK_KEY_REVOKE && fault->variant >= 2 && n < SK_FAULTS_MAX)
+        revoke_partition (fault, &out[n++]);
+      at += el_random (&random) % (2 * FAULT_INTERVAL);
     }
   return n;
 }
 
-/* What strikes while the store is ahead of its copy, so that it goes back. */
-static const sk_kind_t ahead[]
-    = { SK_CONFIG, SK_KEY, SK_MEMBER_KILL, SK_CONFIG };
-/* What strikes, in some rounds, around its return. */
-static const sk_kind_t beside[] = { SK_HOST_TERM, SK_HOST_KILL, SK_LINK_SILENT,
-                                    SK_LINK_RESET, SK_STORE_PAUSE };
-/* A round is a copy, the return to it, and a member that leaves then. */
-#define ROUND_QUIET (5 * EL_SEC)
-#define AHEAD_EVERY (200 * EL_MSEC)
-#define RETURN_SPREAD (400 * EL_MSEC)
-/* One in so many rounds has nothing else strike. */
-#define ROUNDS_CALM 2
-
-/** The same for a store that goes on from copies of itself, in place of the
-    other faults: leaves are held to their bound only where little else
-   strikes.
- */
+/* Faults between the snapshot and the rollback, which undoes the writes of
+   these. */
+static const sk_fault_kind_t after_snapshot[]
+    = { SK_CONFIG_WRITE, SK_KEY_REVOKE, SK_ENDPOINT_KILL, SK_CONFIG_WRITE };
+/* In some rounds one of these starts shortly before the rollback. */
+static const sk_fault_kind_t around_rollback[]
+    = { SK_HOST_TERM, SK_HOST_KILL, SK_LINK_PARTITION, SK_LINK_RESET,
+        SK_STORE_PAUSE };
+/* A round is a snapshot, the rollback to it, and an endpoint that leaves
+   shortly after. */
+#define ROUND_PAUSE (5 * EL_SEC)
+#define AFTER_SNAPSHOT_INTERVAL (200 * EL_MSEC)
+#define ROLLBACK_JITTER (400 * EL_MSEC)
+/* One round in this many has no additional fault. */
+#define QUIET_ROUND_ONE_IN 2
+
+/** The same with rollbacks of the store in place of most other faults: the
+   time limit of leaves is checked only where few other faults are active. */
 size_t
-sk_plan_copies (uint64_t seed, el_time_t length, sk_fault_t *out)
+sk_plan_rollbacks (uint64_t seed, el_time_t length, sk_fault_t *out)
 {
   uint64_t random = (seed << 1) ^ 0x5bd1e995;
-  el_time_t at = FIRST;
-  el_time_t back;
+  el_time_t at = FIRST_FAULT_AT;
+  el_time_t rollback_at;
   size_t n = 0;
   size_t i;
 
   while (at < length && n + 8 < SK_FAULTS_MAX)
     {
-      fault_draw (&random, SK_STORE_COPY, at, &out[n]);
-      back = at + out[n++].lasts;
-      for (i = 0; i < sizeof ahead / sizeof *ahead; i++)
-        fault_draw (&random, ahead[i], at + (i + 1) * AHEAD_EVERY, &out[n++]);
-      if (el_random (&random) % ROUNDS_CALM)
+      fault_draw (&random, SK_STORE_ROLLBACK, at, &out[n]);
+      rollback_at = at + out[n++].duration;
+      for (i = 0; i < sizeof after_snapshot / sizeof *after_snapshot; i++)
+        fault_draw (&random, after_snapshot[i],
+                    at + (i + 1) * AFTER_SNAPSHOT_INTERVAL, &out[n++]);
+      if (el_random (&random) % QUIET_ROUND_ONE_IN)
         {
-          i = el_random (&random) % (sizeof beside / sizeof *beside);
-          fault_draw (&random, beside[i],
-                      back - el_random (&random) % RETURN_SPREAD, &out[n]);
-          out[n++].which %= SK_HOSTS;
+          i = el_random (&random)
+              % (sizeof around_rollback / sizeof *around_rollback);
+          fault_draw (&random, around_rollback[i],
+                      rollback_at - el_random (&random) % ROLLBACK_JITTER,
+                      &out[n]);
+          out[n++].target %= SK_HOSTS;
         }
-      fault_draw (&random, SK_MEMBER_LEAVE,
-                  back + el_random (&random) % RETURN_SPREAD, &out[n++]);
-      at = back + ROUND_QUIET;
+      fault_draw (&random, SK_ENDPOINT_LEAVE,
+                  rollback_at + el_random (&random) % ROLLBACK_JITTER,
+                  &out[n++]);
+      at = rollback_at + ROUND_PAUSE;
     }
   return n;
 }
 
-/** The same for members that ask something of hosts: a schedule of its own, so
-    that a seed's other faults are the same with and without it. */
+/** The same for endpoints that ask hosts to back off or announce that they
+    leave. The schedule is separate, so that the other faults of a seed are the
+    same with and without it. */
 size_t
-sk_plan_asks (uint64_t seed, el_time_t length, sk_fault_t *out)
+sk_plan_notices (uint64_t seed, el_time_t length, sk_fault_t *out)
 {
   uint64_t random = ~seed;
-  el_time_t at = FIRST;
+  el_time_t at = FIRST_FAULT_AT;
   size_t n = 0;
 
   while (at < length && n < SK_FAULTS_MAX)
     {
-      fault_draw (&random, kind_draw (&random, SK_DRAWN, SK_ASKS_END), at,
-                  &out[n++]);
-      at += el_random (&random) % (2 * EVERY);
+      fault_draw (&random,
+                  kind_draw (&random, SK_BASIC_KINDS_END, SK_NOTICE_KINDS_END),
+                  at, &out[n++]);
+      at += el_random (&random) % (2 * FAULT_INTERVAL);
     }
   return n;
 }
--- a/soak/proc.c
+++ b/soak/proc.c
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * One process of a run: started, paused, ended, looked after.
+ * Starts, pauses, stops and supervises one process of a run.
  */
 #include <fcntl.h>
 #include <signal.h>
@@ -17,18 +17,18 @@
 
 extern char **environ;
 
-/** Start PROC with ARGS, whose first is the program; what it prints goes to
-    the file LOG. */
+/** Start PROC with ARGS, the first of which names the program. Its output is
+    appended to the log file LOG. */
 void
-sk_proc_start (const sk_world_t *world, sk_proc_t *proc, const char *log,
+sk_proc_start (const sk_cluster_t *cluster, sk_proc_t *proc, const char *log,
                const char **args)
 {
   posix_spawn_file_actions_t actions;
   char path[512];
   char file[512];
 
-  snprintf (path, sizeof path, "%s/%s", world->bin, args[0]);
-  snprintf (file, sizeof file, "%s/%s.log", world->dir, log);
+  snprintf (path, sizeof path, "%s/%s", cluster->bin, args[0]);
+  snprintf (file, sizeof file, "%s/%s.log", cluster->dir, log);
   posix_spawn_file_actions_init (&actions);
   posix_spawn_file_actions_addopen (&actions, STDOUT_FILENO, file,
                                     O_WRONLY | O_CREAT | O_APPEND, 0600);
@@ -37,13 +37,13 @@
                    (char *const *)(uintptr_t)args, environ))
     abort ();
   posix_spawn_file_actions_destroy (&actions);
-  proc->boots++;
-  proc->ending = 0;
+  proc->starts++;
+  proc->stopping = 0;
   proc->paused = 0;
-  proc->back = 0;
+  proc->restart_at = 0;
 }
 
-/** Send it a signal, if it runs. */
+/** Send a signal to a process if it is running. */
 void
 sk_proc_signal (sk_proc_t *proc, int number)
 {
@@ -51,19 +51,19 @@
     kill (proc->pid, number);
 }
 
-/** Kill it and wait for its end. */
+/** Kill a process and wait for its exit. */
 void
 sk_proc_kill (sk_proc_t *proc)
 {
   if (!proc->pid)
     return;
-  proc->ending = 1;
+  proc->stopping = 1;
   kill (proc->pid, SIGKILL);
   waitpid (proc->pid, NULL, 0);
   proc->pid = 0;
 }
 
-/** Stop it where it is, or have it go on. */
+/** Suspend a process, or resume it. */
 void
 sk_proc_pause (sk_proc_t *proc, int on)
 {
@@ -71,8 +71,8 @@
   sk_proc_signal (proc, on ? SIGSTOP : SIGCONT);
 }
 
-/** Whether it ended, as it was told to or by itself: only the first, with
-    status 0, is right. WHAT and I name it. */
+/** Check whether a process has exited. Reports a violation unless it was told
+   to stop and its status is 0, and schedules a restart. WHAT and I name it. */
 void
 sk_proc_reap (sk_proc_t *proc, const char *what, unsigned i)
 {
@@ -81,11 +81,11 @@
   if (!proc->pid || waitpid (proc->pid, &status, WNOHANG) != proc->pid)
     return;
   proc->pid = 0;
-  if (!proc->ending)
-    sk_broken ("exit", "-", "%s %u ended by itself, status %x", what, i,
-               (unsigned)status);
+  if (!proc->stopping)
+    sk_violation ("exit", "-", "%s %u exited unexpectedly, wait status %x",
+                  what, i, (unsigned)status);
   else if (!WIFEXITED (status) || WEXITSTATUS (status))
-    sk_broken ("exit", "-", "%s %u stopped with status %x", what, i,
-               (unsigned)status);
-  proc->back = sk_now () + 1;
+    sk_violation ("exit", "-", "%s %u did not exit cleanly, wait status %x",
+                  what, i, (unsigned)status);
+  proc->restart_at = sk_now () + 1;
 }
--- a/soak/proxy.c
+++ b/soak/proxy.c
@@ -3,8 +3,9 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * A loopback proxy whose links are delayed, held one way or both, and reset.
- * What is held goes on when the fault ends, as after a partition.
+ * A loopback proxy whose links can be delayed, held in one or both directions,
+ * and reset. Held bytes are delivered when the fault ends, as after a network
+ * partition.
  */
 #include <stdatomic.h>
 #include <stdlib.h>
@@ -17,30 +18,30 @@
 #include "soak.h"
 
 #define BACKLOG 128
-#define PUMP_MS 5
-#define CHUNK 65536
+#define FLUSH_INTERVAL_MS 5
+#define READ_BUFFER_BYTES 65536
 
-typedef struct px_piece
+typedef struct px_chunk
 {
   uv_write_t req;
   el_buf_t bytes;
   el_time_t due;
-  struct px_piece *next;
-} px_piece_t;
+  struct px_chunk *next;
+} px_chunk_t;
 
 typedef struct px_conn px_conn_t;
 
-/* One end of a connection, and what waits to be written to it. */
-typedef struct px_end
+/* One socket of a connection, and the bytes that wait to be written to it. */
+typedef struct px_socket
 {
   uv_tcp_t tcp;
   px_conn_t *conn;
-  sk_way_t way; /* of the bytes that are written to it */
-  px_piece_t *queue;
-  int ended; /* nothing more comes to be written */
-  int shut;
-  int open;
-} px_end_t;
+  sk_direction_t direction; /* of the bytes written to it */
+  px_chunk_t *queue;
+  int eof; /* no more bytes will be queued */
+  int shutdown_sent;
+  int connected;
+} px_socket_t;
 
 typedef struct px_link
 {
@@ -49,7 +50,7 @@
   struct sockaddr_in listen;
   struct sockaddr_in target;
   /* set by other threads */
-  atomic_int hold[2];
+  atomic_int held[2];
   atomic_uint delay_ms;
   atomic_int reset;
 } px_link_t;
@@ -57,7 +58,7 @@
 struct px_conn
 {
   px_link_t *link;
-  px_end_t end[2]; /* by the way of what is written to it */
+  px_socket_t socket[2]; /* by the direction of the bytes written to it */
   uv_connect_t connect;
   int handles;
   int closing;
@@ -69,30 +70,30 @@
 {
   uv_loop_t loop;
   pthread_t thread;
-  uv_timer_t pump;
+  uv_timer_t flush_timer;
   px_link_t links[SK_LINKS];
   px_conn_t *conns;
   atomic_int stop; /* set by another thread */
 };
 
 static void
-end_closed (uv_handle_t *handle)
+on_closed (uv_handle_t *handle)
 {
-  px_end_t *end = handle->data;
-  px_conn_t *conn = end->conn;
-  px_piece_t *piece;
+  px_socket_t *socket = handle->data;
+  px_conn_t *conn = socket->conn;
+  px_chunk_t *chunk;
 
-  while ((piece = end->queue))
+  while ((chunk = socket->queue))
     {
-      LL_DELETE (end->queue, piece);
-      el_buf_free (&piece->bytes);
-      free (piece);
+      LL_DELETE (socket->queue, chunk);
+      el_buf_free (&chunk->bytes);
+      free (chunk);
     }
   if (--conn->handles == 0)
     free (conn);
 }
 
-/* End both sides; with RESET the peers see a reset. */
+/* Close both sockets; with RESET the peers see a reset. */
 static void
 conn_close (px_conn_t *conn, int reset)
 {
@@ -103,69 +104,71 @@
   conn->closing = 1;
   DL_DELETE (conn->link->proxy->conns, conn);
   for (w = 0; w < 2; w++)
-    if (!reset || uv_tcp_close_reset (&conn->end[w].tcp, end_closed))
-      uv_close ((uv_handle_t *)&conn->end[w].tcp, end_closed);
+    if (!reset || uv_tcp_close_reset (&conn->socket[w].tcp, on_closed))
+      uv_close ((uv_handle_t *)&conn->socket[w].tcp, on_closed);
 }
 
 static void
-piece_written (uv_write_t *req, int status)
+on_written (uv_write_t *req, int status)
 {
-  px_piece_t *piece = (px_piece_t *)req;
+  px_chunk_t *chunk = (px_chunk_t *)req;
 
   (void)status;
-  el_buf_free (&piece->bytes);
-  free (piece);
+  el_buf_free (&chunk->bytes);
+  free (chunk);
 }
 
 static void
-end_shut (uv_shutdown_t *req, int status)
+on_shutdown (uv_shutdown_t *req, int status)
 {
   (void)status;
   free (req);
 }
 
-/* Write what is due to one end. */
+/* Write the bytes that are due to one socket. */
 static void
-end_pump (px_end_t *end, el_time_t now)
+socket_flush (px_socket_t *socket, el_time_t now)
 {
-  const px_link_t *link = end->conn->link;
-  px_piece_t *piece;
+  const px_link_t *link = socket->conn->link;
+  px_chunk_t *chunk;
   uv_buf_t buf;
 
-  if (!end->open || link->hold[end->way])
+  if (!socket->connected || link->held[socket->direction])
     return;
-  while ((piece = end->queue) && piece->due <= now)
+  while ((chunk = socket->queue) && chunk->due <= now)
     {
-      LL_DELETE (end->queue, piece);
-      buf = uv_buf_init (piece->bytes.ptr, (unsigned)piece->bytes.len);
-      uv_write (&piece->req, (uv_stream_t *)&end->tcp, &buf, 1, piece_written);
+      LL_DELETE (socket->queue, chunk);
+      buf = uv_buf_init (chunk->bytes.ptr, (unsigned)chunk->bytes.len);
+      uv_write (&chunk->req, (uv_stream_t *)&socket->tcp, &buf, 1, on_written);
     }
-  if (end->ended && !end->queue && !end->shut)
+  if (socket->eof && !socket->queue && !socket->shutdown_sent)
     {
-      end->shut = 1;
-      uv_shutdown (el_alloc (sizeof (uv_shutdown_t)), (uv_stream_t *)&end->tcp,
-                   end_shut);
+      socket->shutdown_sent = 1;
+      uv_shutdown (el_alloc (sizeof (uv_shutdown_t)),
+                   (uv_stream_t *)&socket->tcp, on_shutdown);
     }
 }
 
 static void
 on_alloc (uv_handle_t *handle, size_t suggested, uv_buf_t *buf)
 {
-  static char chunk[CHUNK];
+  static char buffer[READ_BUFFER_BYTES];
 
   (void)handle;
   (void)suggested;
-  *buf = uv_buf_init (chunk, sizeof chunk);
+  *buf = uv_buf_init (buffer, sizeof buffer);
 }
 
 static void
 on_read (uv_stream_t *stream, ssize_t n, const uv_buf_t *buf)
 {
-  px_end_t *from = stream->data;
+  px_socket_t *from = stream->data;
   px_conn_t *conn = from->conn;
-  px_end_t *to = &conn->end[from->way == SK_UP ? SK_DOWN : SK_UP];
+  px_socket_t *to
+      = &conn->socket[from->direction == SK_UPSTREAM ? SK_DOWNSTREAM
+                                                     : SK_UPSTREAM];
   el_time_t now = sk_now ();
-  px_piece_t *piece;
+  px_chunk_t *chunk;
 
   if (n == 0 || conn->closing)
     return;
@@ -176,21 +179,21 @@
     }
   if (n > 0)
     {
-      piece = el_alloc (sizeof *piece);
-      el_buf_add (&piece->bytes, (el_str_t){ buf->base, (size_t)n });
-      piece->due = now + conn->link->delay_ms * EL_MSEC;
-      LL_APPEND (to->queue, piece);
+      chunk = el_alloc (sizeof *chunk);
+      el_buf_add (&chunk->bytes, (el_str_t){ buf->base, (size_t)n });
+      chunk->due = now + conn->link->delay_ms * EL_MSEC;
+      LL_APPEND (to->queue, chunk);
     }
   else
-    to->ended = 1;
-  end_pump (to, now);
+    to->eof = 1;
+  socket_flush (to, now);
 }
 
 static void
 on_connect (uv_connect_t *req, int status)
 {
   px_conn_t *conn = req->data;
-  px_end_t *up = &conn->end[SK_UP];
+  px_socket_t *up = &conn->socket[SK_UPSTREAM];
 
   if (conn->closing)
     return;
@@ -199,10 +202,10 @@
       conn_close (conn, 1);
       return;
     }
-  up->open = 1;
+  up->connected = 1;
   uv_tcp_nodelay (&up->tcp, 1);
   uv_read_start ((uv_stream_t *)&up->tcp, on_alloc, on_read);
-  end_pump (up, sk_now ());
+  socket_flush (up, sk_now ());
 }
 
 static void
@@ -220,24 +223,25 @@
   DL_APPEND (link->proxy->conns, conn);
   for (w = 0; w < 2; w++)
     {
-      conn->end[w].conn = conn;
-      conn->end[w].way = (sk_way_t)w;
-      uv_tcp_init (&link->proxy->loop, &conn->end[w].tcp);
-      conn->end[w].tcp.data = &conn->end[w];
+      conn->socket[w].conn = conn;
+      conn->socket[w].direction = (sk_direction_t)w;
+      uv_tcp_init (&link->proxy->loop, &conn->socket[w].tcp);
+      conn->socket[w].tcp.data = &conn->socket[w];
     }
-  uv_accept (listener, (uv_stream_t *)&conn->end[SK_DOWN].tcp);
-  conn->end[SK_DOWN].open = 1;
-  uv_tcp_nodelay (&conn->end[SK_DOWN].tcp, 1);
-  uv_read_start ((uv_stream_t *)&conn->end[SK_DOWN].tcp, on_alloc, on_read);
+  uv_accept (listener, (uv_stream_t *)&conn->socket[SK_DOWNSTREAM].tcp);
+  conn->socket[SK_DOWNSTREAM].connected = 1;
+  uv_tcp_nodelay (&conn->socket[SK_DOWNSTREAM].tcp, 1);
+  uv_read_start ((uv_stream_t *)&conn->socket[SK_DOWNSTREAM].tcp, on_alloc,
+                 on_read);
   conn->connect.data = conn;
-  if (uv_tcp_connect (&conn->connect, &conn->end[SK_UP].tcp,
+  if (uv_tcp_connect (&conn->connect, &conn->socket[SK_UPSTREAM].tcp,
                       (struct sockaddr *)&link->target, on_connect))
     conn_close (conn, 1);
 }
 
-/* What other threads asked for, and what is due. */
+/* Carry out what other threads requested, and write what is due. */
 static void
-on_pump (uv_timer_t *timer)
+on_flush (uv_timer_t *timer)
 {
   sk_proxy_t *proxy = timer->data;
   el_time_t now = sk_now ();
@@ -252,9 +256,10 @@
         conn_close (conn, 1);
         continue;
       }
-    end_pump (&conn->end[SK_UP], now);
-    end_pump (&conn->end[SK_DOWN], now);
-    if (conn->end[SK_UP].shut && conn->end[SK_DOWN].shut)
+    socket_flush (&conn->socket[SK_UPSTREAM], now);
+    socket_flush (&conn->socket[SK_DOWNSTREAM], now);
+    if (conn->socket[SK_UPSTREAM].shutdown_sent
+        && conn->socket[SK_DOWNSTREAM].shutdown_sent)
       conn_close (conn, 0);
   }
   for (i = 0; i < SK_LINKS; i++)
@@ -263,19 +268,19 @@
     uv_stop (&proxy->loop);
 }
 
-/** A proxy without links. */
+/** Create a proxy without links. */
 sk_proxy_t *
 sk_proxy_new (void)
 {
   sk_proxy_t *proxy = el_alloc (sizeof *proxy);
 
   uv_loop_init (&proxy->loop);
-  uv_timer_init (&proxy->loop, &proxy->pump);
-  proxy->pump.data = proxy;
+  uv_timer_init (&proxy->loop, &proxy->flush_timer);
+  proxy->flush_timer.data = proxy;
   return proxy;
 }
 
-/** Stand in LINK: what connects to LISTEN reaches TARGET. */
+/** Add LINK: connections to LISTEN are forwarded to TARGET. */
 void
 sk_proxy_add (sk_proxy_t *proxy, unsigned link, const char *listen,
               const char *target)
@@ -301,22 +306,24 @@
   return NULL;
 }
 
-/** Begin to pass bytes on. */
+/** Start the thread that forwards bytes. */
 void
 sk_proxy_start (sk_proxy_t *proxy)
 {
-  uv_timer_start (&proxy->pump, on_pump, PUMP_MS, PUMP_MS);
+  uv_timer_start (&proxy->flush_timer, on_flush, FLUSH_INTERVAL_MS,
+                  FLUSH_INTERVAL_MS);
   pthread_create (&proxy->thread, NULL, proxy_run, proxy);
 }
 
-/** Hold what goes one way over a link, or let it go on. */
+/** Hold the bytes of one direction of a link, or release them. */
 void
-sk_proxy_hold (sk_proxy_t *proxy, unsigned link, sk_way_t way, int on)
+sk_proxy_hold (sk_proxy_t *proxy, unsigned link, sk_direction_t direction,
+               int on)
 {
-  proxy->links[link].hold[way] = on;
+  proxy->links[link].held[direction] = on;
 }
 
-/** Have what goes over a link take MS longer. */
+/** Delay bytes on a link by MS milliseconds. */
 void
 sk_proxy_delay (sk_proxy_t *proxy, unsigned link, unsigned ms)
 {
@@ -330,7 +337,7 @@
   proxy->links[link].reset = 1;
 }
 
-/** End the thread and all connections. */
+/** Stop the thread, close all connections and free the proxy. */
 void
 sk_proxy_free (sk_proxy_t *proxy)
 {
@@ -342,7 +349,7 @@
     conn_close (proxy->conns, 0);
   for (i = 0; i < SK_LINKS; i++)
     uv_close ((uv_handle_t *)&proxy->links[i].listener, NULL);
-  uv_close ((uv_handle_t *)&proxy->pump, NULL);
+  uv_close ((uv_handle_t *)&proxy->flush_timer, NULL);
   uv_run (&proxy->loop, UV_RUN_DEFAULT);
   uv_loop_close (&proxy->loop);
   free (proxy);
--- a/soak/seeds.sh
+++ b/soak/seeds.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Play the seeds that broke a promise once.
+# Run the seeds that once violated an invariant.
 set -eu
 bin=$1
 dir=$2
--- a/soak/world.c
+++ b/soak/world.c
@@ -3,7 +3,8 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * All processes of a run: their addresses, how they begin and how they end.
+ * Starts, supervises and stops the processes of a run, and assigns their
+ * addresses.
  */
 #include <inttypes.h>
 #include <signal.h>
@@ -15,53 +16,54 @@
 
 #include "soak.h"
 
-/* Hosts that each host is told of at its start. */
-#define SEEDS 3
-/* A host that was told to end has this long. */
-#define GRACE (12 * EL_SEC)
+/* Hosts that each host is given as peers when it starts. */
+#define SEED_HOSTS 3
+/* Time that a host has to exit after SIGTERM. */
+#define HOST_STOP_TIMEOUT (12 * EL_SEC)
 
 static void
-address_make (const sk_world_t *world, unsigned last, char *out)
+address_format (const sk_cluster_t *cluster, unsigned last, char *out)
 {
   snprintf (out, SK_ADDRESS_MAX, "127.%u.%u.%u:7000",
-            200 + (world->net >> 8) % 50, world->net & 0xff, last);
+            200 + (cluster->subnet >> 8) % 50, cluster->subnet & 0xff, last);
 }
 
-/* Addresses: the store, members, their links, hosts, their links. */
-#define NET_STORE 1
-#define NET_MEMBER 10
-#define NET_MEMBER_LINK 40
-#define NET_HOST 70
-#define NET_STORE_LINK 90
+/* Last octets of the addresses of the store, the endpoints, the links to them,
+   the hosts, and the links from hosts to the store. */
+#define OCTET_STORE 1
+#define OCTET_ENDPOINT 10
+#define OCTET_ENDPOINT_LINK 40
+#define OCTET_HOST 70
+#define OCTET_STORE_LINK 90
 
 static void
-link_address (const sk_world_t *world, unsigned link, char *out)
+link_address (const sk_cluster_t *cluster, unsigned link, char *out)
 {
-  address_make (world,
-                link < SK_HOSTS ? NET_STORE_LINK + link
-                                : NET_MEMBER_LINK + link - SK_HOSTS,
-                out);
+  address_format (cluster,
+                  link < SK_HOSTS ? OCTET_STORE_LINK + link
+                                  : OCTET_ENDPOINT_LINK + link - SK_HOSTS,
+                  out);
 }
 
-/** An address of a host: the last digit of its port tells what for. */
+/** The address at which a host listens for what PORT names. */
 void
-sk_host_address (const sk_world_t *world, unsigned host, sk_port_t port,
+sk_host_address (const sk_cluster_t *cluster, unsigned host, sk_port_t port,
                  char *out)
 {
-  snprintf (out, SK_ADDRESS_MAX, "%s", world->hosts[host].address);
+  snprintf (out, SK_ADDRESS_MAX, "%s", cluster->hosts[host].address);
   out[strlen (out) - 1] = (char)('0' + port);
 }
 
 static const char *
-member_hall (unsigned i)
+hall_name (unsigned i)
 {
   return i % SK_HALLS ? "hall-b" : "hall-a";
 }
 
 static void
-member_start (sk_world_t *world, unsigned i)
+endpoint_start (sk_cluster_t *cluster, unsigned i)
 {
-  sk_proc_t *proc = &world->members[i];
+  sk_proc_t *proc = &cluster->endpoints[i];
   int engine = i < SK_ENGINES;
   char name[16];
   char link[SK_ADDRESS_MAX];
@@ -72,13 +74,13 @@
                          "--listen",
                          proc->address,
                          "--store",
-                         world->store.address,
+                         cluster->store.address,
                          "--name",
                          name,
                          "--service",
                          engine ? "llm" : "app",
                          "--hall",
-                         member_hall (i),
+                         hall_name (i),
                          "--card",
                          engine ? "half" : "",
                          "--step-us",
@@ -90,14 +92,14 @@
                          NULL };
 
   snprintf (name, sizeof name, "m%u", i);
-  snprintf (record, sizeof record, "%s/runs", world->dir);
-  link_address (world, SK_HOSTS + i, link);
-  sk_proc_start (world, proc, name, args);
+  snprintf (record, sizeof record, "%s/runs", cluster->dir);
+  link_address (cluster, SK_HOSTS + i, link);
+  sk_proc_start (cluster, proc, name, args);
 }
 
-/* The id under which the member has entered itself. */
+/* Read the id under which an endpoint has registered itself in the store. */
 static void
-member_id (sk_proc_t *proc)
+endpoint_id_read (sk_proc_t *proc)
 {
   el_buf_t body = { NULL, 0, 0 };
   json_t *json;
@@ -113,28 +115,28 @@
 }
 
 static void
-host_start (sk_world_t *world, unsigned i)
+host_start (sk_cluster_t *cluster, unsigned i)
 {
   char name[16];
-  char keys_limit[24];
-  char at[SK_PORTS][SK_ADDRESS_MAX];
+  char keys_max_age_ms[24];
+  char addresses[SK_PORTS][SK_ADDRESS_MAX];
   char store[SK_ADDRESS_MAX];
-  char seeds[SK_HOSTS * SK_ADDRESS_MAX] = "";
+  char peers[SK_HOSTS * SK_ADDRESS_MAX] = "";
   const char *args[] = { "elmarchd",
                          "--listen",
-                         at[SK_PORT_LISTEN],
+                         addresses[SK_PORT_LISTEN],
                          "--peer-listen",
-                         at[SK_PORT_PEERS],
+                         addresses[SK_PORT_PEERS],
                          "--entry",
-                         at[SK_PORT_ENTRY],
+                         addresses[SK_PORT_ENTRY],
                          "--ready",
-                         at[SK_PORT_READY],
+                         addresses[SK_PORT_READY],
                          "--directory",
-                         at[SK_PORT_DIRECTORY],
+                         addresses[SK_PORT_DIRECTORY],
                          "--peers",
-                         seeds,
+                         peers,
                          "--hall",
-                         member_hall (i),
+                         hall_name (i),
                          "--name",
                          name,
                          "--store",
@@ -148,170 +150,172 @@
                          "--repeat-slack",
                          "1000",
                          "--keys-limit-ms",
-                         keys_limit,
+                         keys_max_age_ms,
                          NULL };
   unsigned k;
 
   for (k = 0; k < SK_PORTS; k++)
-    sk_host_address (world, i, (sk_port_t)k, at[k]);
-  for (k = 0; k < SK_HOSTS && k < SEEDS; k++)
+    sk_host_address (cluster, i, (sk_port_t)k, addresses[k]);
+  for (k = 0; k < SK_HOSTS && k < SEED_HOSTS; k++)
     {
-      char seed[SK_ADDRESS_MAX];
+      char peer[SK_ADDRESS_MAX];
 
-      sk_host_address (world, k, SK_PORT_PEERS, seed);
-      strcat (strcat (seeds, seed), ",");
+      sk_host_address (cluster, k, SK_PORT_PEERS, peer);
+      strcat (strcat (peers, peer), ",");
     }
   snprintf (name, sizeof name, "h%u", i);
-  snprintf (keys_limit, sizeof keys_limit, "%" PRIu64,
-            SK_KEYS_LIMIT / EL_MSEC);
-  link_address (world, i, store);
-  sk_proc_start (world, &world->hosts[i], name, args);
+  snprintf (keys_max_age_ms, sizeof keys_max_age_ms, "%" PRIu64,
+            SK_KEYS_MAX_AGE / EL_MSEC);
+  link_address (cluster, i, store);
+  sk_proc_start (cluster, &cluster->hosts[i], name, args);
 }
 
 static void
-store_start (sk_world_t *world)
+store_start (sk_cluster_t *cluster)
 {
-  const char *args[] = {
-    "standin", "--role", "store", "--listen", world->store.address, NULL
-  };
+  const char *args[]
+      = { "standin", "--role", "store", "--listen", cluster->store.address,
+          NULL };
 
-  sk_proc_start (world, &world->store, "store", args);
-  sk_http_wait (world->store.address, "/elmarch/kv-range?PathPrefix=none",
+  sk_proc_start (cluster, &cluster->store, "store", args);
+  sk_http_wait (cluster->store.address, "/elmarch/kv-range?PathPrefix=none",
                 NULL);
 }
 
-/** Start everything and wait until all hosts are ready. */
+/** Start all processes and wait until all hosts are ready. */
 void
-sk_world_open (sk_world_t *world, const char *bin, const char *dir)
+sk_cluster_start (sk_cluster_t *cluster, const char *bin, const char *dir)
 {
   char link[SK_ADDRESS_MAX];
   char ready[SK_ADDRESS_MAX];
   unsigned i;
 
-  memset (world, 0, sizeof *world);
-  world->bin = bin;
-  snprintf (world->dir, sizeof world->dir, "%s", dir);
-  world->net = (unsigned)getpid ();
-  address_make (world, NET_STORE, world->store.address);
-  for (i = 0; i < SK_MEMBERS; i++)
-    address_make (world, NET_MEMBER + i, world->members[i].address);
+  memset (cluster, 0, sizeof *cluster);
+  cluster->bin = bin;
+  snprintf (cluster->dir, sizeof cluster->dir, "%s", dir);
+  cluster->subnet = (unsigned)getpid ();
+  address_format (cluster, OCTET_STORE, cluster->store.address);
+  for (i = 0; i < SK_ENDPOINTS; i++)
+    address_format (cluster, OCTET_ENDPOINT + i,
+                    cluster->endpoints[i].address);
   for (i = 0; i < SK_HOSTS; i++)
-    address_make (world, NET_HOST + i, world->hosts[i].address);
-  world->proxy = sk_proxy_new ();
+    address_format (cluster, OCTET_HOST + i, cluster->hosts[i].address);
+  cluster->proxy = sk_proxy_new ();
   for (i = 0; i < SK_LINKS; i++)
     {
-      link_address (world, i, link);
-      sk_proxy_add (world->proxy, i, link,
-                    i < SK_HOSTS ? world->store.address
-                                 : world->members[i - SK_HOSTS].address);
+      link_address (cluster, i, link);
+      sk_proxy_add (cluster->proxy, i, link,
+                    i < SK_HOSTS ? cluster->store.address
+                                 : cluster->endpoints[i - SK_HOSTS].address);
     }
-  sk_proxy_start (world->proxy);
-  store_start (world);
-  sk_config_write (world);
-  for (i = 0; i < SK_MEMBERS; i++)
+  sk_proxy_start (cluster->proxy);
+  store_start (cluster);
+  sk_config_write (cluster);
+  for (i = 0; i < SK_ENDPOINTS; i++)
     {
-      member_start (world, i);
-      member_id (&world->members[i]);
+      endpoint_start (cluster, i);
+      endpoint_id_read (&cluster->endpoints[i]);
     }
   for (i = 0; i < SK_HOSTS; i++)
-    host_start (world, i);
+    host_start (cluster, i);
   for (i = 0; i < SK_HOSTS; i++)
     {
-      sk_host_address (world, i, SK_PORT_READY, ready);
+      sk_host_address (cluster, i, SK_PORT_READY, ready);
       if (!sk_http_wait (ready, "/elmarch/ready", NULL))
-        sk_broken ("start", "-", "host %u is not ready", i);
+        sk_violation ("start", "-", "host %u is not ready", i);
     }
 }
 
 static void
-member_gone (sk_world_t *world, sk_proc_t *proc)
+endpoint_deregister (sk_cluster_t *cluster, sk_proc_t *proc)
 {
   char path[128];
 
   snprintf (path, sizeof path, "/test/servers/%s", proc->id);
-  proc->gone = 0;
+  proc->deregister_at = 0;
   if (proc->id[0]
-      && sk_http ("DELETE", world->store.address, path, NULL, NULL) != 200)
-    proc->gone = sk_now () + EL_SEC; /* the store is paused: again */
+      && sk_http ("DELETE", cluster->store.address, path, NULL, NULL) != 200)
+    proc->deregister_at = sk_now () + EL_SEC; /* the store is paused: retry */
 }
 
-/** Start again what is due, take entries away, look for processes that ended.
- */
+/** Restart processes and delete entries of endpoints when due, and check for
+    hosts that have exited. */
 void
-sk_world_tick (sk_world_t *world, el_time_t now)
+sk_cluster_tick (sk_cluster_t *cluster, el_time_t now)
 {
   unsigned i;
 
   for (i = 0; i < SK_HOSTS; i++)
     {
-      sk_proc_t *host = &world->hosts[i];
+      sk_proc_t *host = &cluster->hosts[i];
 
       sk_proc_reap (host, "host", i);
-      if (!host->pid && host->back && now >= host->back)
-        host_start (world, i);
+      if (!host->pid && host->restart_at && now >= host->restart_at)
+        host_start (cluster, i);
     }
-  for (i = 0; i < SK_MEMBERS; i++)
+  for (i = 0; i < SK_ENDPOINTS; i++)
     {
-      sk_proc_t *member = &world->members[i];
+      sk_proc_t *endpoint = &cluster->endpoints[i];
 
-      if (member->gone && now >= member->gone)
-        member_gone (world, member);
-      if (!member->pid && member->back && now >= member->back && !member->gone
-          && !world->store.paused)
+      if (endpoint->deregister_at && now >= endpoint->deregister_at)
+        endpoint_deregister (cluster, endpoint);
+      if (!endpoint->pid && endpoint->restart_at && now >= endpoint->restart_at
+          && !endpoint->deregister_at && !cluster->store.paused)
         {
-          member_start (world, i);
-          member_id (member);
+          endpoint_start (cluster, i);
+          endpoint_id_read (endpoint);
         }
     }
 }
 
-/** End all faults: processes go on, links pass. */
+/** End all faults: resume paused processes and release all links. */
 void
-sk_world_calm (sk_world_t *world)
+sk_cluster_clear_faults (sk_cluster_t *cluster)
 {
   unsigned i;
 
-  sk_proc_pause (&world->store, 0);
+  sk_proc_pause (&cluster->store, 0);
   for (i = 0; i < SK_HOSTS; i++)
-    sk_proc_pause (&world->hosts[i], 0);
-  for (i = 0; i < SK_MEMBERS; i++)
-    sk_proc_pause (&world->members[i], 0);
+    sk_proc_pause (&cluster->hosts[i], 0);
+  for (i = 0; i < SK_ENDPOINTS; i++)
+    sk_proc_pause (&cluster->endpoints[i], 0);
   for (i = 0; i < SK_LINKS; i++)
     {
-      sk_proxy_delay (world->proxy, i, 0);
-      sk_proxy_hold (world->proxy, i, SK_UP, 0);
-      sk_proxy_hold (world->proxy, i, SK_DOWN, 0);
+      sk_proxy_delay (cluster->proxy, i, 0);
+      sk_proxy_hold (cluster->proxy, i, SK_UPSTREAM, 0);
+      sk_proxy_hold (cluster->proxy, i, SK_DOWNSTREAM, 0);
     }
 }
 
-/* Stop a host as planned; it must end by itself and without a leak. */
+/* Stop a host with SIGTERM. It must exit in time and with status 0, which with
+   the leak sanitizer also means without a leak. */
 static void
-host_end (sk_proc_t *host, unsigned i)
+host_stop (sk_proc_t *host, unsigned i)
 {
-  el_time_t until = sk_now () + GRACE;
+  el_time_t until = sk_now () + HOST_STOP_TIMEOUT;
 
   sk_proc_signal (host, SIGTERM);
-  host->ending = 1;
+  host->stopping = 1;
   while (host->pid && sk_now () < until)
     {
       sk_proc_reap (host, "host", i);
-      sk_wait_step ();
+      sk_poll_pause ();
     }
   if (host->pid)
-    sk_broken ("exit", "-", "host %u does not end", i);
+    sk_violation ("exit", "-", "host %u did not exit after SIGTERM", i);
   sk_proc_kill (host);
 }
 
-/** End everything that was started. */
+/** Stop all processes and the proxy. */
 void
-sk_world_close (sk_world_t *world)
+sk_cluster_stop (sk_cluster_t *cluster)
 {
   unsigned i;
 
   for (i = 0; i < SK_HOSTS; i++)
-    host_end (&world->hosts[i], i);
-  for (i = 0; i < SK_MEMBERS; i++)
-    sk_proc_kill (&world->members[i]);
-  sk_proc_kill (&world->store);
-  sk_proxy_free (world->proxy);
+    host_stop (&cluster->hosts[i], i);
+  for (i = 0; i < SK_ENDPOINTS; i++)
+    sk_proc_kill (&cluster->endpoints[i]);
+  sk_proc_kill (&cluster->store);
+  sk_proxy_free (cluster->proxy);
 }
