--- a/Makefile
+++ b/Makefile
@@ -131,7 +131,7 @@
 	$(LINK)
 $(B)/bench/%.o: INC += -Itests
 # The soak: real processes, faults by seed, promises checked from outside.
-SOAK = soak/main.c soak/plan.c soak/proxy.c soak/world.c soak/proc.c \
+SOAK = soak/main.c soak/plan.c soak/proxy.c soak/cluster.c soak/proc.c \
        soak/fault.c soak/operator.c soak/http.c soak/caller.c soak/check.c
 $(BIN)/soak: $(SOAK:%.c=$(B)/%.o) $(LIBA)
 	$(LINK) -lcurl -lpthread
