--- a/gate/api.c
+++ b/gate/api.c
@@ -28,7 +28,7 @@
 typedef void (*api_handler_fn) (gt_gate_t *gate, h2o_req_t *req,
                                 el_str_t rest);
 
-/* The dispatch table; the first match serves. ROLE_ANY checks nothing here:
+/* The dispatch table; the first match is called. ROLE_ANY checks nothing here:
    handlers that need a customer authenticate it themselves. */
 static const struct
 {
@@ -52,8 +52,8 @@
 };
 
 /** Rejects a request before it reaches the ledger or the router: this arrival
-    has run nothing. In a session it may repeat an earlier arrival, which is
-    not known at this point, so the verdict is that it may have run. */
+    has run nothing. In a session it may be a duplicate of a request that ran,
+    which is not known here, so the verdict is that it may have run. */
 void
 gt_api_error (gt_gate_t *gate, h2o_req_t *req, int status, const char *code,
               const char *message)
--- a/gate/api_admin.c
+++ b/gate/api_admin.c
@@ -282,8 +282,8 @@
   gt_api_reply_json (req, 200, gt_gate_dump (gate));
 }
 
-/** Serves GET /admin/v1/blocked: the requests that ran on endpoints when these
-    ended, suspected or blocked. */
+/** Serves GET /admin/v1/blocked: the requests that are blocked, or suspected
+    because they ran on endpoints that crashed. */
 void
 gt_api_blocked (gt_gate_t *gate, h2o_req_t *req, el_str_t rest)
 {
--- a/gate/api_chat.c
+++ b/gate/api_chat.c
@@ -270,10 +270,10 @@
     gt_caller_refuse (req, &refusal);
 }
 
-/* The session's home was asked. If it is alive, the caller is redirected to
-   it. Otherwise a repeatable request runs here without the session, resuming
-   after the tokens that the caller has; any other may have run there and is
-   refused. */
+/* Called when the session's home has been asked. If it is alive, the caller is
+   redirected to it. Otherwise a repeatable request runs here without the
+   session, resuming after the tokens that the caller has; any other request
+   may have run there and is refused. */
 static void
 home_answered (void *arg, pr_home_state_t state)
 {
--- a/gate/engine.c
+++ b/gate/engine.c
@@ -60,28 +60,29 @@
 }
 
 /** Whether the endpoint states, in its x-refused header, that it refused the
-    request before it started. Sets EVENT's failure and the rest that the
-    endpoint asks for in retry-after. */
+    request before it started. Sets EVENT's failure and the backoff that the
+    endpoint requests in retry-after. */
 int
 gt_endpoint_refused (const net_result_t *result, rt_event_t *event)
 {
   el_str_t code = net_result_header (result, "x-refused");
-  el_str_t rest = net_result_header (result, "retry-after");
+  el_str_t retry_after = net_result_header (result, "retry-after");
   size_t i;
 
   for (i = 0; i < sizeof refusals / sizeof *refusals; i++)
     if (el_str_eq (code, el_str (refusals[i].code)))
       {
         event->fail = refusals[i].fail;
-        if (rest.len && !el_str_to_time (rest, RT_BACKOFF_MAX, &event->rest))
-          EL_LOG (EL_LOG_WARN, "rest_unread", EL_FS ("value", rest));
+        if (retry_after.len
+            && !el_str_to_time (retry_after, RT_BACKOFF_MAX, &event->rest))
+          EL_LOG (EL_LOG_WARN, "rest_unread", EL_FS ("value", retry_after));
         return 1;
       }
   return 0;
 }
 
-/* The stream's session name at engines, unique across hosts and their
-   incarnations. */
+/* Formats the name of a stream's session at engines, unique across hosts and
+   their incarnations. */
 static void
 session_name (const gt_gate_t *gate, uint64_t stream,
               char out[SESSION_NAME_MAX])
@@ -162,8 +163,8 @@
   return (uint64_t)json_integer_value (json_object_get (object, name));
 }
 
-/* The response is not a valid answer to a stage call: it is not known whether
-   the call ran. */
+/* Fills EVENT for a response that is not a valid answer to a stage call: it is
+   not known whether the call ran. */
 static void
 reply_invalid (rt_event_t *event)
 {
--- a/gate/gate.c
+++ b/gate/gate.c
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Gateway of one host: creates its parts, exports metrics and the state dump,
- * and drains at a stop.
+ * Gateway of one host: creates its components, exports metrics and the state
+ * dump, and drains before the host stops.
  */
 #include <errno.h>
 #include <fcntl.h>
@@ -334,7 +334,7 @@
    after the handover, and announces to the other hosts whose sessions it
    has. */
 static void
-farewell_sent (void *arg)
+final_handover_sent (void *arg)
 {
   gate_shutdown (arg);
 }
@@ -350,7 +350,7 @@
   else if (!idle || gate->handing_over)
     net_clock_set (&gate->clock, &gate->expire, DRAIN_POLL_INTERVAL);
   else
-    pr_peers_final_handover (gate->peers, farewell_sent, gate);
+    pr_peers_final_handover (gate->peers, final_handover_sent, gate);
 }
 
 static void
@@ -467,24 +467,23 @@
   pr_peers_list_addresses (gate->peers, hall, list);
 }
 
-/** Sets the follower whose store changes are passed on to other hosts that ask
-    for them. */
+/** Sets the follower whose store changes other hosts may request. */
 void
 gt_gate_set_follower (gt_gate_t *gate, gt_follow_t *store_follower)
 {
   gate->store_follower = store_follower;
 }
 
-/** Answers the hosts that wait for news: the follower has heard from the
-   store, or this host has polled its hall's engines. */
+/** Answers pending update requests of other hosts: the follower has an answer
+    of the store, or this host has polled its hall's engines. */
 void
 gt_gate_news_available (gt_gate_t *gate)
 {
   pr_peers_reply_pending (gate->peers);
 }
 
-/** The host that was last asked for store changes could not give them although
-    the store is reachable: asks other hosts for a while. */
+/** Avoids, for a while, the host that was last asked for store changes: it had
+    no usable answer although the store is reachable. */
 void
 gt_gate_avoid_news_source (gt_gate_t *gate)
 {
@@ -499,7 +498,8 @@
   gate->relay_hooks = *relay_hooks;
 }
 
-/** Spreads BODY, identified by ID, to all hosts, which keep it for HOLD. */
+/** Publishes the rumor BODY, identified by ID, to all hosts, which keep it for
+    HOLD. */
 void
 gt_gate_publish_rumor (gt_gate_t *gate, uint64_t id, el_time_t hold,
                        el_str_t body)
@@ -518,27 +518,29 @@
 uint64_t
 gt_gate_incarnation_number (const gt_gate_t *gate)
 {
-  uint64_t witness;
+  uint64_t number;
 
-  memcpy (&witness, gate->incarnation.byte, sizeof witness);
-  return witness | 1;
+  memcpy (&number, gate->incarnation.byte, sizeof number);
+  return number | 1;
 }
 
-/** Whether this host is the leader of its hall, which does the work that one
-    host does for the hall. */
+/** Whether this host is the leader of its hall: the one host that does the
+    work shared by the hall. */
 int
 gt_gate_is_hall_leader (const gt_gate_t *gate)
 {
   return !gate->draining && pr_peers_is_first_in_hall (gate->peers);
 }
 
-/** Asks another host for store changes after AFTER; OLD is the number of
-    consecutive answers that were out of date. Returns 0 if this host should
-    ask the store itself. */
+/** Asks another host for store changes after AFTER; STALE_ANSWERS is the
+    number of consecutive unusable answers. Returns 0 if this host should ask
+    the store itself. */
 int
-gt_gate_request_news (gt_gate_t *gate, pr_store_position_t after, unsigned old,
-                      pr_store_update_cb done, void *arg)
+gt_gate_request_news (gt_gate_t *gate, pr_store_position_t after,
+                      unsigned stale_answers, pr_store_update_cb done,
+                      void *arg)
 {
   return !gate->draining
-         && pr_peers_request_update (gate->peers, after, old, done, arg);
+         && pr_peers_request_update (gate->peers, after, stale_answers, done,
+                                     arg);
 }
--- a/gate/gate.h
+++ b/gate/gate.h
@@ -26,7 +26,7 @@
   el_str_t listen;       /**< address for callers and operators, ip:port */
   el_str_t peer_listen;  /**< address for other hosts, ip:port */
   el_str_t peers;        /**< peer addresses of other hosts, comma-separated */
-  el_str_t hall;         /**< zone of this host */
+  el_str_t hall;         /**< hall of this host */
   el_str_t entry;        /**< address for callers of relayed requests;
                               empty: same as listen */
   el_str_t platform;     /**< address of the platform, ip:port; empty: this
@@ -48,7 +48,7 @@
   el_time_t session_hold; /**< a session's stream without readers is
                                cancelled after this time */
   el_time_t leave_hold;   /**< for how long an endpoint counts as leaving after
-                               a report that it leaves */
+                               a report that it is leaving */
   el_time_t drain_limit;  /**< longest wait for running requests at a stop */
   uint64_t seed;
   int trace_fd; /**< descriptor the trace is written to; -1: none */
@@ -65,13 +65,14 @@
       frees the list but not its strings. */
   size_t (*list_engines) (void *arg, pr_engine_report_t **out);
   /** Another host sent the state of its engines. */
-  void (*engines_received) (void *arg, const pr_engine_report_t *news,
+  void (*engines_received) (void *arg, const pr_engine_report_t *reports,
                             size_t n);
   /** A rumor that was not known here arrived from another host. */
   void (*rumor) (void *arg, const co_rumor_t *rumor);
-  /** Requests that are suspected of ending endpoints or blocked. */
+  /** Lists the requests that are blocked, or suspected of crashing
+      endpoints. */
   json_t *(*suspects) (void *arg);
-  /** Endpoints that get no new requests. */
+  /** Lists the endpoints that get no new requests. */
   json_t *(*closed) (void *arg);
   /** Unblocks a request; returns 0 if it is unknown. */
   int (*unblock) (void *arg, rt_digest_t digest);
@@ -87,14 +88,16 @@
 void gt_gate_set_follower (gt_gate_t *gate, gt_follow_t *follow);
 void gt_gate_news_available (gt_gate_t *gate);
 void gt_gate_avoid_news_source (gt_gate_t *gate);
-void gt_gate_set_relay_hooks (gt_gate_t *gate, const gt_relay_hooks_t *talk);
+void gt_gate_set_relay_hooks (gt_gate_t *gate,
+                              const gt_relay_hooks_t *relay_hooks);
 void gt_gate_publish_rumor (gt_gate_t *gate, uint64_t id, el_time_t hold,
                             el_str_t body);
 int gt_gate_rumors_received (const gt_gate_t *gate);
 uint64_t gt_gate_incarnation_number (const gt_gate_t *gate);
 int gt_gate_is_hall_leader (const gt_gate_t *gate);
 int gt_gate_request_news (gt_gate_t *gate, pr_store_position_t after,
-                          unsigned old, pr_store_update_cb done, void *arg);
+                          unsigned stale_answers, pr_store_update_cb done,
+                          void *arg);
 void gt_gate_withdraw (gt_gate_t *gate, int withdrawn);
 size_t gt_gate_live_hosts (const gt_gate_t *gate);
 size_t gt_gate_hall_live_hosts (const gt_gate_t *gate);
--- a/gate/inflight.c
+++ b/gate/inflight.c
@@ -154,8 +154,8 @@
   gt_router_event (gate, &event);
 }
 
-/** Runs a request, or joins the one that it repeats. Returns a new reference
-    to the answer, or NULL with *REFUSAL filled in. */
+/** Runs a request, or joins the earlier one of which it is a duplicate.
+    Returns a new reference to the answer, or NULL with *REFUSAL filled in. */
 gt_answer_t *
 gt_request_submit (gt_gate_t *gate, const gt_request_t *request,
                    gt_refusal_t *refusal)
@@ -249,9 +249,9 @@
   el_buf_free (&body);
 }
 
-/* A call that must not be repeated gets a connection of its own: on a
-   keep-alive connection the endpoint may close just as the request is sent,
-   and then it is not known whether the request ran. */
+/* A call that must not be retried gets a connection of its own: the endpoint
+   may close a keep-alive connection just as the request is sent, and then it
+   is not known whether the request ran. */
 static void
 call_send (gt_gate_t *gate, gt_inflight_t *inflight, const rt_action_t *action)
 {
--- a/gate/libgate.h
+++ b/gate/libgate.h
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Internals of the gateway: the interfaces between the files of gate/.
+ * Internal interfaces of the gateway.
  */
 #ifndef ELMARCH_LIBGATE_H
 #define ELMARCH_LIBGATE_H
@@ -142,7 +142,7 @@
 typedef struct gt_counts
 {
   uint64_t http_requests;
-  uint64_t denied;         /* customers and operators not authenticated */
+  uint64_t denied;         /* requests whose authentication failed */
   uint64_t bad_requests;   /* malformed or over a limit */
   uint64_t joined;         /* duplicates that share the first one's answer */
   uint64_t forgotten;      /* refused because they may have run already */
@@ -193,7 +193,7 @@
   void *drained_arg;
 };
 
-/* The gateway's router, trace and random numbers. */
+/* Router events, the trace and random numbers. */
 void gt_router_event (gt_gate_t *gate, const rt_event_t *event);
 void gt_trace (gt_gate_t *gate, json_t *line);
 uint64_t gt_random (gt_gate_t *gate);
@@ -291,7 +291,7 @@
   GT_PUT_ACCEPTED, /* the platform has stored the change */
   GT_PUT_CONFLICT, /* the expected revision is not the current one */
   GT_PUT_NOT_RUN,  /* the platform is unreachable: nothing was written */
-  GT_PUT_UNKNOWN   /* it may have been or may still be written; repeat it
+  GT_PUT_UNKNOWN   /* it may have been or may still be written; retry it
                        with the same id */
 } gt_put_t;
 
--- a/gate/libkv.h
+++ b/gate/libkv.h
@@ -17,7 +17,7 @@
   json_t *json;  /* owned; release it after use */
   json_t *items; /* borrowed from json */
   uint64_t revision;
-  int compacted; /* the changes asked for are no longer kept */
+  int compacted; /* the requested changes are no longer kept */
 } gt_kv_list_t;
 
 typedef struct gt_kv_item
--- a/gate/planner.c
+++ b/gate/planner.c
@@ -5,7 +5,7 @@
 /** @file
  * The planner checks the engines at a fixed interval. It orders engines that
  * hold no layers to load those that their hall needs most, and moves spare
- * copies when a hall keeps lacking layers. An order carries the number of
+ * replicas when a hall keeps lacking layers. An order carries the number of
  * orders that the engine has accepted before, and the engine accepts it only
  * if that number is right; an order that arrives late or twice thus has no
  * effect.
@@ -16,21 +16,22 @@
 
 #define TICK_INTERVAL (200 * EL_MSEC)
 #define ORDERS_MAX 256
-/* An order whose result is not in the engine's entry by then is sent again;
-   entries are a few seconds old at most. */
+/* An order whose result is not in the engine's entry by then is dropped and
+   may be sent again; entries are a few seconds old at most. */
 #define ORDER_RETRY (4 * EL_SEC)
-/* Ticks in a row that must find a hall without some layer before spare copies
-   are moved: an engine that is only slow to answer is back by then. */
+/* Consecutive ticks that must find a hall without some layer before spare
+   replicas are moved: an engine that is only slow to answer is available again
+   by then. */
 #define GAP_TICKS 3
 /* An engine that refuses connections this soon after an order is taken to have
-   crashed because of it. It is probed once, a tick after the order. A crash
-   later on, while it loads, has another cause. */
+   crashed because of it. It gets one health check, a tick after the order. A
+   crash later on, while it loads, has another cause. */
 #define CRASH_WINDOW (1 * EL_SEC)
 /* How long the number of endpoints must be stable before layers are planned,
-   so that the entries of all engines are there. Only time up to which the list
-   is known to be current counts: with plain time, while 227 engines were being
-   listed, a gap of 700 ms without news made the planner place the whole model
-   on 51 of them. */
+   so that the entries of all engines are there. Only time for which the list
+   is known to be current counts: when all time counted, a gap of 700 ms
+   without updates while 227 engines were being listed made the planner place
+   the whole model on 51 of them. */
 #define STABLE_FOR (300 * EL_MSEC)
 
 typedef struct planner_order
@@ -39,7 +40,7 @@
   gt_planner_t *planner;
   el_time_t sent_at;
   int in_flight; /* the answer is awaited */
-  int finished;  /* to be freed when the answer is there */
+  int finished;  /* to be freed once the answer has arrived */
   int crashed;   /* its engine crashed right after it */
   struct planner_order *prev;
   struct planner_order *next;
@@ -50,8 +51,9 @@
   gt_planner_options_t options;
   el_timer_t timer;
   planner_order_t *orders;
-  rt_order_failures_t falls;
-  unsigned gap_ticks;    /* ticks in a row that found a hall without a layer */
+  rt_order_failures_t failures;
+  unsigned gap_ticks;    /* consecutive ticks that found a hall without some
+                            layer */
   size_t endpoint_count; /* at the last tick */
   el_time_t count_changed_at; /* when endpoint_count changed */
   int stopped;
@@ -67,7 +69,7 @@
 
 static void
 order_done (void *arg, gt_order_state_t state, int status,
-            const rt_hints_t *asks)
+            const rt_hints_t *hints)
 {
   static const char *const states[] = { [GT_ORDER_BEGUN] = "begun",
                                         [GT_ORDER_REFUSED] = "refused",
@@ -75,7 +77,7 @@
   planner_order_t *order = arg;
 
   order->in_flight = 0;
-  gt_relays_asked (order->planner->options.relays, order->order.target, asks,
+  gt_relays_asked (order->planner->options.relays, order->order.target, hints,
                    EL_STR ("order"));
   EL_LOG (EL_LOG_INFO, "order_answered",
           EL_FS ("engine", order->order.target->attrs.id),
@@ -112,7 +114,7 @@
         && !order_applied (order))
       continue;
     if (!order->finished && order_applied (order))
-      gt_relays_order_done (planner->options.relays, &planner->falls,
+      gt_relays_order_done (planner->options.relays, &planner->failures,
                             &order->order);
     order->finished = 1;
     if (!order->in_flight)
@@ -120,8 +122,8 @@
   }
 }
 
-/* Probes engines that were sent an order within CRASH_WINDOW, and reports
-   those that crashed. */
+/* Sends a health check to each engine that was sent an order within
+   CRASH_WINDOW, and reports those that crashed. */
 static void
 orders_probe (gt_planner_t *planner, el_time_t now)
 {
@@ -138,7 +140,7 @@
         && target->refused_at < order->sent_at + CRASH_WINDOW)
       {
         order->crashed = 1;
-        gt_relays_order_crashed (relays, &planner->falls, &order->order);
+        gt_relays_order_crashed (relays, &planner->failures, &order->order);
       }
     else if (now > order->sent_at && now < order->sent_at + CRASH_WINDOW
              && !target->avail.gone)
@@ -163,8 +165,8 @@
 {
   planner_order_t *sent;
 
-  /* An engine that asked for no requests for a while is not lost and needs no
-     replacement: it gets its order when that time is over. */
+  /* An engine in backoff is not lost and needs no replacement: it gets its
+     order when the backoff is over. */
   if (rt_avail_backoff_left (&order->target->avail, now)
       || gt_relays_order_blocked (planner->options.relays, order))
     return;
@@ -261,7 +263,7 @@
   return planner;
 }
 
-/** Gives the duty up and sends no further orders. */
+/** Releases the duty and sends no further orders. */
 void
 gt_planner_stop (gt_planner_t *planner)
 {
--- a/gate/planner.h
+++ b/gate/planner.h
@@ -12,7 +12,7 @@
 #include "gate_relay.h"
 #include "store.h"
 
-/** The outcome of an order. */
+/** Outcome of an order. */
 typedef enum gt_order_state
 {
   GT_ORDER_BEGUN,   /**< the engine accepted it */
@@ -21,7 +21,7 @@
 } gt_order_state_t;
 
 typedef void (*gt_order_cb) (void *arg, gt_order_state_t state, int status,
-                             const rt_hints_t *asks);
+                             const rt_hints_t *hints);
 
 typedef struct gt_planner_options
 {
--- a/gate/platform.c
+++ b/gate/platform.c
@@ -15,11 +15,11 @@
 #define WATCH_TIMEOUT (25 * EL_SEC)
 #define CALL_TIMEOUT (2 * EL_SEC)
 #define HOSTS_INTERVAL (500 * EL_MSEC)
-#define CHOSEN_CHECK_INTERVAL (500 * EL_MSEC)
+#define SELECTION_CHECK_INTERVAL (500 * EL_MSEC)
 #define WATCHERS_PER_HALL 2
 #define PEERS_FIRST_WAIT (2 * EL_SEC)
-#define BACKOFF_FIRST (100 * EL_MSEC)
-#define BACKOFF_MAX (10 * EL_SEC)
+#define RETRY_DELAY_FIRST (100 * EL_MSEC)
+#define RETRY_DELAY_MAX (10 * EL_SEC)
 #define PUT_ATTEMPTS_MAX 4
 #define PUT_RETRY_BASE (150 * EL_MSEC)
 
@@ -46,8 +46,8 @@
   el_timer_t watch_timer;
   el_timer_t hosts_timer;
   unsigned failures;
-  int must_reread; /* the watch cannot continue: the changes asked for
-                      are no longer kept */
+  int must_reread; /* the watch cannot continue: the requested changes are no
+                      longer kept */
   int full_read;   /* the pending call is a range */
   el_time_t started_at;
   put_op_t *puts;
@@ -76,16 +76,16 @@
   return net_client_send (gate->client, &send);
 }
 
-/* Returns a wait that doubles with each failure. Half of it is random, so that
-   hosts do not come back to the platform at the same time. */
+/* Returns a delay that doubles with each failure. Up to half of it is random,
+   so that hosts do not retry at the same time. */
 static el_time_t
-platform_backoff (gt_platform_t *platform)
+platform_retry_delay (gt_platform_t *platform)
 {
   unsigned shift = platform->failures < 7 ? platform->failures : 7;
-  el_time_t wait = BACKOFF_FIRST << shift;
+  el_time_t wait = RETRY_DELAY_FIRST << shift;
 
-  if (wait > BACKOFF_MAX)
-    wait = BACKOFF_MAX;
+  if (wait > RETRY_DELAY_MAX)
+    wait = RETRY_DELAY_MAX;
   platform->failures++;
   platform->gate->counts.platform_failures++;
   return wait / 2 + gt_random (platform->gate) % (wait / 2 + 1);
@@ -117,7 +117,7 @@
 
   platform->watch = NULL;
   if (result->net != NET_OK)
-    wait = platform_backoff (platform);
+    wait = platform_retry_delay (platform);
   else if (gt_kv_http.read_list (result, &list))
     {
       list_apply (platform, &list, platform->full_read);
@@ -128,16 +128,16 @@
     {
       if (list.compacted)
         platform->must_reread = 1;
-      wait = platform_backoff (platform);
+      wait = platform_retry_delay (platform);
     }
   json_decref (list.json);
   net_clock_set (&platform->gate->clock, &platform->watch_timer, wait);
 }
 
-/* Returns whether this host asks the platform. A few hosts of each hall do,
+/* Returns whether this host calls the platform. A few hosts of each hall do,
    and the others get the configuration from them, so that the number of calls
-   grows with the number of halls only. A host that has no configuration asks
-   too, once the other hosts had time to send it. */
+   grows with the number of halls only. A host without a configuration calls it
+   too, once the other hosts have had time to send theirs. */
 static int
 platform_polls (gt_platform_t *platform)
 {
@@ -160,7 +160,7 @@
   if (!platform_polls (platform))
     {
       net_clock_set (&platform->gate->clock, &platform->watch_timer,
-                     CHOSEN_CHECK_INTERVAL);
+                     SELECTION_CHECK_INTERVAL);
       return;
     }
   platform->full_read
@@ -177,8 +177,9 @@
   el_buf_free (&path);
 }
 
-/* The list lags and repeats itself: as long as it names an endpoint as
-   leaving, that is reported again, here and to the other hosts. */
+/* The list lags behind, and successive lists repeat the same states: as long
+   as an endpoint is listed as leaving, each list reports it anew, here and to
+   the other hosts. */
 static void
 hosts_apply (gt_platform_t *platform, json_t *hosts)
 {
@@ -210,7 +211,7 @@
   if (result->net == NET_OK && gt_kv_http.read_hosts (result, &hosts))
     hosts_apply (platform, hosts);
   else
-    wait += platform_backoff (platform);
+    wait += platform_retry_delay (platform);
   json_decref (hosts);
   net_clock_set (&platform->gate->clock, &platform->hosts_timer, wait);
 }
@@ -286,10 +287,10 @@
   put_free (op);
 }
 
-/* A conflict may come from this change itself, from an attempt whose answer
+/* A conflict may be caused by this change itself, by an attempt whose answer
    was lost; the change id shows it. A removal leaves no value to carry the id:
-   a key that is gone after a lost answer was removed, by this host or by
-   another that wanted the same. The watch reports the revision. */
+   a key that is gone after a lost answer was removed by this host, or by
+   another with the same intent. The watch reports the revision. */
 static void
 put_conflict (put_op_t *op, const gt_kv_put_t *answer)
 {
@@ -334,8 +335,8 @@
                  PUT_RETRY_BASE << op->attempts);
 }
 
-/* Repeating the call is safe: the platform makes the change only if the
-   current revision is the expected one. */
+/* Retrying the call is safe: the platform makes the change only if the current
+   revision is the expected one. */
 static void
 put_send (void *arg, el_time_t now)
 {
--- a/gate/session_peer.c
+++ b/gate/session_peer.c
@@ -24,36 +24,36 @@
 
 static void ops_hosts (void *arg, size_t live);
 static void ops_leaving (void *arg, el_str_t endpoint);
-static int ops_news (void *arg, pr_store_position_t after,
-                     pr_store_update_t *out);
+static int ops_changes_since (void *arg, pr_store_position_t after,
+                              pr_store_update_t *out);
 static pr_store_position_t ops_position (void *arg);
 static void ops_epoch (void *arg, uint64_t epoch);
 static el_time_t ops_known (void *arg);
 static size_t ops_engines (void *arg, pr_engine_report_t **out);
-static void ops_engines_heard (void *arg, const pr_engine_report_t *engines,
-                               size_t n);
+static void ops_engine_reports (void *arg, const pr_engine_report_t *engines,
+                                size_t n);
 static void ops_rumor (void *arg, const co_rumor_t *rumor);
 static void ops_call (void *arg, net_rpc_req_t *req,
                       const pr_forward_request_t *call);
-static void ops_answer_write (void *arg, const void *answer, peer_answer *to);
-static void *ops_answer_read (void *arg, const peer_answer *from,
-                              size_t *bytes);
-static void ops_taken_over (void *arg);
+static void ops_encode_answer (void *arg, const void *answer, peer_answer *to);
+static void *ops_decode_answer (void *arg, const peer_answer *from,
+                                size_t *bytes);
+static void ops_handover_received (void *arg);
 
 static const pr_ops_t ops = {
   .hosts = ops_hosts,
   .leaving = ops_leaving,
-  .news = ops_news,
+  .news = ops_changes_since,
   .position = ops_position,
   .epoch = ops_epoch,
   .known = ops_known,
   .engines = ops_engines,
-  .receive_engine_reports = ops_engines_heard,
+  .receive_engine_reports = ops_engine_reports,
   .rumor = ops_rumor,
   .call = ops_call,
-  .encode_answer = ops_answer_write,
-  .decode_answer = ops_answer_read,
-  .handover_received = ops_taken_over,
+  .encode_answer = ops_encode_answer,
+  .decode_answer = ops_decode_answer,
+  .handover_received = ops_handover_received,
 };
 
 static const gt_refusal_t home_gone
@@ -88,7 +88,8 @@
 }
 
 static int
-ops_news (void *arg, pr_store_position_t after, pr_store_update_t *out)
+ops_changes_since (void *arg, pr_store_position_t after,
+                   pr_store_update_t *out)
 {
   const gt_gate_t *gate = arg;
 
@@ -133,7 +134,7 @@
 }
 
 static void
-ops_engines_heard (void *arg, const pr_engine_report_t *engines, size_t n)
+ops_engine_reports (void *arg, const pr_engine_report_t *engines, size_t n)
 {
   gt_gate_t *gate = arg;
 
@@ -152,7 +153,7 @@
 
 /* Includes the retry headers: without them, a caller whose call was forwarded
    from another host would not learn when to retry, even while all endpoints
-   rest for 60 s. */
+   are in backoff for 60 s. */
 static void
 reply_refusal (net_rpc_req_t *req, const gt_refusal_t *refusal)
 {
@@ -160,16 +161,16 @@
   gt_verdict_header_set_t head;
   json_t *json = gt_refusal_json (refusal);
   char *text = json_dumps (json, JSON_COMPACT);
-  pr_forward_result_t called = { .verdict = refusal->verdict,
-                                 .status = refusal->status,
-                                 .headers = headers,
-                                 .nheaders = 1,
-                                 .body = el_str (text) };
+  pr_forward_result_t forwarded = { .verdict = refusal->verdict,
+                                    .status = refusal->status,
+                                    .headers = headers,
+                                    .nheaders = 1,
+                                    .body = el_str (text) };
 
   gt_verdict_headers (refusal->verdict, refusal->retry_after_ms, &head);
   memcpy (headers + 1, head.headers, head.n * sizeof *headers);
-  called.nheaders += head.n;
-  pr_forward_reply (req, &called);
+  forwarded.nheaders += head.n;
+  pr_forward_reply (req, &forwarded);
   free (text);
   json_decref (json);
 }
@@ -178,18 +179,18 @@
 static void
 reply_answer (net_rpc_req_t *req, const gt_answer_t *answer)
 {
-  pr_forward_result_t called = { .verdict = answer->outcome.verdict,
-                                 .status = answer->status,
-                                 .nheaders = answer->nheaders + 1,
-                                 .body = el_buf_str (&answer->body) };
-  net_header_t *headers = el_alloc (called.nheaders * sizeof *headers);
+  pr_forward_result_t forwarded = { .verdict = answer->outcome.verdict,
+                                    .status = answer->status,
+                                    .nheaders = answer->nheaders + 1,
+                                    .body = el_buf_str (&answer->body) };
+  net_header_t *headers = el_alloc (forwarded.nheaders * sizeof *headers);
 
   memcpy (headers, answer->headers, answer->nheaders * sizeof *headers);
   headers[answer->nheaders]
       = (net_header_t){ EL_STR ("x-elmarch-verdict"),
                         el_str (el_verdict_name (answer->outcome.verdict)) };
-  called.headers = headers;
-  pr_forward_reply (req, &called);
+  forwarded.headers = headers;
+  pr_forward_reply (req, &forwarded);
   free (headers);
 }
 
@@ -216,10 +217,10 @@
 
 /* Passes on the answer to a call that this host forwarded for another one. */
 static void
-forward_done (void *arg, const pr_forward_result_t *called)
+forward_done (void *arg, const pr_forward_result_t *forwarded)
 {
-  if (called->answered)
-    pr_forward_reply (arg, called);
+  if (forwarded->answered)
+    pr_forward_reply (arg, forwarded);
   else
     reply_refusal (arg, &home_gone);
 }
@@ -301,7 +302,7 @@
 }
 
 static void
-ops_answer_write (void *arg, const void *answer, peer_answer *to)
+ops_encode_answer (void *arg, const void *answer, peer_answer *to)
 {
   const gt_answer_t *from = answer;
   size_t i;
@@ -327,7 +328,7 @@
 }
 
 static void *
-ops_answer_read (void *arg, const peer_answer *from, size_t *bytes)
+ops_decode_answer (void *arg, const peer_answer *from, size_t *bytes)
 {
   gt_request_t request
       = { .type = from->chat ? RT_CHAT : RT_CALL, .in_session = 1 };
@@ -364,7 +365,7 @@
 }
 
 static void
-ops_taken_over (void *arg)
+ops_handover_received (void *arg)
 {
   gt_answer_flush (arg);
 }
--- a/gate/store.c
+++ b/gate/store.c
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Calls to the platform's store and the waits after failed calls, shared by
+ * Calls to the platform's store and the delays after failed calls, shared by
  * all users of the store on this host.
  */
 #include <stdlib.h>
@@ -11,11 +11,11 @@
 #include "map.h"
 #include "store.h"
 
-#define BACKOFF_FIRST (60 * EL_MSEC)
-#define BACKOFF_DOUBLINGS 5
-#define BACKOFF_MAX (500 * EL_MSEC)
-/* Upper bound of the retry-after time: a host that cannot reach the store for
-   5 s admits no customer, and should have tried twice before that. */
+#define RETRY_DELAY_FIRST (60 * EL_MSEC)
+#define RETRY_DELAY_DOUBLINGS 5
+#define RETRY_DELAY_MAX (500 * EL_MSEC)
+/* Upper limit of the retry-after time: a host that cannot reach the store for
+   5 s refuses all customers, and should have tried twice by then. */
 #define RETRY_AFTER_MAX (2 * EL_SEC)
 /* Jitter: up to 1/5 of the retry-after time is added to it. */
 #define RETRY_AFTER_JITTER_PART 5
@@ -54,9 +54,10 @@
   listener->epoch (listener->arg);
 }
 
-/** Takes note that the store has begun EPOCH, as BY says; a lower one changes
-    nothing. Listeners are called from the loop, as one of them may be handling
-    an answer now. The first epoch heard of is not a change. */
+/** Records that the store has begun EPOCH, as reported by BY; a number not
+    above the known one is ignored. Listeners are called from the loop, as one
+    of them may be handling an answer now. The first known epoch is not a
+    change. */
 void
 gt_store_observe_epoch (gt_store_t *store, uint64_t epoch, const char *by)
 {
@@ -116,8 +117,8 @@
   call.done (call.arg, result);
 }
 
-/** Sends a call; BODY, which may be NULL, is JSON. To DONE, an answer from a
-    previous epoch is reported as a broken connection. */
+/** Sends a call; BODY, which may be NULL, is JSON. An answer from a previous
+    epoch is reported to DONE as a lost connection. */
 net_exchange_t *
 gt_store_call (gt_store_t *store, const char *method, const el_buf_t *path,
                const el_buf_t *body, el_time_t timeout, net_result_cb done,
@@ -145,9 +146,9 @@
   return net_client_send (store->client, &send);
 }
 
-/** Applies the retry-after time of a failed call's answer. It holds for all
-    users of the store on this host, except the renewal of a duty; a time that
-    ends later stays as it is. */
+/** Applies the retry-after time of a failed call's answer to all users of the
+    store on this host, except the renewal of a duty. A time in force that ends
+    later stays as it is. */
 void
 gt_store_apply_retry_after (gt_store_t *store, const net_result_t *result)
 {
@@ -168,7 +169,8 @@
           EL_FN ("asked_us", asked), EL_FN ("left_us", retry_after));
 }
 
-/** Returns the time left until the store accepts calls again. */
+/** Returns the time until calls to the store are allowed again; 0 if they
+    are. */
 el_time_t
 gt_store_retry_after (const gt_store_t *store)
 {
@@ -177,19 +179,19 @@
   return now < store->retry_at ? store->retry_at - now : 0;
 }
 
-/** Returns how long to wait after a call that failed with RESULT, after
-    FAILURES earlier ones in a row. Half of the wait is random, so that hosts
-   do not come back at the same time. */
+/** Returns the delay before the retry of a call that failed with RESULT after
+    FAILURES consecutive failures before it. Up to half of the delay is random,
+    so that hosts do not retry at the same time. */
 el_time_t
-gt_store_backoff (gt_store_t *store, const net_result_t *result,
-                  unsigned failures)
+gt_store_retry_delay (gt_store_t *store, const net_result_t *result,
+                      unsigned failures)
 {
-  el_time_t wait = BACKOFF_FIRST
-                   << (failures < BACKOFF_DOUBLINGS ? failures
-                                                    : BACKOFF_DOUBLINGS);
+  el_time_t wait = RETRY_DELAY_FIRST << (failures < RETRY_DELAY_DOUBLINGS
+                                             ? failures
+                                             : RETRY_DELAY_DOUBLINGS);
 
-  if (wait > BACKOFF_MAX)
-    wait = BACKOFF_MAX;
+  if (wait > RETRY_DELAY_MAX)
+    wait = RETRY_DELAY_MAX;
   store->counts.failures++;
   wait = wait / 2 + el_random (&store->random) % (wait / 2 + 1);
   gt_store_apply_retry_after (store, result);
--- a/gate/store.h
+++ b/gate/store.h
@@ -62,8 +62,8 @@
   void (*create) (el_buf_t *path, el_buf_t *body, el_str_t key, el_str_t value,
                   uint64_t lease);
   gt_store_state_t (*read_create) (const net_result_t *result);
-  /** The time for which a refusal asks this host to make no calls; 0 if it
-      names none. */
+  /** The retry-after time of a refusal, in which this host should make no
+      calls; 0 if it has none. */
   el_time_t (*read_retry_after) (const net_result_t *result);
   gt_store_epoch_field_t (*read_epoch) (const net_result_t *result,
                                         uint64_t *epoch);
@@ -109,9 +109,9 @@
   el_str_t address;
   gt_store_counts_t counts;
   uint64_t random;    /**< state of el_random; not 0 */
-  el_time_t retry_at; /**< the store asked for no calls before */
+  el_time_t retry_at; /**< no calls before: the end of the retry-after time */
   uint64_t epoch;     /**< the latest known */
-  int known;          /**< an answer came, here or at another host */
+  int known;          /**< the store answered this host or another one */
   gt_store_listener_t *listeners;
   el_timer_t notify_timer; /**< calls the listeners from the loop */
 } gt_store_t;
@@ -126,8 +126,8 @@
                                void *arg);
 void gt_store_apply_retry_after (gt_store_t *store,
                                  const net_result_t *result);
-el_time_t gt_store_backoff (gt_store_t *store, const net_result_t *result,
-                            unsigned failures);
+el_time_t gt_store_retry_delay (gt_store_t *store, const net_result_t *result,
+                                unsigned failures);
 el_time_t gt_store_retry_after (const gt_store_t *store);
 
 /* A mirror of the keys below a prefix. */
@@ -144,14 +144,15 @@
   /** Called for a key that is new, changed or removed. Returns 0 if the value
       carries a version of its own that is older than the known one. */
   int (*item) (void *arg, const pr_store_item_t *item);
-  el_time_t news_max_age; /**< answers of other hosts whose data are older than
-                           this come from a host that cannot reach the store */
-  /** Asks another host for the changes after a position; OLD is the number of
-      unusable answers in a row. Returns 0 if this host should ask the store
-      itself; may be NULL. */
-  int (*ask_peer) (void *arg, pr_store_position_t after, unsigned old,
-                   pr_store_update_cb done, void *done_arg);
-  /** Called when the store has answered after another host had no usable
+  el_time_t news_max_age; /**< an answer whose data are older than this comes
+                               from a host that cannot reach the store */
+  /** Asks another host for the changes after a position; STALE_ANSWERS is the
+      number of consecutive unusable answers. Returns 0 if this host should ask
+      the store itself; may be NULL. */
+  int (*ask_peer) (void *arg, pr_store_position_t after,
+                   unsigned stale_answers, pr_store_update_cb done,
+                   void *done_arg);
+  /** Called when the store has answered although another host had no usable
       answer: that host is at fault. */
   void (*peer_failed) (void *arg);
   /** Called when all changes made before AS_OF, by the clock, are known. */
--- a/gate/store_duty.c
+++ b/gate/store_duty.c
@@ -6,9 +6,9 @@
  * A leader lease in the store: the host whose lease the key is bound to has
  * the duty. The holder counts the lease's time to live on its own clock, from
  * before it sent the request, and stops ahead of the end; a holder that was
- * suspended thus sees on resume that its lease is over. A store restored from
- * an older copy has lost the lease and may give the same lease number to
- * another host, so the duty is identified by lease and epoch.
+ * suspended thus sees when it continues that its lease is over. A store
+ * restored from an older copy has lost the lease and may give the same lease
+ * number to another host, so the duty is identified by lease and epoch.
  */
 #include <string.h>
 
@@ -17,10 +17,10 @@
 #define CALL_TIMEOUT (1000 * EL_MSEC)
 /* Renewals within one time to live: two may be lost. */
 #define RENEWALS_PER_TTL 3
-/* Wait while another host has the duty; if that host died, its lease expires
-   within a few seconds. */
+/* Delay while another host has the duty; if that host crashed, its lease
+   expires within a few seconds. */
 #define HELD_ELSEWHERE_RETRY (700 * EL_MSEC)
-/* Interval at which the vacant callback is asked. */
+/* Interval at which the vacant callback is called. */
 #define VACANCY_CHECK_INTERVAL (100 * EL_MSEC)
 
 typedef enum duty_step
@@ -40,7 +40,7 @@
   uint64_t epoch; /* in which the lease was granted */
   el_time_t sent_at;
   el_time_t valid_until; /* the lease does not expire before */
-  el_time_t not_before;  /* not requested before: the holder of the previous
+  el_time_t not_before;  /* no request before: the holder of the previous
                             epoch may not know of the new one yet */
   gt_store_listener_t listener;
   net_exchange_t *call;
@@ -139,7 +139,7 @@
       || store->dialect->read_grant (result, &duty->lease) != GT_STORE_OK)
     {
       duty_lost (duty, "no lease granted",
-                 gt_store_backoff (store, result, duty->failures++));
+                 gt_store_retry_delay (store, result, duty->failures++));
       return;
     }
   duty->failures = 0;
@@ -212,7 +212,8 @@
       duty_lost (duty, "lease expired", HELD_ELSEWHERE_RETRY);
     }
   else
-    duty_schedule (duty, gt_store_backoff (store, result, duty->failures++));
+    duty_schedule (duty,
+                   gt_store_retry_delay (store, result, duty->failures++));
 }
 
 static void
@@ -249,9 +250,9 @@
   el_buf_free (&path);
 }
 
-/* Sends the request of the current step. A held duty is renewed also while the
-   store asks for no calls: a renewal costs the store a tenth of a call, a
-   change of holder costs three. A renewal is sent without a body. */
+/* Sends the request of the current step. A held duty is renewed even during
+   the retry-after time of the store: a renewal costs the store a tenth of a
+   call, a change of holder costs three. A renewal is sent without a body. */
 static void
 duty_send (gt_duty_t *duty)
 {
@@ -267,7 +268,7 @@
   el_buf_free (&body);
 }
 
-/* Returns how long to wait before the duty may be requested. */
+/* Returns the time until the duty may be requested. */
 static el_time_t
 duty_delay (const gt_duty_t *duty, el_time_t now)
 {
--- a/gate/store_follow.c
+++ b/gate/store_follow.c
@@ -4,37 +4,37 @@
  */
 /** @file
  * Mirrors the keys below a prefix: reads all, page by page, then watches for
- * changes, and reads all again if the store no longer keeps the changes asked
- * for or has begun a new epoch. Changes may also come from another host.
+ * changes, and reads all again if the store no longer keeps the requested
+ * changes or has begun a new epoch. Changes may also come from another host.
  */
 #include <stdlib.h>
 
 #include "store.h"
 #include "store_keys.h"
 
-/* Limit of a call, beyond the time for which a watch may wait: a call that
-   takes longer gets no answer any more. */
+/* Time limit of a call, on top of the wait of a watch: a call that takes
+   longer never gets an answer. */
 #define CALL_TIMEOUT (1500 * EL_MSEC)
 /* While the store does not answer, calls ask for an immediate answer and have
-   a shorter limit: a call sent just before the store returns must not delay
-   the next one. */
+   a shorter time limit: a call sent just before the store recovers must not
+   delay the next one. */
 #define RECOVERY_WAIT_MS 1
 #define RECOVERY_TIMEOUT (800 * EL_MSEC)
 
 /* A host that got an outdated answer from another host asks the store itself
    at once, and after each failure half as often. In between it asks the other
-   hosts, of which the first of each hall asks the store. */
+   hosts; the first host of each hall asks the store. */
 #define FALLBACK_FIRST (2 * EL_SEC)
 #define FALLBACK_MAX (8 * EL_SEC)
-/* Another host is asked again this long after an unusable answer. */
+/* Delay before another host is asked after an unusable answer. */
 #define PEER_RETRY (200 * EL_MSEC)
 /* How long differences in a new epoch are held back. After the store is
-   restored from an older copy, its writers have repeated their lost changes
+   restored from an older copy, its writers write their lost changes again
    within about two seconds. */
 #define HELD_DELAY (2500 * EL_MSEC)
-/* Wait after a full read; the result is as fresh as that of a watch that waits
-   as long. In this time a host that has just started learns which other hosts
-   it can ask. */
+/* Delay after a full read; the next result is as current as that of a watch
+   that waits as long. In this time a host that has just started learns which
+   other hosts it can ask. */
 #define AFTER_READ_DELAY (700 * EL_MSEC)
 
 struct gt_follow
@@ -43,7 +43,7 @@
   gt_store_listener_t listener;
   gt_keys_t *keys;
   net_exchange_t *call;
-  uint64_t call_epoch; /* the latest when the call was sent */
+  uint64_t call_epoch; /* latest known epoch when the call was sent */
   int peer_pending;    /* another host has not answered yet */
   el_timer_t timer;
   el_timer_t held_timer;
@@ -53,7 +53,7 @@
   pr_store_position_t read_position; /* position of the first page */
   el_buf_t page_cursor;              /* last key of the previous page */
   gt_store_read_cause_t read_cause;  /* of the last or next full read */
-  int complete;                      /* that read is done */
+  int complete;                      /* that read is complete */
   el_time_t synced_at;               /* all changes before it are known */
   unsigned stale_answers;  /* unusable answers of other hosts in a row */
   int ask_store;           /* another host had no usable answer: ask the
@@ -90,8 +90,8 @@
                    HELD_DELAY);
 }
 
-/* Applies the held differences of a new epoch: the writers had time to repeat
-   their changes. */
+/* Applies the held differences of a new epoch: the writers have had time to
+   write their lost changes again. */
 static void
 follow_release_held (void *arg, el_time_t now)
 {
@@ -113,7 +113,7 @@
                const net_result_t *result)
 {
   gt_follow_options_t *o = &follow->options;
-  el_time_t wait = gt_store_backoff (o->store, result, follow->failures++);
+  el_time_t wait = gt_store_retry_delay (o->store, result, follow->failures++);
 
   follow->ask_store = 0; /* the store does not answer either */
 
@@ -216,10 +216,10 @@
     follow_run (follow, 0);
 }
 
-/* Returns 0 if the answer of a watch cannot be used and all is to be read
-   again. After a position in a previous epoch no answer is used, even if the
-   store does not report the position as compacted: the same revision may exist
-   again. */
+/* Returns 0 if the answer of a watch cannot be used and all keys have to be
+   read again. No answer about changes after a position in a previous epoch is
+   used, even if the store does not report the position as compacted: the same
+   revision may exist again. */
 static int
 watch_usable (gt_follow_t *follow, gt_store_state_t state)
 {
@@ -288,10 +288,10 @@
   follow->options.known (follow->options.arg, as_of);
 }
 
-/* Another host had no usable answer. The store is asked, but not too often; if
+/* Another host had no usable answer. The store is asked, at a limited rate; if
    it answers, that host is at fault. */
 static void
-news_rejected (gt_follow_t *follow, el_time_t now)
+update_rejected (gt_follow_t *follow, el_time_t now)
 {
   gt_store_t *store = follow->options.store;
 
@@ -312,53 +312,53 @@
 }
 
 static void
-news_apply (gt_follow_t *follow, const pr_store_update_t *news)
+update_apply (gt_follow_t *follow, const pr_store_update_t *update)
 {
   pr_store_position_t before = follow->at;
   size_t i;
 
-  if (news->whole)
+  if (update->whole)
     gt_keys_begin_snapshot (follow->keys);
-  for (i = 0; i < news->n; i++)
-    gt_keys_apply (follow->keys, news->at.epoch, &news->items[i]);
-  if (news->whole)
-    gt_keys_end_snapshot (follow->keys, news->at);
-  if (pr_store_position_cmp (news->at, follow->at) > 0)
-    follow->at = news->at;
-  changes_finish (follow, "host", before, news->whole);
+  for (i = 0; i < update->n; i++)
+    gt_keys_apply (follow->keys, update->at.epoch, &update->items[i]);
+  if (update->whole)
+    gt_keys_end_snapshot (follow->keys, update->at);
+  if (pr_store_position_cmp (update->at, follow->at) > 0)
+    follow->at = update->at;
+  changes_finish (follow, "host", before, update->whole);
 }
 
 /* Returns whether another host's answer can be applied: it is recent, of the
    latest epoch, and contains all keys unless this host has keys of that
    epoch. */
 static int
-news_usable (const gt_follow_t *follow, const pr_store_update_t *news,
-             el_time_t now)
+update_usable (const gt_follow_t *follow, const pr_store_update_t *update,
+               el_time_t now)
 {
-  return news && news->as_of + follow->options.news_max_age >= now
-         && !follow_stale (follow, news->at)
-         && (news->whole || news->at.epoch == follow->at.epoch);
+  return update && update->as_of + follow->options.news_max_age >= now
+         && !follow_stale (follow, update->at)
+         && (update->whole || update->at.epoch == follow->at.epoch);
 }
 
-/* Another host has answered. If NEWS is NULL or cannot be used, the store is
+/* Another host has answered. If UPDATE is NULL or cannot be used, the store is
    asked. */
 static void
-news_done (void *arg, const pr_store_update_t *news)
+update_done (void *arg, const pr_store_update_t *update)
 {
   gt_follow_t *follow = arg;
   el_time_t now = net_clock_now (follow->options.store->clock);
 
   follow->peer_pending = 0;
-  if (news)
-    gt_follow_observe_epoch (follow, news->at.epoch);
-  if (!news_usable (follow, news, now))
+  if (update)
+    gt_follow_observe_epoch (follow, update->at.epoch);
+  if (!update_usable (follow, update, now))
     {
-      news_rejected (follow, now);
+      update_rejected (follow, now);
       return;
     }
   follow_recovered (follow);
-  news_apply (follow, news);
-  follow_set_synced (follow, news->as_of);
+  update_apply (follow, update);
+  follow_set_synced (follow, update->as_of);
   follow_run (follow, 0);
 }
 
@@ -370,7 +370,7 @@
 
   follow->peer_pending
       = o->ask_peer && follow->complete && !follow->ask_store
-        && o->ask_peer (o->arg, follow->at, follow->stale_answers, news_done,
+        && o->ask_peer (o->arg, follow->at, follow->stale_answers, update_done,
                         follow);
   return follow->peer_pending;
 }
@@ -409,7 +409,7 @@
   el_buf_free (&path);
 }
 
-/* Makes the next request, of another host or of the store. */
+/* Sends the next request, to another host or to the store. */
 static void
 follow_run (void *arg, el_time_t now)
 {
@@ -434,8 +434,9 @@
     follow_page (follow);
 }
 
-/* The store has begun a new epoch. A call that was sent before is of no use
-   and may have gone to an instance that no longer answers: it is cancelled. */
+/* Called when the store has begun a new epoch. A call that was sent before is
+   useless and may have gone to a server that no longer answers: it is
+   cancelled. */
 static void
 follow_epoch_changed (void *arg)
 {
@@ -472,8 +473,8 @@
 }
 
 /** Writes to OUT the changes after a position, or all keys if not every
-   removal since then is known; returns 0 if that epoch is not known here yet.
-   The items belong to the follower; the caller frees the list. */
+    removal since then is known; returns 0 if that epoch is not known here yet.
+    The items belong to the follower; the caller frees the list. */
 int
 gt_follow_changes_since (const gt_follow_t *follow, pr_store_position_t after,
                          pr_store_update_t *out)
@@ -492,7 +493,7 @@
   return follow->at;
 }
 
-/** Takes note that, as another host says, the store has begun EPOCH. */
+/** Records that the store has begun EPOCH, as reported by another host. */
 void
 gt_follow_observe_epoch (gt_follow_t *follow, uint64_t epoch)
 {
--- a/gate/store_keys.c
+++ b/gate/store_keys.c
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * A copy of the keys of a store. It decides which of two changes of a key is
+ * A mirror of the keys of a store. It decides which of two changes of a key is
  * newer, which keys a full snapshot shows to be removed, and which changes
  * another host still needs. No function here does I/O.
  *
@@ -25,9 +25,9 @@
   size_t len;
   pr_store_position_t at;
   el_str_t value;
-  int known; /* it was passed to the callback before */
+  int known; /* it has been passed to the callback */
   int gone;
-  int held;          /* its state was not passed to the callback yet */
+  int held;          /* its state has not been passed to the callback yet */
   uint64_t snapshot; /* number of the last snapshot that contained it */
   UT_hash_handle hh;
 } keys_entry_t;
@@ -42,7 +42,7 @@
   gt_keys_counts_t counts;
 };
 
-/** Creates an empty copy. */
+/** Creates an empty mirror. */
 gt_keys_t *
 gt_keys_new (const gt_keys_options_t *options)
 {
@@ -76,7 +76,7 @@
   free (key);
 }
 
-/** Frees the copy and all its keys. */
+/** Frees the mirror and all its keys. */
 void
 gt_keys_free (gt_keys_t *keys)
 {
@@ -96,7 +96,7 @@
                             .gone = key->gone };
 }
 
-/* Returns whether ITEM has the state that is known of KEY. */
+/* Returns whether ITEM has the known state of KEY. */
 static int
 key_matches (const keys_entry_t *key, const pr_store_item_t *item)
 {
@@ -140,8 +140,8 @@
   key->value = el_str_dup (item->value);
 }
 
-/** Applies ITEM, a change made in EPOCH. A new epoch in which a key has its
-    known state changes only the key's position. */
+/** Applies ITEM, a change made in EPOCH. If a key has its known state in a new
+    epoch as well, only its position changes. */
 void
 gt_keys_apply (gt_keys_t *keys, uint64_t epoch, const pr_store_item_t *item)
 {
--- a/gate/store_keys.h
+++ b/gate/store_keys.h
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * One host's copy of the keys of a store, with the position of the last change
+ * A host's mirror of the keys of a store, with the position of the last change
  * of each.
  */
 #ifndef ELMARCH_STORE_KEYS_H
--- a/gate/store_put.c
+++ b/gate/store_put.c
@@ -4,15 +4,15 @@
  */
 /** @file
  * Writes a key that the store removes after a time: it is created, unless it
- * exists, under a lease that is not renewed. Failed calls are repeated with
- * growing waits for up to RETRY_FOR_MAX.
+ * exists, under a lease that is not renewed. Failed calls are retried with
+ * exponential backoff for up to RETRY_FOR_MAX.
  */
 #include <stdlib.h>
 
 #include "store.h"
 
 #define CALL_TIMEOUT (1000 * EL_MSEC)
-/* The attempt is abandoned when the store is unreachable for longer. */
+/* The write is abandoned if the store is unreachable for longer. */
 #define RETRY_FOR_MAX (60 * EL_SEC)
 
 typedef struct put
@@ -56,7 +56,7 @@
       return;
     }
   net_clock_set (store->clock, &put->retry_timer,
-                 gt_store_backoff (store, result, put->failures++));
+                 gt_store_retry_delay (store, result, put->failures++));
 }
 
 static void
