--- a/gate/store_keys.c
+++ b/gate/store_keys.c
@@ -8,10 +8,10 @@
  * another host still needs. No function here does I/O.
  *
  * A store restored from an older copy lacks what was written since that copy,
- * and has again what was removed since, until the writers have repeated their
- * changes. Differences of both kinds in the first snapshot of an epoch are
- * therefore held back until gt_keys_release_held; a change reported after the
- * snapshot takes effect at once.
+ * and has again what was removed since, until the writers have written their
+ * changes again. Differences of both kinds in the first snapshot of an epoch
+ * are therefore held back until gt_keys_release_held; a change reported after
+ * the snapshot takes effect at once.
  */
 #include <stdlib.h>
 
--- a/gate/store_put.c
+++ b/gate/store_put.c
@@ -15,7 +15,7 @@
 /* The write is abandoned if the store is unreachable for longer. */
 #define RETRY_FOR_MAX (60 * EL_SEC)
 
-typedef struct put
+typedef struct leased_put
 {
   gt_store_t *store;
   el_str_t key;
