--- a/elmarchd/frontend.c
+++ b/elmarchd/frontend.c
@@ -348,7 +348,7 @@
   frontend_await_peers (frontend,
                         net_clock_now (gt_gate_clock (frontend->gate)));
   gt_relays_set_rules_as_of (frontend->relays, as_of);
-  gt_gate_news_available (frontend->gate);
+  gt_gate_updates_available (frontend->gate);
 }
 
 static int
@@ -357,7 +357,7 @@
 {
   frontend_t *frontend = arg;
 
-  return gt_gate_request_news (frontend->gate, after, old, done, done_arg);
+  return gt_gate_request_update (frontend->gate, after, old, done, done_arg);
 }
 
 static void
@@ -365,7 +365,7 @@
 {
   frontend_t *frontend = arg;
 
-  gt_gate_avoid_news_source (frontend->gate);
+  gt_gate_avoid_update_source (frontend->gate);
 }
 
 /* The store was restored from an older copy. */
@@ -387,7 +387,7 @@
           .prefix = PF_ALL_PREFIX,
           .wait_ms = frontend_watch_wait_ms (frontend),
           .batch_delay = STORE_BATCH_DELAY,
-          .news_max_age = frontend_update_max_age (frontend),
+          .update_max_age = frontend_update_max_age (frontend),
           .item = frontend_item_received,
           .ask_peer = frontend_request_update,
           .peer_failed = frontend_avoid_source,
@@ -396,7 +396,7 @@
 
   frontend->part.epoch = frontend_epoch_began;
   frontend->part.arg = frontend;
-  gt_store_join (&frontend->store, &frontend->part);
+  gt_store_add_listener (&frontend->store, &frontend->part);
   frontend->follow = gt_follow_new (&all);
   gt_gate_set_follower (frontend->gate, frontend->follow);
 }
@@ -423,7 +423,7 @@
                                    .clock = gt_gate_clock (frontend->gate),
                                    .client = gt_gate_client (frontend->gate),
                                    .fleet = frontend->fleet,
-                                   .place = pf_send_order,
+                                   .send_order = pf_send_order,
                                    .preferred = frontend_is_preferred,
                                    .known = frontend_known_as_of,
                                    .arg = frontend };
@@ -446,7 +446,7 @@
 {
   frontend_t *frontend = arg;
 
-  gt_gate_news_available (frontend->gate);
+  gt_gate_updates_available (frontend->gate);
 }
 
 static size_t
--- a/gate/gate.c
+++ b/gate/gate.c
@@ -477,7 +477,7 @@
 /** Answers pending update requests of other hosts: the follower has an answer
     of the store, or this host has polled its hall's engines. */
 void
-gt_gate_news_available (gt_gate_t *gate)
+gt_gate_updates_available (gt_gate_t *gate)
 {
   pr_peers_reply_pending (gate->peers);
 }
@@ -485,7 +485,7 @@
 /** Avoids, for a while, the host that was last asked for store changes: it had
     no usable answer although the store is reachable. */
 void
-gt_gate_avoid_news_source (gt_gate_t *gate)
+gt_gate_avoid_update_source (gt_gate_t *gate)
 {
   pr_peers_avoid_last_source (gate->peers);
 }
@@ -536,9 +536,9 @@
     number of consecutive unusable answers. Returns 0 if this host should ask
     the store itself. */
 int
-gt_gate_request_news (gt_gate_t *gate, pr_store_position_t after,
-                      unsigned stale_answers, pr_store_update_cb done,
-                      void *arg)
+gt_gate_request_update (gt_gate_t *gate, pr_store_position_t after,
+                        unsigned stale_answers, pr_store_update_cb done,
+                        void *arg)
 {
   return !gate->draining
          && pr_peers_request_update (gate->peers, after, stale_answers, done,
--- a/gate/planner.c
+++ b/gate/planner.c
@@ -182,8 +182,8 @@
           EL_FS ("card", order->target->attrs.card),
           EL_FS ("hall", order->target->attrs.hall),
           EL_FN ("first", order->first), EL_FN ("end", order->end));
-  planner->options.place (planner->options.client, &sent->order, order_done,
-                          sent);
+  planner->options.send_order (planner->options.client, &sent->order,
+                               order_done, sent);
 }
 
 static void
--- a/gate/planner.h
+++ b/gate/planner.h
@@ -31,8 +31,8 @@
   net_client_t *client;
   rt_fleet_t *fleet;
   /** Sends an engine the order to hold a range of layers. */
-  void (*place) (net_client_t *client, const rt_order_t *order,
-                 gt_order_cb done, void *arg);
+  void (*send_order) (net_client_t *client, const rt_order_t *order,
+                      gt_order_cb done, void *arg);
   /** Whether this host should be the planner: one of the live hosts, the same
       one on all hosts as long as they agree on which are alive. */
   int (*preferred) (void *arg);
--- a/gate/store.c
+++ b/gate/store.c
@@ -30,14 +30,14 @@
 
 /** Adds a listener, which is called on each new epoch. */
 void
-gt_store_join (gt_store_t *store, gt_store_listener_t *listener)
+gt_store_add_listener (gt_store_t *store, gt_store_listener_t *listener)
 {
   DL_APPEND (store->listeners, listener);
 }
 
 /** Removes a listener. */
 void
-gt_store_leave (gt_store_t *store, gt_store_listener_t *listener)
+gt_store_remove_listener (gt_store_t *store, gt_store_listener_t *listener)
 {
   DL_DELETE (store->listeners, listener);
 }
--- a/gate/store.h
+++ b/gate/store.h
@@ -116,8 +116,9 @@
   el_timer_t notify_timer; /**< calls the listeners from the loop */
 } gt_store_t;
 
-void gt_store_join (gt_store_t *store, gt_store_listener_t *listener);
-void gt_store_leave (gt_store_t *store, gt_store_listener_t *listener);
+void gt_store_add_listener (gt_store_t *store, gt_store_listener_t *listener);
+void gt_store_remove_listener (gt_store_t *store,
+                               gt_store_listener_t *listener);
 void gt_store_observe_epoch (gt_store_t *store, uint64_t epoch,
                              const char *by);
 net_exchange_t *gt_store_call (gt_store_t *store, const char *method,
@@ -144,7 +145,7 @@
   /** Called for a key that is new, changed or removed. Returns 0 if the value
       carries a version of its own that is older than the known one. */
   int (*item) (void *arg, const pr_store_item_t *item);
-  el_time_t news_max_age; /**< an answer whose data are older than this comes
+  el_time_t update_max_age; /**< an answer whose data are older than this comes
                                from a host that cannot reach the store */
   /** Asks another host for the changes after a position; STALE_ANSWERS is the
       number of consecutive unusable answers. Returns 0 if this host should ask
--- a/gate/store_duty.c
+++ b/gate/store_duty.c
@@ -321,7 +321,7 @@
   duty->timer.arg = duty;
   duty->listener.epoch = duty_epoch_changed;
   duty->listener.arg = duty;
-  gt_store_join (options->store, &duty->listener);
+  gt_store_add_listener (options->store, &duty->listener);
   return duty;
 }
 
--- a/gate/store_follow.c
+++ b/gate/store_follow.c
@@ -335,7 +335,7 @@
 update_usable (const gt_follow_t *follow, const pr_store_update_t *update,
                el_time_t now)
 {
-  return update && update->as_of + follow->options.news_max_age >= now
+  return update && update->as_of + follow->options.update_max_age >= now
          && !follow_stale (follow, update->at)
          && (update->whole || update->at.epoch == follow->at.epoch);
 }
@@ -465,7 +465,7 @@
   follow->held_timer.arg = follow;
   follow->listener.epoch = follow_epoch_changed;
   follow->listener.arg = follow;
-  gt_store_join (options->store, &follow->listener);
+  gt_store_add_listener (options->store, &follow->listener);
   follow->timer.cb = follow_run;
   follow->timer.arg = follow;
   follow_run (follow, 0);
@@ -511,7 +511,7 @@
 void
 gt_follow_free (gt_follow_t *follow)
 {
-  gt_store_leave (follow->options.store, &follow->listener);
+  gt_store_remove_listener (follow->options.store, &follow->listener);
   net_clock_cancel (follow->options.store->clock, &follow->timer);
   net_clock_cancel (follow->options.store->clock, &follow->held_timer);
   if (follow->call)
