--- a/gate/gate_relay.h
+++ b/gate/gate_relay.h
@@ -17,46 +17,49 @@
 typedef struct gt_relays gt_relays_t;
 typedef struct gt_relay gt_relay_t;
 
-/** Header names of a dialect, in lower case. */
+/** Header names of a platform, in lower case. */
 typedef struct gt_relay_headers
 {
   const char *id;        /**< request id, echoed in the response */
   const char *time_left; /**< milliseconds until the caller's deadline */
-  const char *expect; /**< endpoint id; other endpoints refuse the request */
+  const char *expect; /**< id of the endpoint that is meant; others refuse the
+                         request */
   const char *customer;
   const char *not_executed; /**< on a response: the request was not executed */
-  const char *seal;   /**< on a response: marks it as the endpoint's own */
+  const char *seal;   /**< on a response: proves that the endpoint wrote it */
   const char *resume; /**< id of the last event that the caller received */
   const char *tokens; /**< prompt length and response limit, in tokens */
   const char *expected_tokens; /**< the caller's estimate of response tokens */
   const char *priority; /**< priority of the prompt among those queued */
-  const char *line;     /**< engines of the pipeline */
+  const char *line;     /**< engines of the chain and their layers */
   const char *at_fault; /**< on a refusal: address of the refusing engine */
 } gt_relay_headers_t;
 
-/** Result of asking an engine where a stream is stalled. */
+/** Result of a stall query: ADDRESS is the engine that the stream waits for.
+ */
 typedef void (*gt_stalled_cb) (void *arg, int answered, el_str_t address,
-                               const rt_hints_t *asks);
-/** Result of a health check. */
+                               const rt_hints_t *hints);
+/** Outcome of a health check. */
 typedef enum gt_check_result
 {
-  GT_CHECK_NONE,    /**< no response: the engine or this host may be cut off */
+  GT_CHECK_NONE, /**< no response: the engine or this host may be unreachable
+                  */
   GT_CHECK_REFUSED, /**< connection refused */
   GT_CHECK_OK       /**< the engine responded */
 } gt_check_result_t;
 
 /** Result of a health check; LOAD is NULL if the engine did not report any. */
 typedef void (*gt_check_cb) (void *arg, gt_check_result_t result,
-                             const rt_load_t *load, const rt_hints_t *asks);
+                             const rt_load_t *load, const rt_hints_t *hints);
 /** Result of a reroute. If not DONE, AT_FAULT is the address of the engine
-    that can't take its part, or empty if none was named. */
+    that refused to join the new chain, or empty if none was named. */
 typedef void (*gt_reroute_cb) (void *arg, int done, el_str_t at_fault,
-                               const rt_hints_t *asks);
+                               const rt_hints_t *hints);
 
 /** Priority of a stream's prompt among those queued at an engine. */
 typedef enum gt_priority
 {
-  GT_PRIORITY_ACTIVE, /**< in progress: its caller already has events */
+  GT_PRIORITY_ACTIVE, /**< in progress: its caller has received events */
   GT_PRIORITY_NEW,    /**< new, or resumed by its caller */
   GT_PRIORITIES
 } gt_priority_t;
@@ -67,9 +70,9 @@
   gt_relay_headers_t names;
   const char *priorities[GT_PRIORITIES]; /**< header values */
   void (*write_line) (const rt_chain_t *line, el_buf_t *out);
-  /** Reads the backoff and draining state that a response head announces. */
+  /** Reads the backoff and the leaving notice from a response head. */
   void (*read_asks) (const net_result_t *head, rt_hints_t *out);
-  /** Asks the first engine of a pipeline which engine the stream ID is
+  /** Asks the first engine of a chain which engine the stream ID is
       waiting for. The exchange can be cancelled. */
   net_exchange_t *(*query_stalled) (net_client_t *client,
                                     const rt_target_t *first, el_str_t id,
@@ -77,46 +80,48 @@
   /** Sends a health check to an engine. The exchange can be cancelled. */
   net_exchange_t *(*check) (net_client_t *client, const rt_target_t *engine,
                             gt_check_cb done, void *arg);
-  /** Tells the first engine to move the stream ID to another pipeline. */
+  /** Tells the first engine to move the stream ID to the chain LINE. */
   net_exchange_t *(*reroute) (net_client_t *client, el_str_t id,
                               const rt_chain_t *line, gt_reroute_cb done,
                               void *arg);
 } gt_relay_dialect_t;
 
+/** Counters and histograms of relayed requests, exported as metrics. */
 typedef struct gt_relay_counts
 {
   uint64_t requests;
-  uint64_t passed;   /**< complete responses forwarded */
-  uint64_t no_rules; /**< refused: no configuration, or an outdated one */
-  uint64_t unknown;  /**< no matching rule: 404 */
-  uint64_t denied;   /**< unknown key: 401 */
-  uint64_t refused;  /**< not executed: 503 */
-  uint64_t failed;   /**< may have been executed: 502 */
-  uint64_t timeouts; /**< 504 */
-  uint64_t cut;      /**< streams aborted before their end */
-  uint64_t gone;     /**< callers that disconnected */
+  uint64_t forwarded;    /**< complete responses forwarded */
+  uint64_t no_config;    /**< refused: no configuration, or an outdated one */
+  uint64_t unmatched;    /**< no matching rule: 404 */
+  uint64_t denied;       /**< unknown key: 401 */
+  uint64_t refused;      /**< not executed: 503 */
+  uint64_t failed;       /**< may have been executed: 502 */
+  uint64_t timeouts;     /**< 504 */
+  uint64_t aborted;      /**< streams aborted before their end */
+  uint64_t disconnected; /**< callers that disconnected */
   uint64_t attempts;
-  uint64_t repeats;  /**< attempts after a request's first */
-  uint64_t resumed;  /**< streams resumed on another pipeline */
-  uint64_t rerouted; /**< streams rerouted without a retry */
-  uint64_t held;     /**< stalled streams that may not be retried */
-  uint64_t waits;    /**< streams that waited for an endpoint to resume at */
+  uint64_t repeats;     /**< attempts after a request's first */
+  uint64_t resumed;     /**< streams resumed on another chain */
+  uint64_t rerouted;    /**< streams moved to another chain without a retry */
+  uint64_t not_retried; /**< stalled streams that may not be retried */
+  uint64_t waits;    /**< streams that waited for an endpoint to resume on */
   uint64_t checks;   /**< health checks sent to engines */
-  uint64_t silent;   /**< of these, without a response */
-  uint64_t crossed;  /**< responses with another request's id */
-  uint64_t spent;    /**< retries refused: budget exhausted */
-  uint64_t ends;     /**< endpoint crashes with requests running */
-  uint64_t suspects; /**< runs recorded for these crashes */
-  uint64_t blocked;  /**< requests blocked for crashing endpoints */
-  uint64_t barred;   /**< arrivals of blocked requests, refused */
-  uint64_t apart;    /**< suspect requests sent to an endpoint of their own */
-  uint64_t turns;    /**< waits of suspect requests for their turn */
-  uint64_t rests;    /**< backoffs requested by endpoints */
-  uint64_t rest_us;  /**< time spent in backoff, microseconds */
-  uint64_t kept; /**< sends cancelled: the endpoint closed while connecting */
+  uint64_t silent;   /**< of these, those without a response */
+  uint64_t wrong_id; /**< responses with another request's id */
+  uint64_t budget_exhausted; /**< retries not made: budget exhausted */
+  uint64_t crashes;          /**< endpoint crashes with requests running */
+  uint64_t suspects; /**< runs of requests recorded for these crashes */
+  uint64_t blocked;  /**< requests blocked because they crash endpoints */
+  uint64_t refused_blocked; /**< arrivals of blocked requests, refused */
+  uint64_t isolated; /**< suspect requests sent to an endpoint of their own */
+  uint64_t turn_waits; /**< waits of suspect requests for their turn */
+  uint64_t backoffs;   /**< backoffs requested by endpoints */
+  uint64_t backoff_us; /**< time spent in backoff, microseconds */
+  uint64_t kept;    /**< sends cancelled: endpoint unavailable by the time the
+                       connection was made */
   uint64_t in_rest; /**< sends to an endpoint in backoff; stays 0 */
-  uint64_t rested;  /**< refused: all endpoints in backoff */
-  uint64_t leaves;  /**< endpoints found draining by a response or by gossip */
+  uint64_t refused_backoff; /**< refused: all endpoints in backoff */
+  uint64_t leaving; /**< endpoints found leaving by a response or by gossip */
   uint64_t events;
   el_hist_t first_event; /**< arrival to first event, microseconds */
   el_hist_t answer;    /**< arrival to complete plain response, microseconds */
@@ -133,25 +138,26 @@
   el_str_t hall;
   el_str_t key; /**< cluster key */
   size_t max_body;
-  double repeat_ratio; /**< retries per request, over all hosts */
-  double repeat_slack;
-  el_time_t repeat_window;
-  el_time_t keys_limit; /**< keys are refused if the configuration is not known
-                           to have been in force this long ago; 0: no limit */
+  double repeat_ratio;     /**< retries per request, over all hosts */
+  double repeat_slack;     /**< retries allowed in addition */
+  el_time_t repeat_window; /**< requests are counted over this time */
+  el_time_t keys_limit;    /**< keys are refused if the configuration was last
+                              known to be current longer ago; 0: no limit */
   uint64_t seed;
-  /** Number of live hosts, this one included. */
+  /** Returns the number of live hosts, this one included. */
   size_t (*hosts) (void *arg);
-  /** Of these, those in this host's hall. */
+  /** Returns how many of these are in this host's hall. */
   size_t (*hall_hosts) (void *arg);
-  /** Whether this host polls the engines of its hall. */
+  /** Returns whether this host polls the engines of its hall. */
   int (*is_poller) (void *arg);
-  /** All slices were polled: the reports may be sent to other hosts. */
+  /** Called when all slices have been polled: the reports may be sent to
+      other hosts. */
   void (*poll_done) (void *arg);
-  uint64_t witness; /**< id of this host's incarnation */
-  /** Gossips BODY under ID to all hosts for HOLD. */
+  uint64_t witness; /**< id of this host's incarnation in crash reports */
+  /** Publishes BODY as the rumor ID, which is gossiped for HOLD. */
   void (*tell) (void *arg, uint64_t id, el_time_t hold, el_str_t body);
-  /** A request was blocked for crashing endpoints, for the HOLDS-th time,
-      for LEFT. */
+  /** Called to store a block: DIGEST is blocked for the HOLDS-th time, and the
+      block ends after LEFT. */
   void (*blocked) (void *arg, rt_digest_t digest, unsigned holds,
                    el_time_t left);
   void *arg;
@@ -172,16 +178,17 @@
 void gt_relays_check_engine (gt_relays_t *relays, rt_target_t *engine,
                              el_time_t since);
 int gt_relays_order_blocked (gt_relays_t *relays, const rt_order_t *order);
-void gt_relays_order_crashed (gt_relays_t *relays, rt_order_failures_t *falls,
+void gt_relays_order_crashed (gt_relays_t *relays,
+                              rt_order_failures_t *failures,
                               const rt_order_t *order);
 void gt_relays_order_done (const gt_relays_t *relays,
-                           rt_order_failures_t *falls,
+                           rt_order_failures_t *failures,
                            const rt_order_t *order);
 int gt_relays_unblock (gt_relays_t *relays, rt_digest_t digest);
 json_t *gt_relays_suspects (gt_relays_t *relays);
 json_t *gt_relays_closed_endpoints (gt_relays_t *relays);
 void gt_relays_asked (gt_relays_t *relays, rt_target_t *target,
-                      const rt_hints_t *asks, el_str_t by);
+                      const rt_hints_t *hints, el_str_t by);
 void gt_relays_peers_heard (gt_relays_t *relays);
 void gt_relays_store_epoch_began (gt_relays_t *relays);
 void gt_relays_persist_blocked (gt_relays_t *relays);
--- a/gate/librelay.h
+++ b/gate/librelay.h
@@ -10,7 +10,7 @@
 
 #include "gate_relay.h"
 
-/* Buffer size for a decimal uint64_t and its NUL. */
+/* Buffer size for a decimal uint64_t and its NUL byte. */
 #define RELAY_NUMBER_MAX 24
 
 /* Per-service state of this host. */
@@ -28,17 +28,18 @@
   net_server_t *server;
   rt_rules_t *rules;
   el_time_t started_at;
-  el_time_t rules_as_of; /* the rules were the newest version at this time */
+  el_time_t rules_as_of; /* when the rules were last known to be current */
   relay_service_t *services;
   gt_relay_t *running;
   struct relay_check *checks;
   struct relay_blame *blame;
   struct relay_backoff *backoffs;
-  el_time_t peers_heard_at; /* when the first gossip exchange completed; 0: not
-                               yet */
+  el_time_t first_gossip_at; /* when the first gossip exchange completed; 0:
+                                not yet */
   el_timer_t poll;
-  unsigned poll_slice;
-  el_time_t last_answered_check; /* when it was sent */
+  unsigned poll_slice; /* slice of the engines that was polled last */
+  el_time_t last_answered_check; /* send time of the newest health check that
+                                    was answered */
   size_t nrunning;
   gt_relay_counts_t counts;
   uint64_t random;             /* state of el_random */
@@ -72,28 +73,29 @@
   el_time_t received;
   el_time_t deadline;
   el_timer_t deadline_timer;
-  int awaits_config; /* held until the host has a configuration */
+  int awaits_config; /* held until the host is ready to serve it */
   int ended;         /* the response is complete, or the caller disconnected */
 
   /* Current attempt. */
   net_exchange_t *exchange;
-  rt_target_t *target; /* the endpoint, or the pipeline's first engine */
+  rt_target_t *target; /* the endpoint, or the first engine of the chain */
   rt_chain_t line;
   el_time_t sent;
   el_time_t head_at; /* response head received: the request is executing; 0: no
                       head yet */
-  rt_digest_t digest; /* 0: not computed yet */
-  rt_attempts_t course;
-  rt_tried_t tried;
-  el_timer_t retry_timer; /* delay before the next attempt */
-  unsigned turns;
-  unsigned waits;  /* for an endpoint, since the last event */
-  int refused;     /* the response proves that the request was not executed */
-  int crossed;     /* the response carries another request's id */
-  rt_hints_t asks; /* backoff and draining state announced by the response */
-  int stream;      /* the response is forwarded event by event */
-  double prompt;   /* prompt length in tokens */
-  double tokens;   /* estimated tokens of prompt and response */
+  rt_digest_t digest; /* identifies the request across retries; 0: not
+                         computed yet */
+  rt_attempts_t attempts;
+  rt_tried_t tried;        /* endpoints that later attempts avoid */
+  el_timer_t retry_timer;  /* delay before the next attempt */
+  unsigned turn_waits;     /* waits of a suspect request for its turn */
+  unsigned endpoint_waits; /* waits for an endpoint, since the last event */
+  int refused;      /* the response proves that the request was not executed */
+  int wrong_id;     /* the response carries another request's id */
+  rt_hints_t hints; /* backoff and leaving notice in the response */
+  int stream;       /* the response is forwarded event by event */
+  double prompt;    /* prompt length in tokens */
+  double tokens;    /* estimated tokens of prompt and response */
 
   /* Response to the caller. */
   int response_started;
@@ -112,12 +114,12 @@
 
   /* Stall detection. */
   el_timer_t watch_timer;
-  net_exchange_t *query;
+  net_exchange_t *query;   /* stall query or reroute in progress */
   el_time_t last_progress; /* time of the last event, or of the send */
   unsigned stall_checks;
-  unsigned reroutes; /* reroutes refused since the last event */
-  rt_tried_t avoid;  /* engines that a reroute has to bypass */
-  rt_chain_t reroute_line;
+  unsigned reroutes;       /* refused reroutes since the last event */
+  rt_tried_t avoid;        /* engines that a reroute has to bypass */
+  rt_chain_t reroute_line; /* new chain while a reroute is in progress */
 
   gt_relay_t *prev;
   gt_relay_t *next;
@@ -173,12 +175,12 @@
 /* relay_blame.c */
 void relay_blame_open (gt_relays_t *relays);
 void relay_blame_close (gt_relays_t *relays);
-void relay_blame_run_broken (gt_relay_t *relay, rt_target_t *target);
+void relay_blame_run_interrupted (gt_relay_t *relay, rt_target_t *target);
 int relay_blame_is_pending (const gt_relays_t *relays, rt_digest_t digest);
 void relay_blame_connect_refused (gt_relays_t *relays, rt_target_t *target);
 void relay_blame_check_answered (gt_relays_t *relays,
-                                 const rt_target_t *target, el_time_t asked);
-void relay_blame_life_sign (gt_relays_t *relays, const rt_target_t *target);
+                                 const rt_target_t *target, el_time_t sent_at);
+void relay_blame_target_alive (gt_relays_t *relays, const rt_target_t *target);
 void relay_blame_completed (gt_relay_t *relay);
 rt_blame_status_t relay_blame_get_status (gt_relay_t *relay);
 rt_blame_t *relay_blame_table (const gt_relays_t *relays);
@@ -191,7 +193,7 @@
 
 /* relay_block.c */
 void relay_block_add (void *arg, rt_digest_t digest,
-                      const rt_blame_status_t *judgement);
+                      const rt_blame_status_t *status);
 void relay_block_on_blocked (gt_relays_t *relays, const co_rumor_t *rumor,
                              const relay_fact_t *fact);
 void relay_block_on_cleared (gt_relays_t *relays, const co_rumor_t *rumor,
@@ -209,33 +211,34 @@
 
 /* relay_fact.c */
 
-/* Kinds of facts that hosts exchange by gossip. */
+/* Kinds of facts that hosts publish as rumors. */
 typedef enum relay_fact_kind
 {
   RELAY_FACT_CRASHED,   /* an endpoint crashed while requests ran there */
   RELAY_FACT_COMPLETED, /* a request completed */
-  RELAY_FACT_BLOCKED,   /* a request is blocked for crashing endpoints */
+  RELAY_FACT_BLOCKED,   /* a request is blocked as it crashes endpoints */
   RELAY_FACT_CLEARED,   /* an operator unblocked a request */
-  RELAY_FACT_LEAVING,   /* an endpoint is draining */
+  RELAY_FACT_LEAVING,   /* an endpoint is leaving */
   RELAY_FACT_RULES,     /* a version of the rules is in force */
   RELAY_FACT_KINDS
 } relay_fact_kind_t;
 
-/* Runs of one crash in one gossip message; limited by its body size. */
+/* Limit for the runs of one crash in a rumor, whose size is limited. */
 #define RELAY_FACT_RUNS_MAX 12
-/* How long facts about requests are gossiped: as long as they are used for
-   judging a request. */
-#define RELAY_FACT_GOSSIP_HOLD (600 * EL_SEC)
+/* How long facts about requests are gossiped: as long as they count as
+   evidence about a request. */
+#define RELAY_FACT_GOSSIP_TIME (600 * EL_SEC)
 
+/* The contents of a rumor; which members are used depends on the kind. */
 struct relay_fact
 {
   relay_fact_kind_t kind;
   rt_crash_report_t runs[RELAY_FACT_RUNS_MAX]; /* all of the same crash */
   size_t nruns;
-  rt_instance_t instance; /* the endpoint start that is draining */
+  rt_instance_t instance; /* the endpoint instance that is leaving */
   rt_digest_t digest;     /* the request, for the kinds that concern one */
   uint64_t customer;
-  unsigned holds;
+  unsigned holds;   /* how often the request has been blocked */
   uint64_t version; /* version of the rules */
 };
 
--- a/gate/relay.c
+++ b/gate/relay.c
@@ -10,7 +10,7 @@
 #include "librelay.h"
 
 #define BEARER EL_STR ("Bearer ")
-/* Retry-after of a host without configuration: it reads one as soon as it
+/* Retry-after of a host without a configuration: it reads one as soon as it
    reaches the platform. */
 #define NO_CONFIG_RETRY_AFTER (300 * EL_MSEC)
 /* Requests that arrive before the first configuration are held: a starting
@@ -18,12 +18,14 @@
    wait no longer than this, and at most a third of their deadline. */
 #define CONFIG_WAIT_MAX (1000 * EL_MSEC)
 #define CONFIG_WAIT_DIVISOR 3
-/* Short, since other hosts are serving. */
+/* Retry-after of a host that is stopping; short, since other hosts serve the
+   retry. */
 #define STOPPING_RETRY_AFTER (20 * EL_MSEC)
-/* For a request without a limit whose rule has none either. */
+/* Timeout of a request if neither the caller nor the rule sets one. */
 #define DEFAULT_TIMEOUT (60 * EL_SEC)
 
-/** Ends processing: the response is complete, or the caller disconnected. */
+/** Ends the processing of a request: the response is complete, or the caller
+    disconnected. */
 void
 relay_finish (gt_relay_t *relay)
 {
@@ -51,13 +53,13 @@
 
 /* The caller disconnected, or its request is about to be freed. */
 static void
-relay_caller_gone (void *arg, int freed)
+relay_caller_disconnected (void *arg, int freed)
 {
   gt_relay_t *relay = arg;
 
   if (!relay->ended)
     {
-      relay->relays->counts.gone++;
+      relay->relays->counts.disconnected++;
       relay_log (relay, "caller_gone", 0, "connection closed");
       relay_finish (relay);
       if (!freed)
@@ -76,7 +78,7 @@
   (void)req;
   if (relay->ended)
     return;
-  relay->relays->counts.gone++;
+  relay->relays->counts.disconnected++;
   relay_log (relay, "caller_gone", 0, "answer not taken");
   relay_finish (relay);
 }
@@ -112,8 +114,8 @@
   return el_str_after (value, BEARER.len);
 }
 
-/* Whether the rules are recent enough for a request received at RECEIVED: a
-   key revoked before then is known to be revoked. */
+/* Whether the rules are recent enough for a request received at RECEIVED: keys
+   revoked more than keys_limit before then are known to be revoked. */
 static int
 rules_fresh (const gt_relays_t *relays, el_time_t received)
 {
@@ -139,11 +141,11 @@
     return 1;
   if (relay->rules && fresh)
     {
-      relays->counts.unknown++;
+      relays->counts.unmatched++;
       relay_respond_error (relay, 404, "no rule", 0);
       return 0;
     }
-  relays->counts.no_rules++;
+  relays->counts.no_config++;
   relay_respond_error (relay, 503, "no configuration", NO_CONFIG_RETRY_AFTER);
   return 0;
 }
@@ -159,7 +161,7 @@
     return 1;
   if (!fresh)
     {
-      relays->counts.no_rules++;
+      relays->counts.no_config++;
       relay_respond_error (relay, 503, "keys not known",
                            NO_CONFIG_RETRY_AFTER);
       return 0;
@@ -229,7 +231,7 @@
   const gt_relay_headers_t *names = &relay->relays->options.dialect->names;
   el_str_t rest = net_req_header (relay->req, names->tokens);
   uint64_t prompt = 0;
-  uint64_t answer = 0;
+  uint64_t response = 0;
   uint64_t expected_tokens;
 
   relay->prompt = relay->service->model.typical_tokens;
@@ -238,11 +240,11 @@
     return;
   if (el_str_to_u64 (net_req_header (relay->req, names->expected_tokens),
                      &expected_tokens))
-    answer = expected_tokens;
-  else if (el_str_to_u64 (rest, &answer))
-    answer /= 2;
+    response = expected_tokens;
+  else if (el_str_to_u64 (rest, &response))
+    response /= 2;
   relay->prompt = (double)prompt;
-  relay->tokens = (double)(prompt + answer);
+  relay->tokens = (double)(prompt + response);
 }
 
 /** Returns the state of the service NAME, created on first use. */
@@ -276,7 +278,7 @@
           &relay_service (relays, relay->service->name)->retry_budget,
           net_clock_now (o->clock), o->hosts (o->arg)))
     return 1;
-  relays->counts.spent++;
+  relays->counts.budget_exhausted++;
   return 0;
 }
 
@@ -291,20 +293,20 @@
       net_clock_now (o->clock), o->hosts (o->arg));
 }
 
-/** Returns the digest that identifies RELAY when it is sent again; computed
-    on first use. */
+/** Returns the digest that identifies RELAY's request when it is retried;
+    computed on first use. */
 rt_digest_t
 relay_digest (gt_relay_t *relay)
 {
   const h2o_req_t *req = relay->req;
-  rt_digest_input_t asked = { .customer = relay->customer,
+  rt_digest_input_t input = { .customer = relay->customer,
                               .method = net_req_method (req),
                               .host = host_name (req),
                               .path = { req->path.base, req->path.len },
                               .body = net_req_body (req) };
 
   if (!relay->digest)
-    relay->digest = rt_digest (relay->relays->options.key, &asked);
+    relay->digest = rt_digest (relay->relays->options.key, &input);
   return relay->digest;
 }
 
@@ -333,12 +335,12 @@
   relay_attempt (relay);
 }
 
-/* Whether the rules are known and current, and other hosts have told which
-   requests crash endpoints: without that, a blocked request could be sent. */
+/* Whether the rules are known and current, and gossip has delivered the
+   blocked requests, which could otherwise be sent. */
 static int
 relays_ready (const gt_relays_t *relays)
 {
-  return relays->rules && relays->rules_as_of && relays->peers_heard_at
+  return relays->rules && relays->rules_as_of && relays->first_gossip_at
          && !gt_relays_rules_outdated (relays);
 }
 
@@ -349,7 +351,7 @@
 
   (void)now;
   relay->awaits_config = 0;
-  relay->relays->counts.no_rules++;
+  relay->relays->counts.no_config++;
   relay_respond_error (relay, 503, "no configuration", NO_CONFIG_RETRY_AFTER);
 }
 
@@ -367,7 +369,7 @@
 
 /* Starts the held requests once the host is ready. */
 static void
-relays_start_waiting (gt_relays_t *relays)
+relays_start_held (gt_relays_t *relays)
 {
   gt_relay_t *relay;
   gt_relay_t *next;
@@ -397,7 +399,7 @@
   relay->req = req;
   relay->generator.stop = relay_generator_stop;
   relay->received = net_clock_now (relays->options.clock);
-  net_req_watch (req, relay_caller_gone, relay);
+  net_req_watch (req, relay_caller_disconnected, relay);
   relay->id = net_req_header (req, dialect->names.id);
   if (relays->stopping)
     {
@@ -448,28 +450,28 @@
   relays->rules = rules;
   if (rules->idle_ms)
     net_server_set_idle_timeout (relays->server, rules->idle_ms);
-  relays_start_waiting (relays);
+  relays_start_held (relays);
 }
 
-/** Notes that the rules in force were the newest version at AS_OF. */
+/** Records that the rules in force were the newest version at AS_OF. */
 void
 gt_relays_set_rules_as_of (gt_relays_t *relays, el_time_t as_of)
 {
   if (as_of <= relays->rules_as_of)
     return;
   relays->rules_as_of = as_of;
-  relays_start_waiting (relays);
+  relays_start_held (relays);
 }
 
-/** Notes that the first gossip exchange completed, or that there are no
+/** Records that the first gossip exchange completed, or that there are no
     other hosts. */
 void
 gt_relays_peers_heard (gt_relays_t *relays)
 {
-  if (relays->peers_heard_at)
+  if (relays->first_gossip_at)
     return;
-  relays->peers_heard_at = net_clock_now (relays->options.clock);
-  relays_start_waiting (relays);
+  relays->first_gossip_at = net_clock_now (relays->options.clock);
+  relays_start_held (relays);
 }
 
 /** Returns the rules in force, or NULL before the first. */
@@ -499,7 +501,8 @@
   net_server_stop (relays->server);
 }
 
-/** Returns the number of requests whose response is not completely sent. */
+/** Returns the number of requests whose response is not yet completely sent.
+ */
 size_t
 gt_relays_running (const gt_relays_t *relays)
 {
--- a/gate/relay_attempt.c
+++ b/gate/relay_attempt.c
@@ -8,33 +8,34 @@
  */
 #include "librelay.h"
 
-/* Unsafe requests use no connection that was idle longer: the endpoint may
+/* Unsafe requests reuse no connection that was idle longer: the endpoint may
    be about to close it. */
-#define UNSAFE_MAX_IDLE (2 * EL_SEC)
+#define UNSAFE_IDLE_MAX (2 * EL_SEC)
 /* Retry-after of a refused request: a busy or missing endpoint may be
    available soon. Half of it is random, to spread callers. */
 #define REFUSED_RETRY_AFTER (100 * EL_MSEC)
-/* Retry-after after a backoff is spread over a quarter of the time left. */
+/* If all endpoints are in backoff, a quarter of the remaining time is added to
+   retry-after at random, to spread callers. */
 #define BACKOFF_SPREAD_DIVISOR 4
-/* Delay before retrying a broken request: it takes 2 ms until a crashed
-   engine has refused a connection, or a live one has responded. */
-#define BROKEN_RETRY_DELAY (5 * EL_MSEC)
-/* A broken request triggers a health check unless one was sent this
+/* Retry delay after a lost connection: it takes 2 ms until a crashed engine
+   has refused a new connection, or a live one has responded. */
+#define CONNECTION_LOST_RETRY_DELAY (5 * EL_MSEC)
+/* A lost connection triggers a health check unless one was sent this
    recently. */
-#define CHECK_MIN_INTERVAL (10 * EL_MSEC)
-/* Limit for buffered responses of plain services. */
+#define CHECK_INTERVAL_MIN (10 * EL_MSEC)
+/* Longest buffered response; streams are not buffered. */
 #define BUFFERED_BODY_MAX ((size_t)4 << 20)
 
 static void attempt_follow_up (gt_relay_t *relay, const rt_attempt_t *attempt,
                                const net_result_t *result);
 
 static int
-is_pipelined (const gt_relay_t *relay)
+uses_chain (const gt_relay_t *relay)
 {
   return relay->service->model.layers > 0;
 }
 
-/* Releases the target and pipeline of the current attempt. */
+/* Releases the target and chain of the current attempt. */
 static void
 attempt_release (gt_relay_t *relay)
 {
@@ -47,7 +48,7 @@
     }
 }
 
-/** Cancels the current attempt, at the endpoint too. */
+/** Cancels the current attempt, on this host and at the endpoint. */
 void
 relay_cancel_attempt (gt_relay_t *relay)
 {
@@ -59,8 +60,8 @@
   attempt_release (relay);
 }
 
-/* Responds that the request was not executed, with a retry-after that
-   respects the endpoints' backoff. */
+/* Responds that the request was not executed, with a retry-after that is not
+   before the end of the endpoints' backoff. */
 static void
 attempt_refuse (gt_relay_t *relay, const char *reason)
 {
@@ -72,7 +73,7 @@
   el_time_t wait = left ? left : REFUSED_RETRY_AFTER / 2;
 
   relays->counts.refused++;
-  relays->counts.rested += left > 0;
+  relays->counts.refused_backoff += left > 0;
   relay_respond_error (relay, 503, left ? "all endpoints rest" : reason,
                        wait + el_random (&relays->random) % (spread + 1));
 }
@@ -85,9 +86,9 @@
   relay_respond_error (relay, 502, reason, 0);
 }
 
-/* Picks a pipeline that starts at FIRST, or any if that fails. */
+/* Picks a chain that starts at FIRST, or any if there is none. */
 static int
-attempt_pick_line (gt_relay_t *relay, rt_target_t *first, el_time_t now)
+attempt_pick_chain (gt_relay_t *relay, rt_target_t *first, el_time_t now)
 {
   const gt_relay_options_t *o = &relay->relays->options;
   rt_chain_query_t want = { .service = relay->service,
@@ -111,16 +112,16 @@
   rt_target_t *isolated = relay_suspect_pick_target (relay, now);
 
   rt_fleet_set_hosts (o->fleet, o->hall_hosts (o->arg), o->hosts (o->arg));
-  if (!is_pipelined (relay))
+  if (!uses_chain (relay))
     relay->target = isolated
                         ? isolated
                         : rt_fleet_pick (o->fleet, now, relay->service->name,
                                          o->hall, &relay->tried);
-  else if (attempt_pick_line (relay, isolated, now))
+  else if (attempt_pick_chain (relay, isolated, now))
     {
       rt_chain_acquire (&relay->line, NULL,
                         relay->nevents ? relay->tokens : relay->prompt);
-      if (relay->course.sent == 0)
+      if (relay->attempts.sent == 0)
         rt_fleet_stream_sent (o->fleet, now, relay->tokens);
       relay->target = relay->line.part[0].target;
     }
@@ -158,14 +159,14 @@
   if (relay->ended)
     return;
   if (has_id && relay->has_id && id <= relay->last_event_id)
-    return; /* forwarded by an earlier attempt */
+    return; /* already forwarded by an earlier attempt */
   now = net_clock_now (relays->options.clock);
-  relay_blame_life_sign (relays, relay->target);
+  relay_blame_target_alive (relays, relay->target);
   rt_chain_progress (&relay->line, now);
   relay_watch_event (relay, now - relay->last_progress);
   record_event_time (relay, now);
   relay->last_event = now;
-  relay->waits = 0;
+  relay->endpoint_waits = 0;
   relays->counts.events++;
   if (has_id)
     {
@@ -184,9 +185,10 @@
   relay->head_at = net_clock_now (relay->relays->options.clock);
   relay->refused = net_result_header (head, names->not_executed).len
                    || head->status == 421;
-  relay->crossed = !el_str_eq (net_result_header (head, names->id), relay->id);
+  relay->wrong_id
+      = !el_str_eq (net_result_header (head, names->id), relay->id);
   relay->stream = relay->rule->kind == RT_STREAM && !relay->refused
-                  && !relay->crossed && head->status >= 200
+                  && !relay->wrong_id && head->status >= 200
                   && head->status < 300
                   && net_result_header (head, names->seal).len;
   /* The backoff applies before the body arrives: of 102 requests that one
@@ -199,7 +201,7 @@
     relay_respond_head (relay, head);
 }
 
-/* Streams are forwarded at once; other responses are buffered. */
+/* Forwards complete events of a stream; buffers other responses. */
 static void
 attempt_body (void *arg, el_str_t bytes)
 {
@@ -224,7 +226,8 @@
   return named ? named : relay->target;
 }
 
-/* Determines whether the request was executed and responded to. */
+/* Determines whether the request was executed, and whether the response
+   answers it. */
 static void
 attempt_classify (gt_relay_t *relay, const net_result_t *result,
                   rt_attempt_t *attempt)
@@ -239,9 +242,9 @@
   if (result->net != NET_OK)
     return;
   attempt->verdict = EL_MAY_HAVE_RUN;
-  if (relay->crossed)
+  if (relay->wrong_id)
     {
-      relay->relays->counts.crossed++;
+      relay->relays->counts.wrong_id++;
       return;
     }
   if (relay->refused)
@@ -276,12 +279,12 @@
     rt_target_busy (fault, now);
   else
     rt_target_failed (fault, now);
-  if (relay->line.n && !attempt->answered && !relay->asks.rest)
+  if (relay->line.n && !attempt->answered && !relay->hints.rest)
     relay_check (relay->relays, fault);
   rt_tried_add (&relay->tried, fault);
 }
 
-/* Updates the endpoint's liveness and, if the exchange broke, records the
+/* Updates the endpoint's liveness and, if the connection was lost, records the
    request as a possible cause of a crash. */
 static void
 attempt_record_blame (gt_relay_t *relay, const net_result_t *result,
@@ -292,20 +295,20 @@
   if (result->net == NET_CONNECT_REFUSED)
     relay_blame_connect_refused (relays, relay->target);
   else if (result->net == NET_OK)
-    relay_blame_life_sign (relays, relay->target);
+    relay_blame_target_alive (relays, relay->target);
   if (attempt->answered)
     relay_blame_completed (relay);
   if (result->net != NET_CONNECTION_LOST || attempt->verdict == EL_NOT_RUN)
     return;
-  relay_blame_run_broken (relay, relay->target);
+  relay_blame_run_interrupted (relay, relay->target);
   if (relay->line.n)
     relay_check_unless_recent (relays, relay->target,
                                net_clock_now (relays->options.clock)
-                                   - CHECK_MIN_INTERVAL);
+                                   - CHECK_INTERVAL_MIN);
 }
 
-/* The send was cancelled before any byte left: another target is picked, and
-   nothing is charged to the retry budget. */
+/* The request was withheld before any byte was sent: another target is picked,
+   and nothing is charged to the retry budget. */
 static void
 attempt_not_sent (gt_relay_t *relay)
 {
@@ -358,14 +361,14 @@
 {
   el_time_t now = net_clock_now (relay->relays->options.clock);
   el_time_t left = relay->deadline > now ? relay->deadline - now : 0;
-  rt_attempts_t before = relay->course;
+  rt_attempts_t before = relay->attempts;
   rt_next_t next
-      = rt_attempts_next (&relay->course, relay->rule, attempt, 1, left);
+      = rt_attempts_next (&relay->attempts, relay->rule, attempt, 1, left);
 
   if (next != RT_NEXT_RETRY || relay_retry_take (relay))
     return next;
-  relay->course = before;
-  return rt_attempts_next (&relay->course, relay->rule, attempt, 0, left);
+  relay->attempts = before;
+  return rt_attempts_next (&relay->attempts, relay->rule, attempt, 0, left);
 }
 
 /* Forwards the endpoint's response with its buffered body. */
@@ -385,10 +388,10 @@
   relay_attempt (arg);
 }
 
-/* Retries. After a broken exchange, waits until it is known whether the
-   endpoint crashed and the request is to blame. */
+/* Retries. After a lost connection, waits until it is known whether
+   the endpoint crashed and the request is to blame. */
 static void
-attempt_retry (gt_relay_t *relay, int broken)
+attempt_retry (gt_relay_t *relay, int connection_lost)
 {
   gt_relay_counts_t *counts = &relay->relays->counts;
 
@@ -396,14 +399,15 @@
   counts->resumed += relay->response_started != 0;
   relay->retry_timer.cb = retry_due;
   relay->retry_timer.arg = relay;
-  if (broken)
+  if (connection_lost)
     net_clock_set (relay->relays->options.clock, &relay->retry_timer,
-                   BROKEN_RETRY_DELAY);
-  else if (!relay->waits || !relay_wait_endpoint (relay))
+                   CONNECTION_LOST_RETRY_DELAY);
+  else if (!relay->endpoint_waits || !relay_wait_endpoint (relay))
     relay_attempt (relay);
 }
 
-/* Handles an attempt whose response was not simply forwarded. */
+/* Handles an attempt whose response was not forwarded as a stream: forwards it
+   whole, retries, or responds with an error. */
 static void
 attempt_follow_up (gt_relay_t *relay, const rt_attempt_t *attempt,
                    const net_result_t *result)
@@ -430,13 +434,13 @@
     attempt_fail (relay, "may have run");
 }
 
-/** Whether the stream may be resumed on another pipeline after the current
+/** Whether the stream may be resumed on another chain after the current
     attempt. */
 int
 relay_may_resume (gt_relay_t *relay)
 {
   return relay->rule->resumable
-         && relay->course.may_run + 1 < relay->rule->attempts
+         && relay->attempts.may_run + 1 < relay->rule->attempts
          && relay_retry_left (relay);
 }
 
@@ -468,7 +472,7 @@
           .method = net_req_method (req),
           .path = { req->path.base, req->path.len },
           .body = net_req_body (req),
-          .max_idle = relay->rule->kind == RT_UNSAFE ? UNSAFE_MAX_IDLE : 0,
+          .max_idle = relay->rule->kind == RT_UNSAFE ? UNSAFE_IDLE_MAX : 0,
           .allow = attempt_permitted,
           .head = attempt_head,
           .body_part = attempt_body,
@@ -479,11 +483,11 @@
   send.headers = head.list;
   send.nheaders = head.n;
   relay->refused = 0;
-  relay->crossed = 0;
+  relay->wrong_id = 0;
   relay->stream = 0;
   relay->sent = now;
   relay->head_at = 0;
-  relay->asks = (rt_hints_t){ 0 };
+  relay->hints = (rt_hints_t){ 0 };
   relay->relays->counts.attempts++;
   relay_log_sent (relay, now);
   relay_backoff_sent (relay, now);
@@ -493,7 +497,8 @@
     relay_watch_start (relay);
 }
 
-/** Ends the request: cancels its attempt and fails the response. */
+/** Ends the request: cancels its attempt and responds with an error or aborts
+    the response. */
 void
 relay_abort (gt_relay_t *relay, const char *reason)
 {
@@ -502,13 +507,14 @@
   relay_cancel_attempt (relay);
   if (relay->response_started)
     relay_respond_abort (relay, reason);
-  else if (relay->course.may_run || sent)
+  else if (relay->attempts.may_run || sent)
     attempt_fail (relay, reason);
   else
     attempt_refuse (relay, reason);
 }
 
-/** Starts an attempt at the best target available now. */
+/** Starts an attempt at the best target available now, if there is one.
+    Otherwise waits, or ends the request. */
 void
 relay_attempt (gt_relay_t *relay)
 {
@@ -530,7 +536,7 @@
     return;
   if (relay->response_started)
     relay_respond_abort (relay, "no endpoint to go on at");
-  else if (relay->course.may_run)
+  else if (relay->attempts.may_run)
     attempt_fail (relay, "may have run, no endpoint left");
   else
     attempt_refuse (relay, "no endpoint");
--- a/gate/relay_backoff.c
+++ b/gate/relay_backoff.c
@@ -3,15 +3,15 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Backoff and draining that endpoints announce in their responses. They
- * apply to every later pick (route/avail.h), whether a request, a health
- * check or an order brought the response.
+ * Backoff and leaving notices in the responses of endpoints. They apply to
+ * every later pick (route/avail.h), whether the response was to a request, a
+ * health check or an order.
  */
 #include "librelay.h"
 
-/* How long hosts gossip that an endpoint is draining: it keeps serving for
+/* How long hosts gossip that an endpoint is leaving: it keeps serving for
    seconds, and a host that starts meanwhile has to know. */
-#define LEAVING_GOSSIP_HOLD (120 * EL_SEC)
+#define LEAVING_GOSSIP_TIME (120 * EL_SEC)
 
 /* The backoff of an endpoint, until it expires. */
 typedef struct relay_backoff
@@ -40,16 +40,17 @@
           EL_FN ("born", target->attrs.born), EL_FN ("us", lasted),
           EL_FN ("running", target->running), EL_FN ("lines", target->chains),
           EL_FN ("gone", target->avail.gone));
-  relays->counts.rest_us += lasted;
+  relays->counts.backoff_us += lasted;
   relay_service (relays, target->attrs.service)->backoff_us += lasted;
   HASH_DEL (relays->backoffs, backoff);
   rt_target_unref (backoff->target);
   free (backoff);
 }
 
-/* Logs once per backoff, not once per response that asks for it again. */
+/* Counts and logs a backoff of TARGET that begins. Called once per backoff,
+   not once per response that requests it. */
 static void
-backoff_start (gt_relays_t *relays, rt_target_t *target, el_time_t asked,
+backoff_start (gt_relays_t *relays, rt_target_t *target, el_time_t requested,
                el_str_t by)
 {
   el_time_t now = net_clock_now (relays->options.clock);
@@ -67,11 +68,11 @@
     }
   net_clock_set (relays->options.clock, &backoff->timer,
                  rt_avail_backoff_left (&target->avail, now));
-  relays->counts.rests++;
+  relays->counts.backoffs++;
   EL_LOG (EL_LOG_INFO, "rest_begins", EL_FS ("endpoint", target->attrs.id),
           EL_FN ("born", target->attrs.born),
           EL_FS ("service", target->attrs.service), EL_FS ("by", by),
-          EL_FN ("asked_us", asked),
+          EL_FN ("asked_us", requested),
           EL_FN ("left_us", rt_avail_backoff_left (&target->avail, now)),
           EL_FN ("running", target->running), EL_FN ("lines", target->chains),
           EL_FN ("resting", HASH_COUNT (relays->backoffs)));
@@ -80,15 +81,15 @@
 static void
 leaving_log (gt_relays_t *relays, const rt_target_t *target, el_str_t by)
 {
-  relays->counts.leaves++;
+  relays->counts.leaving++;
   EL_LOG (EL_LOG_INFO, "endpoint_leaves", EL_FS ("endpoint", target->attrs.id),
           EL_FN ("born", target->attrs.born),
           EL_FS ("service", target->attrs.service), EL_FS ("by", by),
           EL_FN ("running", target->running), EL_FN ("lines", target->chains));
 }
 
-/** Gossips that START is draining. The message id is derived from the fact,
-    so that all hosts send the same message. */
+/** Publishes that INSTANCE is leaving. The rumor id is derived from the fact,
+    so that all hosts publish the same rumor. */
 void
 relay_backoff_announce_leaving (gt_relays_t *relays,
                                 const rt_instance_t *instance)
@@ -98,11 +99,11 @@
 
   relay_rumor_publish (relays, &fact,
                        rt_instance_key (instance) ^ RELAY_FACT_LEAVING,
-                       LEAVING_GOSSIP_HOLD);
+                       LEAVING_GOSSIP_TIME);
 }
 
-/* Marks TARGET as draining, whatever its entry says, and tells the other
-   hosts before they send to it. */
+/* Marks TARGET as leaving, whatever its entry says, and publishes it, so that
+   other hosts learn it before they send to TARGET. */
 static void
 leaving_learned (gt_relays_t *relays, rt_target_t *target, el_str_t by)
 {
@@ -115,7 +116,7 @@
   relay_backoff_announce_leaving (relays, &instance);
 }
 
-/** Another host learned that an endpoint is draining. */
+/** Handles a rumor that an endpoint is leaving. */
 void
 relay_backoff_on_leaving (gt_relays_t *relays, const co_rumor_t *rumor,
                           const relay_fact_t *fact)
@@ -128,36 +129,37 @@
     leaving_log (relays, target, EL_STR ("another host"));
 }
 
-/** Applies the backoff and draining that TARGET announced in a response to
-    BY, a request id, a check or an order. */
+/** Applies the backoff and the leaving notice that TARGET sent in a response
+   to BY: a request id, or "check" or "order". */
 void
 gt_relays_asked (gt_relays_t *relays, rt_target_t *target,
-                 const rt_hints_t *asks, el_str_t by)
+                 const rt_hints_t *hints, el_str_t by)
 {
-  if (asks->leaves)
+  if (hints->leaves)
     leaving_learned (relays, target, by);
-  if (asks->rest
+  if (hints->rest
       && rt_fleet_backoff (relays->options.fleet, target,
-                           net_clock_now (relays->options.clock), asks->rest))
-    backoff_start (relays, target, asks->rest, by);
+                           net_clock_now (relays->options.clock), hints->rest))
+    backoff_start (relays, target, hints->rest, by);
 }
 
-/** Applies what the head of RELAY's response announces. A refusal may name
-    an engine further down the pipeline and does not tell which of the two
-    its backoff is for: it is applied to both. */
+/** Applies the hints in the head of RELAY's response. A refusal may name an
+    engine further down the chain without telling whether the backoff is for
+    that engine or for the target: it is applied to both. */
 void
 relay_backoff_read_head (gt_relay_t *relay, const net_result_t *head)
 {
   rt_target_t *fault = relay_fault_target (relay, head);
 
-  relay->relays->options.dialect->read_asks (head, &relay->asks);
-  gt_relays_asked (relay->relays, relay->target, &relay->asks, relay->id);
+  relay->relays->options.dialect->read_asks (head, &relay->hints);
+  gt_relays_asked (relay->relays, relay->target, &relay->hints, relay->id);
   if (fault != relay->target)
     gt_relays_asked (relay->relays, fault,
-                     &(rt_hints_t){ .rest = relay->asks.rest }, relay->id);
+                     &(rt_hints_t){ .rest = relay->hints.rest }, relay->id);
 }
 
-/* Calls EACH for the endpoints that RELAY is sent to. */
+/* Calls EACH for the endpoints that RELAY is sent to: the target, or all
+   engines of the chain. */
 static void
 for_each_target (gt_relay_t *relay, el_time_t now,
                  void (*each) (gt_relay_t *relay, rt_target_t *target,
@@ -179,15 +181,15 @@
   rt_avail_sent (&target->avail, now);
 }
 
-/** Records that RELAY is sent. */
+/** Records at its endpoints that RELAY is sent. */
 void
 relay_backoff_sent (gt_relay_t *relay, el_time_t now)
 {
   for_each_target (relay, now, sent_to);
 }
 
-/** Whether RELAY may still be sent to the target picked, which was before
-    the connection was made. */
+/** Whether RELAY may still be sent to the target, which was picked before the
+    connection was made. */
 int
 relay_backoff_permits (gt_relay_t *relay, el_time_t now)
 {
@@ -208,15 +210,15 @@
   rt_avail_answered (&target->avail);
 }
 
-/** Records that RELAY is executing where it was sent. */
+/** Records at RELAY's endpoints that they accepted it. */
 void
 relay_backoff_answered (gt_relay_t *relay)
 {
   for_each_target (relay, 0, answered_by);
 }
 
-/** Returns the time until an endpoint may serve RELAY again, or 0 if backoff
-    is not what prevents it now. */
+/** Returns the time until an endpoint's backoff ends and it may serve RELAY,
+   or 0 if no backoff prevents that now. */
 el_time_t
 relay_backoff_left (gt_relay_t *relay, el_time_t now)
 {
@@ -236,14 +238,14 @@
   return opens > now ? opens - now : 0;
 }
 
-/** Returns the endpoints closed to new requests, and the total backoff of
-    each service. */
+/** Returns the endpoints that are unavailable to new requests, and the total
+    backoff of each service, as JSON. */
 json_t *
 gt_relays_closed_endpoints (gt_relays_t *relays)
 {
   el_time_t now = net_clock_now (relays->options.clock);
   json_t *list = json_array ();
-  json_t *rested = json_object ();
+  json_t *backoffs = json_object ();
   const relay_service_t *service;
   const rt_target_t *target;
 
@@ -264,7 +266,7 @@
                      "running", (int)target->running));
     }
   for (service = relays->services; service; service = service->hh.next)
-    json_object_set_new (rested, service->name,
+    json_object_set_new (backoffs, service->name,
                          json_integer ((json_int_t)service->backoff_us));
-  return json_pack ("{s:o,s:o}", "endpoints", list, "restedUs", rested);
+  return json_pack ("{s:o,s:o}", "endpoints", list, "restedUs", backoffs);
 }
--- a/gate/relay_blame.c
+++ b/gate/relay_blame.c
@@ -4,44 +4,46 @@
  */
 /** @file
  * Detects endpoint crashes, reports the requests that were running there, and
- * takes in the reports of other hosts.
+ * handles the reports of other hosts.
  *
- * After a run broke off, the evidence about its endpoint is:
+ * A run is the execution of a request at one endpoint. When its connection is
+ * lost, what is seen of the endpoint afterwards is judged as follows:
  *
- * - It answers a check sent after the break: it is alive; decided at once.
- * - It refuses connections after the break, and another endpoint has since
- *   given a sign of life: it crashed, by one witness; decided at once.
- * - It refuses connections, and no other endpoint gave a sign of life:
- *   nothing, as this host may be cut off.
- * - It does not respond: nothing, until its entry is gone.
- * - Its entry is gone or shows another instance, and it was not leaving: it
- *   crashed, with certainty; decided after about three heartbeats.
- * - It refused a request, was slow, or was leaving: nothing.
+ * - It answers a health check sent after the loss: it is alive; decided
+ *   immediately.
+ * - It refuses connections, and another endpoint has responded since: it
+ *   crashed, with this host as the only witness; decided immediately.
+ * - It refuses connections, and no other endpoint has responded: undecided, as
+ *   this host may be cut off from the network.
+ * - It does not respond: undecided, until it is no longer listed.
+ * - It is no longer listed, or listed as another instance, and was not
+ * leaving: it certainly crashed; decided after about three heartbeats.
+ * - It refused a request, was slow, or was leaving: no evidence of a crash.
  */
 #include <stdlib.h>
 #include <string.h>
 
 #include "librelay.h"
 
-/* A broken run is kept until the entry of a crashed endpoint has disappeared:
-   three heartbeats, and the time until this host is told. */
-#define PENDING_LIFETIME (8 * EL_SEC)
+/* How long a run stays pending: until a crashed endpoint is no longer listed,
+   which takes three heartbeats and the time until this host learns it. */
+#define PENDING_TIME_MAX (8 * EL_SEC)
 #define PENDING_MAX 1024
-/* An answer later than this after a break may be that of the next instance at
-   the same address. */
+/* An answer that arrives later than this after the connection was lost may be
+   from the next instance at the same address. */
 #define ALIVE_WINDOW (1 * EL_SEC)
-/* An endpoint that was checked within this is not checked again. */
+/* Minimum interval between health checks of an endpoint. */
 #define CHECK_INTERVAL_MIN (10 * EL_MSEC)
-/* Average number of other hosts that check an endpoint after one host saw it
-   crash. */
+/* Average number of other hosts that check an endpoint after one host reported
+   its crash. */
 #define EXTRA_CHECKERS 3
 /* Reports that arrive within this are evaluated together. */
 #define UPDATE_INTERVAL_MIN (20 * EL_MSEC)
-/* Requests tracked, in all and per customer; 240 bytes each. */
+/* Tracked requests, in total and per customer; 240 bytes each. */
 #define REQUESTS_MAX 4096
 #define CUSTOMER_REQUESTS_MAX 1024
 
-/* A run that broke off at an endpoint which may have crashed. */
+/* A run whose connection was lost, at an endpoint that may have crashed. */
 typedef struct pending_run
 {
   rt_target_t *target;
@@ -56,7 +58,8 @@
   rt_blame_t *table;
   pending_run_t *pending;
   size_t npending;
-  size_t npending_refused; /* runs whose endpoint refuses connections */
+  size_t npending_refused; /* of these, runs whose endpoint refuses
+                              connections */
   el_timer_t update_timer;
   el_time_t last_update;
 } relay_blame_t;
@@ -81,7 +84,7 @@
 pending_expire (relay_blame_t *blame, el_time_t now)
 {
   while (blame->pending
-         && (blame->pending->report.at + PENDING_LIFETIME < now
+         && (blame->pending->report.at + PENDING_TIME_MAX < now
              || blame->npending > PENDING_MAX))
     pending_free (blame, blame->pending);
 }
@@ -99,10 +102,12 @@
   pending_expire (blame, report->at);
 }
 
-/** RELAY's run at TARGET broke off, or stalls as TARGET does not respond. It
-    is reported if TARGET turns out to have crashed. */
+/** Records that RELAY's run at TARGET lost its connection, or stalls because
+    TARGET does not respond. It is reported if TARGET turns out to have
+   crashed.
+ */
 void
-relay_blame_run_broken (gt_relay_t *relay, rt_target_t *target)
+relay_blame_run_interrupted (gt_relay_t *relay, rt_target_t *target)
 {
   gt_relays_t *relays = relay->relays;
   el_time_t now = net_clock_now (relays->options.clock);
@@ -119,9 +124,9 @@
     pending_add (relays->blame, target, &report);
 }
 
-/** Whether the outcome at an endpoint where DIGEST's run broke off is still
-    unknown or not yet evaluated: an engine may cut its streams a moment before
-    its port closes. */
+/** Whether it is unknown, or not yet evaluated, if an endpoint crashed where
+    DIGEST's run lost its connection. An engine may close its streams a moment
+    before it stops listening. */
 int
 relay_blame_is_pending (const gt_relays_t *relays, rt_digest_t digest)
 {
@@ -135,7 +140,7 @@
   return 0;
 }
 
-/** Return the reports known to this host. */
+/** Returns the table of crash reports known to this host. */
 rt_blame_t *
 relay_blame_table (const gt_relays_t *relays)
 {
@@ -162,8 +167,8 @@
           EL_FN ("runs", runs));
 }
 
-/* TARGET has crashed: report which requests of this host were running there.
- */
+/* TARGET has crashed: reports the requests of this host that were running
+   there. */
 static void
 pending_confirm (gt_relays_t *relays, const rt_target_t *target,
                  const char *evidence)
@@ -187,22 +192,22 @@
       if (fact.nruns < RELAY_FACT_RUNS_MAX)
         continue;
       relay_rumor_publish (relays, &fact, el_random (&relays->random),
-                           RELAY_FACT_GOSSIP_HOLD);
+                           RELAY_FACT_GOSSIP_TIME);
       fact.nruns = 0;
     }
   if (fact.nruns)
     relay_rumor_publish (relays, &fact, el_random (&relays->random),
-                         RELAY_FACT_GOSSIP_HOLD);
+                         RELAY_FACT_GOSSIP_TIME);
   schedule_update (relays);
   if (runs == 0)
     return;
-  relays->counts.ends++;
+  relays->counts.crashes++;
   relays->counts.suspects += runs;
   log_crash (target, evidence, runs);
 }
 
-/* Whether streams at other endpoints will give signs of life without a check.
- */
+/* Whether streams at other endpoints will show, without a health check, that
+   this host is not cut off. */
 static int
 has_streams_elsewhere (const gt_relays_t *relays, const rt_target_t *target)
 {
@@ -214,7 +219,8 @@
   return 0;
 }
 
-/* Pick another engine whose answer shows that this host is not cut off. */
+/* Picks another engine, whose answer would show that this host is not cut off.
+ */
 static rt_target_t *
 pick_other_engine (const gt_relays_t *relays, const rt_target_t *target)
 {
@@ -229,8 +235,8 @@
   return NULL;
 }
 
-/* Another host saw TARGET crash, and this host was asked to check it: add a
-   report without a request. */
+/* If another host reported that TARGET crashed and a second witness is needed,
+   adds a pending report that concerns no request. */
 static void
 pending_add_check (gt_relays_t *relays, rt_target_t *target)
 {
@@ -244,8 +250,8 @@
     pending_add (relays->blame, target, &report);
 }
 
-/** TARGET refuses connections: it has crashed, unless this host is cut off,
-    which a check of another endpoint decides. */
+/** Handles a connection refused by TARGET: it has crashed, unless this host is
+    cut off. A health check of another endpoint decides that. */
 void
 relay_blame_connect_refused (gt_relays_t *relays, rt_target_t *target)
 {
@@ -269,10 +275,10 @@
                                    - CHECK_INTERVAL_MIN);
 }
 
-/** TARGET gave a sign of life, so this host is not cut off: the other
-    endpoints that refuse connections have crashed. */
+/** Handles any response or event from TARGET. It shows that this host is not
+    cut off: the other endpoints that refuse connections have crashed. */
 void
-relay_blame_life_sign (gt_relays_t *relays, const rt_target_t *target)
+relay_blame_target_alive (gt_relays_t *relays, const rt_target_t *target)
 {
   const pending_run_t *run;
   rt_target_t *other;
@@ -290,26 +296,27 @@
     }
 }
 
-/** TARGET answered a check that was sent at ASKED: the runs that broke off
-    before were not ended by a crash. */
+/** Handles TARGET's answer to a health check sent at SENT_AT: the runs that
+    lost their connection before did not end in a crash. */
 void
 relay_blame_check_answered (gt_relays_t *relays, const rt_target_t *target,
-                            el_time_t asked)
+                            el_time_t sent_at)
 {
   relay_blame_t *blame = relays->blame;
   el_time_t now = net_clock_now (relays->options.clock);
   pending_run_t *run;
   pending_run_t *next;
 
-  relay_blame_life_sign (relays, target);
+  relay_blame_target_alive (relays, target);
   DL_FOREACH_SAFE (blame->pending, run, next)
-  if (run->target == target && run->report.at <= asked
+  if (run->target == target && run->report.at <= sent_at
       && now < run->report.at + ALIVE_WINDOW)
     pending_free (blame, run);
 }
 
-/** TARGET is no longer listed, or is listed as another instance, and was not
-    leaving: it has crashed. All hosts learn this in the same way. */
+/** Handles that TARGET is no longer listed, or listed as another instance: it
+    has crashed, unless it was leaving. All hosts learn this in the same way.
+ */
 void
 gt_relays_engine_gone (gt_relays_t *relays, rt_target_t *target)
 {
@@ -340,10 +347,10 @@
                    relays);
 }
 
-/** RELAY completed. All hosts are told already after its first crash: a host
-    that sees the second one may not know that the request completed elsewhere
-    in between. The rumor has the same id at all hosts, so that it spreads once
-    however many hosts send it. */
+/** Records that RELAY completed. If it was running at any crash, the
+   completion is published: a host that sees the next crash may not know that
+   the request completed elsewhere in between. All hosts give the rumor the
+   same id, so that it spreads only once. */
 void
 relay_blame_completed (gt_relay_t *relay)
 {
@@ -358,10 +365,10 @@
                            net_clock_now (relays->options.clock));
   if (id)
     relay_rumor_publish (relays, &fact, fact.digest ^ id,
-                         RELAY_FACT_GOSSIP_HOLD);
+                         RELAY_FACT_GOSSIP_TIME);
 }
 
-/** Return the status of RELAY's request. */
+/** Returns whether RELAY's request is a suspect or blocked. */
 rt_blame_status_t
 relay_blame_get_status (gt_relay_t *relay)
 {
@@ -374,7 +381,8 @@
                               relay_digest (relay));
 }
 
-/* Only one host saw an endpoint crash: a few others check it. */
+/* Checks the endpoint if only one host has reported its crash and this host is
+   among the few, chosen at random, that check it. */
 static void
 check_unconfirmed_crash (gt_relays_t *relays, const rt_instance_t *instance)
 {
@@ -389,7 +397,7 @@
                                net_clock_now (o->clock) - CHECK_INTERVAL_MIN);
 }
 
-/** Another host reports an endpoint crash and the requests that ran there. */
+/** Handles a rumor of an endpoint crash and the requests that ran there. */
 void
 relay_blame_on_crash (gt_relays_t *relays, const co_rumor_t *rumor,
                       const relay_fact_t *fact)
@@ -404,7 +412,7 @@
   check_unconfirmed_crash (relays, &fact->runs[0].instance);
 }
 
-/** A request completed at another host. */
+/** Handles a rumor that a request completed. */
 void
 relay_blame_on_completed (gt_relays_t *relays, const co_rumor_t *rumor,
                           const relay_fact_t *fact)
@@ -412,7 +420,7 @@
   rt_blame_completed (relays->blame->table, fact->digest, rumor->at);
 }
 
-/** Set up crash attribution. */
+/** Initializes crash attribution. */
 void
 relay_blame_open (gt_relays_t *relays)
 {
@@ -428,7 +436,7 @@
   relays->blame = blame;
 }
 
-/** Free all that is known of requests and crashes. */
+/** Frees the state of crash attribution. */
 void
 relay_blame_close (gt_relays_t *relays)
 {
--- a/gate/relay_block.c
+++ b/gate/relay_block.c
@@ -4,8 +4,8 @@
  */
 /** @file
  * Requests and layer placement orders that are blocked because they crash
- * endpoints. A block is found here or learned from other hosts or the store;
- * it is persisted in the store and may be cleared by an operator.
+ * endpoints. A block is decided on this host, or learned from another host or
+ * the store. It is persisted in the store, and an operator may clear it.
  */
 #include "librelay.h"
 
@@ -39,7 +39,7 @@
                           log_crash_of_blocked, relays);
 }
 
-/* Persist the block so that it outlasts all hosts. */
+/* Stores the block, so that it survives a restart of all hosts. */
 static void
 persist_block (const gt_relays_t *relays, rt_digest_t digest, unsigned holds,
                el_time_t remaining)
@@ -60,7 +60,7 @@
                        - net_clock_now (relays->options.clock));
 }
 
-/** The store has lost its entries of blocked requests: write them again. */
+/** Stores all current blocks again, after the store has lost them. */
 void
 gt_relays_persist_blocked (gt_relays_t *relays)
 {
@@ -69,8 +69,9 @@
                            persist_if_blocked, relays);
 }
 
-/** DIGEST is the culprit. Tell all hosts, as some have not heard of every
-    crash, and persist it for hosts that start later. */
+/** Blocks DIGEST, which was found to crash endpoints. The block is published,
+    since some hosts do not know of every crash, and stored for hosts that
+   start later. */
 void
 relay_block_add (void *arg, rt_digest_t digest,
                  const rt_blame_status_t *status)
@@ -89,8 +90,8 @@
   relay_suspect_cancel (relays, digest);
 }
 
-/* Another host or the store reports that a request has been blocked since AT.
-   Return 0 if that is known or the block is over. */
+/* Applies a block that began at AT and was reported by BY. Returns 0 if it was
+   known already or is over. */
 static int
 apply_block (gt_relays_t *relays, rt_digest_t digest, uint64_t customer,
              el_time_t at, unsigned holds, const char *by)
@@ -109,8 +110,8 @@
   return 1;
 }
 
-/** The store reports the HOLDS-th block of DIGEST. Its entry does not say how
-    much of the block remains, so that the block starts anew. */
+/** Applies the HOLDS-th block of DIGEST, read from the store. The stored entry
+    does not tell how much of the block remains, so its time starts now. */
 void
 gt_relays_block (gt_relays_t *relays, rt_digest_t digest, unsigned holds)
 {
@@ -118,8 +119,8 @@
                "store");
 }
 
-/** Whether ORDER is blocked because engines crashed on such orders: no other
-    engine is given one until an operator clears it or the block ends. */
+/** Whether ORDER is blocked because engines crashed on the same order: no
+   other engine is sent it until an operator clears the block or it ends. */
 int
 gt_relays_order_blocked (gt_relays_t *relays, const rt_order_t *order)
 {
@@ -132,10 +133,10 @@
          == RT_BLAME_BLOCKED;
 }
 
-/** ORDER's engine crashed while carrying it out. A resulting block is sent to
-    all hosts, so that the next planner knows of it. */
+/** Records that ORDER's engine crashed while executing it. A resulting block
+   is published, so that the next planner knows of it. */
 void
-gt_relays_order_crashed (gt_relays_t *relays, rt_order_failures_t *falls,
+gt_relays_order_crashed (gt_relays_t *relays, rt_order_failures_t *failures,
                          const rt_order_t *order)
 {
   const rt_digest_t digest = rt_order_digest (relays->options.key, order);
@@ -150,7 +151,7 @@
           EL_FS ("engine", order->target->attrs.id),
           EL_FS ("card", order->target->attrs.card),
           EL_FN ("layers", order->end - order->first));
-  if (!rt_order_failures_add (falls, digest)
+  if (!rt_order_failures_add (failures, digest)
       || !apply_block (relays, digest, 0,
                        net_clock_now (relays->options.clock), fact.holds,
                        "orders"))
@@ -160,12 +161,12 @@
   persist_block (relays, digest, fact.holds, rt_blame_block_time (fact.holds));
 }
 
-/** ORDER's engine holds the layers it was ordered to hold. */
+/** Records that ORDER's engine holds the ordered layers. */
 void
-gt_relays_order_done (const gt_relays_t *relays, rt_order_failures_t *falls,
+gt_relays_order_done (const gt_relays_t *relays, rt_order_failures_t *failures,
                       const rt_order_t *order)
 {
-  rt_order_failures_clear (falls,
+  rt_order_failures_clear (failures,
                            rt_order_digest (relays->options.key, order));
 }
 
@@ -179,7 +180,7 @@
           EL_FC ("by", by));
 }
 
-/** An operator clears DIGEST at all hosts. Return 0 if nothing is known of it.
+/** Unblocks DIGEST on all hosts, for an operator. Returns 0 if it is unknown.
  */
 int
 gt_relays_unblock (gt_relays_t *relays, rt_digest_t digest)
@@ -191,11 +192,11 @@
     return 0;
   log_cleared (digest, "operator");
   relay_rumor_publish (relays, &fact, el_random (&relays->random),
-                       RELAY_FACT_GOSSIP_HOLD);
+                       RELAY_FACT_GOSSIP_TIME);
   return 1;
 }
 
-/** Another host blocked a request. */
+/** Handles a rumor that a request is blocked. */
 void
 relay_block_on_blocked (gt_relays_t *relays, const co_rumor_t *rumor,
                         const relay_fact_t *fact)
@@ -206,7 +207,7 @@
                    rt_blame_block_time (fact->holds));
 }
 
-/** An operator cleared a request at another host. */
+/** Handles a rumor that an operator cleared a request on another host. */
 void
 relay_block_on_cleared (gt_relays_t *relays, const co_rumor_t *rumor,
                         const relay_fact_t *fact)
@@ -231,7 +232,7 @@
                       "untilUs", (json_int_t)status->blocked_until));
 }
 
-/** Return the requests that are suspect or blocked, as a JSON array. */
+/** Returns the requests that are suspect or blocked, as a JSON array. */
 json_t *
 gt_relays_suspects (gt_relays_t *relays)
 {
--- a/gate/relay_check.c
+++ b/gate/relay_check.c
@@ -3,35 +3,37 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Health checks of engines, sent when streams through them stall. An
- * engine that does not respond is left by all streams of this host, and
+ * Health checks of engines, sent when streams through them stall. All streams
+ * of this host are moved off an engine that does not respond, and it is
  * checked until it responds or is no longer listed.
  */
 #include "librelay.h"
 
 /* An engine responds within a few milliseconds even under load. One that has
-   not after CHECK_TIMEOUT is silent if another engine responded meanwhile.
-   Otherwise this host may be cut off or delayed, and the limit is
-   CHECK_TIMEOUT_MAX. */
+   not responded after CHECK_TIMEOUT counts as silent if another engine has
+   meanwhile. If none has, this host may be cut off or delayed, and the limit
+   is CHECK_TIMEOUT_MAX. */
 #define CHECK_TIMEOUT (30 * EL_MSEC)
 #define CHECK_TIMEOUT_MAX (100 * EL_MSEC)
-/* A timer that fires later than this was delayed with the process: responses
-   may be waiting to be read. */
-#define LATE_TIMER (2 * EL_MSEC)
-/* Minimum interval of checks due to stalled streams. It doubles with each
-   check, so that slow streams do not cause constant checks. */
+/* If a timer fires later than this, the process was delayed, and responses may
+   be waiting to be read. */
+#define TIMER_DELAY_MAX (2 * EL_MSEC)
+/* Interval between checks of an engine for stalled streams. It doubles with
+   each check up to CHECK_INTERVAL_MAX, so that slow streams do not cause
+   constant checks. */
 #define CHECK_INTERVAL_MIN (50 * EL_MSEC)
 #define CHECK_INTERVAL_MAX (800 * EL_MSEC)
 /* From this interval on, an engine is not checked if the hall's poller got a
-   report from it within POLLED_MAX_AGE. */
+   report from it within POLLED_AGE_MAX. */
 #define POLLED_INTERVAL (200 * EL_MSEC)
-#define POLLED_MAX_AGE (800 * EL_MSEC)
+#define POLLED_AGE_MAX (800 * EL_MSEC)
 /* The interval is reset when no stream has stalled for this long. */
 #define CHECK_INTERVAL_RESET (3 * EL_SEC)
-/* Interval of checks of a silent engine. */
+/* Interval between checks of a silent engine. */
 #define SILENT_RECHECK (400 * EL_MSEC)
-/* An engine this many times slower than others of its kind is left by its
-   streams: leaving costs reading all tokens again. */
+/* Streams are moved off an engine that is this many times slower than others
+   of its kind. The factor is high since the new engine has to process all
+   tokens so far again. */
 #define SLOW_PACE 2.5
 #define SLOW_RECHECK (1000 * EL_MSEC)
 
@@ -40,9 +42,9 @@
   gt_relays_t *relays;
   rt_target_t *engine;
   net_exchange_t *request;
-  el_time_t asked;
-  el_time_t last_stall;   /* when it was last checked for a stalled stream */
-  el_time_t min_interval; /* until the next such check */
+  el_time_t sent;
+  el_time_t last_stall;   /* time of the last check for a stalled stream */
+  el_time_t min_interval; /* from then until the next such check */
   el_timer_t recheck;
   el_timer_t timeout; /* response overdue */
   UT_hash_handle hh;
@@ -62,7 +64,7 @@
   free (check);
 }
 
-/* Calls EACH for the streams that pass ENGINE. */
+/* Calls EACH for the streams whose chain includes ENGINE. */
 static void
 check_each_stream (gt_relays_t *relays, rt_target_t *engine,
                    void (*each) (gt_relay_t *relay, rt_target_t *engine))
@@ -75,8 +77,8 @@
     each (relay, engine);
 }
 
-/* ENGINE has restarted: the layers that it held and the streams through it
-   are gone. Its new entry follows, about a second later. */
+/* ENGINE has restarted: it holds no layers, and the streams through it are
+   lost. Its new entry arrives about a second later. */
 static void
 check_engine_restarted (gt_relays_t *relays, rt_target_t *engine,
                         const rt_load_t *load)
@@ -90,9 +92,9 @@
   check_each_stream (relays, engine, relay_watch_engine_silent);
 }
 
-/** Processes a LOAD that ENGINE reported at AT. Streams leave a slow engine
-    if their hall has a copy of it, new ones pick it less often, and it is
-    checked until it has recovered. */
+/** Processes a LOAD that ENGINE reported at AT. Streams are moved off a slow
+    engine if their hall has a replica, fewer new streams are sent to it, and
+   it is checked until it has recovered. */
 void
 relay_check_load (gt_relays_t *relays, rt_target_t *engine,
                   const rt_load_t *load, el_time_t at)
@@ -102,7 +104,7 @@
 
   if (load->born && engine->attrs.born && load->born != engine->attrs.born)
     {
-      /* An older start's report was delayed. */
+      /* A report of an older instance arrived late and is ignored. */
       if (load->born > engine->attrs.born
           && engine->attrs.end > engine->attrs.first)
         check_engine_restarted (relays, engine, load);
@@ -118,8 +120,8 @@
     check_each_stream (relays, engine, relay_watch_engine_slow);
 }
 
-/** ENGINE holds other layers now. Streams that use layers which it has
-    released are moved, so that it need not wait for their end. */
+/** Handles that ENGINE now holds other layers. Streams that use layers which
+   it has released are moved, so that it need not wait until they end. */
 void
 gt_relays_engine_changed (gt_relays_t *relays, rt_target_t *engine)
 {
@@ -127,7 +129,8 @@
     check_each_stream (relays, engine, relay_watch_layers_released);
 }
 
-/* Applies a reported load; rechecks a slow engine until it has recovered. */
+/* Processes a load in the response to a health check. A slow engine is checked
+   again until it has recovered; the poller does that anyway. */
 static void
 check_apply_load (relay_check_t *check, const rt_load_t *load)
 {
@@ -142,7 +145,7 @@
 
 static void
 check_done (void *arg, gt_check_result_t result, const rt_load_t *load,
-            const rt_hints_t *asks)
+            const rt_hints_t *hints)
 {
   relay_check_t *check = arg;
   gt_relays_t *relays = check->relays;
@@ -152,19 +155,19 @@
 
   check->request = NULL;
   net_clock_cancel (relays->options.clock, &check->timeout);
-  gt_relays_asked (relays, engine, asks, EL_STR ("check"));
+  gt_relays_asked (relays, engine, hints, EL_STR ("check"));
   engine->asked = 0;
   engine->avail.silent = !answered;
   if (result == GT_CHECK_REFUSED && !engine->refused_at)
-    engine->refused_at = check->asked;
+    engine->refused_at = check->sent;
   if (answered)
     engine->refused_at = 0;
-  if (answered && check->asked > relays->last_answered_check)
-    relays->last_answered_check = check->asked;
+  if (answered && check->sent > relays->last_answered_check)
+    relays->last_answered_check = check->sent;
   if (load)
     check_apply_load (check, load);
   if (answered)
-    relay_blame_check_answered (relays, engine, check->asked);
+    relay_blame_check_answered (relays, engine, check->sent);
   if (answered && !was_silent)
     return;
   if (answered == was_silent)
@@ -186,28 +189,29 @@
   rt_target_unref (engine);
 }
 
-/* The response is overdue: tells a silent engine from a host that is cut off
-   or delayed. Events of streams through the engine count as a response. */
+/* The response is overdue: distinguishes a silent engine from a host that is
+   cut off or delayed. An event of a stream through the engine counts as a
+   response. */
 static void
 check_timeout (void *arg, el_time_t now)
 {
   static const rt_hints_t nothing;
   relay_check_t *check = arg;
   const gt_relays_t *relays = check->relays;
-  int delayed = now > check->timeout.due + LATE_TIMER;
-  int peer_answered = relays->last_answered_check >= check->asked;
+  int delayed = now > check->timeout.due + TIMER_DELAY_MAX;
+  int peer_answered = relays->last_answered_check >= check->sent;
 
   if (delayed
-      || (now < check->asked + CHECK_TIMEOUT_MAX
-          && (!peer_answered || check->engine->last_event_at > check->asked)))
+      || (now < check->sent + CHECK_TIMEOUT_MAX
+          && (!peer_answered || check->engine->last_event_at > check->sent)))
     {
-      net_clock_set (relays->options.clock, &check->timeout, LATE_TIMER);
+      net_clock_set (relays->options.clock, &check->timeout, TIMER_DELAY_MAX);
       return;
     }
   net_client_cancel (check->request);
   check_done (check,
-              check->engine->last_event_at > check->asked ? GT_CHECK_OK
-                                                          : GT_CHECK_NONE,
+              check->engine->last_event_at > check->sent ? GT_CHECK_OK
+                                                         : GT_CHECK_NONE,
               NULL, &nothing);
 }
 
@@ -225,7 +229,7 @@
       check_free (check);
       return;
     }
-  check->asked = now;
+  check->sent = now;
   check->engine->asked = now;
   check->relays->counts.checks++;
   check->request
@@ -266,11 +270,11 @@
   if (now > check->last_stall + CHECK_INTERVAL_RESET)
     check->min_interval = CHECK_INTERVAL_MIN;
   if (check->min_interval >= POLLED_INTERVAL
-      && now < engine->reported_at + POLLED_MAX_AGE)
+      && now < engine->reported_at + POLLED_AGE_MAX)
     return;
   due = check->last_stall + check->min_interval;
-  if (due < check->asked + CHECK_INTERVAL_MIN)
-    due = check->asked + CHECK_INTERVAL_MIN;
+  if (due < check->sent + CHECK_INTERVAL_MIN)
+    due = check->sent + CHECK_INTERVAL_MIN;
   if (now < due)
     {
       net_clock_set (relays->options.clock, &check->recheck, due - now);
@@ -289,11 +293,12 @@
 {
   relay_check_t *check = check_get (relays, engine);
 
-  if (!check->request && check->asked <= since)
+  if (!check->request && check->sent <= since)
     check_send (check, net_clock_now (relays->options.clock));
 }
 
-/** As relay_check_unless_recent, for other modules. */
+/** Checks ENGINE unless it was checked after SINCE or the platform has no
+   health checks. */
 void
 gt_relays_check_engine (gt_relays_t *relays, rt_target_t *engine,
                         el_time_t since)
--- a/gate/relay_epoch.c
+++ b/gate/relay_epoch.c
@@ -3,25 +3,25 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Facts that the store lost when it continued from an older copy. Other
- * hosts, and those that start before the facts are stored again, learn
- * them by gossip.
+ * Facts that the store may have lost when it was restored from an older copy
+ * of itself. Other hosts, and those that start before the facts are stored
+ * again, learn them by gossip.
  */
 #include <string.h>
 
 #include "librelay.h"
 
-/* How long a host waits for a version of the rules that is in force
-   elsewhere, and how long that version is gossiped: the operator stores it
-   again within about two seconds. */
+/* How long a host waits for a version of the rules that is in force on another
+   host, and how long that version is gossiped: it is stored again within about
+   two seconds. */
 #define RULES_WAIT_MAX (5 * EL_SEC)
-#define RULES_GOSSIP_HOLD (30 * EL_SEC)
-/* Limit for the endpoints gossiped as draining that are no longer listed:
-   the copy is only seconds old. */
-#define DRAINING_MAX 256
+#define RULES_GOSSIP_TIME (30 * EL_SEC)
+/* Limit for the endpoints published as leaving that are no longer listed. The
+   store's copy is only seconds old, so that the newest suffice. */
+#define LEAVING_MAX 256
 
 static void
-draining_announce (void *arg, el_str_t id, uint64_t born)
+leaving_announce (void *arg, el_str_t id, uint64_t born)
 {
   rt_instance_t instance = { .born = born };
   size_t len = id.len < RT_INSTANCE_ID_SIZE ? id.len : RT_INSTANCE_ID_SIZE - 1;
@@ -40,10 +40,11 @@
                        XXH3_64bits_withSeed (&fact.version,
                                              sizeof fact.version,
                                              RELAY_FACT_RULES),
-                       RULES_GOSSIP_HOLD);
+                       RULES_GOSSIP_TIME);
 }
 
-/** Another host has rules in force that the store may not have yet. */
+/** Handles a rumor that another host has rules in force that the store may not
+    have yet. */
 void
 relay_epoch_on_rules (gt_relays_t *relays, const co_rumor_t *rumor,
                       const relay_fact_t *fact)
@@ -58,8 +59,8 @@
           EL_FN ("in_force", relays->rules ? relays->rules->version : 0));
 }
 
-/** Whether other hosts have newer rules in force: keys may have been revoked
-    since. */
+/** Whether another host has newer rules in force, in which keys may have been
+    revoked. After RULES_WAIT_MAX this host no longer waits for them. */
 int
 gt_relays_rules_outdated (const gt_relays_t *relays)
 {
@@ -68,12 +69,12 @@
                 < relays->peer_rules_deadline;
 }
 
-/** The store began an epoch: gossips what it may have lost. */
+/** Publishes what the store may have lost, after it began a new epoch. */
 void
 gt_relays_store_epoch_began (gt_relays_t *relays)
 {
   if (relays->rules)
     rules_announce (relays);
-  rt_fleet_visit_leaving (relays->options.fleet, DRAINING_MAX,
-                          draining_announce, relays);
+  rt_fleet_visit_leaving (relays->options.fleet, LEAVING_MAX, leaving_announce,
+                          relays);
 }
--- a/gate/relay_events.c
+++ b/gate/relay_events.c
@@ -7,10 +7,10 @@
  */
 #include "librelay.h"
 
-/* A partial event that grows beyond this is dropped. */
-#define EVENT_MAX ((size_t)1 << 20)
+/* Size in bytes from which a partial event is dropped. */
+#define EVENT_SIZE_MAX ((size_t)1 << 20)
 
-/* Reads the value of the event's "id" line. Returns 0 without one. */
+/* Reads the number in the event's "id" line. Returns 0 if there is none. */
 static int
 event_id (el_str_t event, uint64_t *id)
 {
@@ -82,7 +82,7 @@
   el_buf_add (&buffered, bytes);
   events->part = (el_buf_t){ NULL, 0, 0 };
   bytes = events_emit (el_buf_str (&buffered), each, arg);
-  if (bytes.len && bytes.len < EVENT_MAX)
+  if (bytes.len && bytes.len < EVENT_SIZE_MAX)
     el_buf_add (&events->part, bytes);
   el_buf_free (&buffered);
 }
--- a/gate/relay_fact.c
+++ b/gate/relay_fact.c
@@ -16,8 +16,8 @@
 
 static void runs_write (const relay_fact_t *fact, json_t *json);
 static int runs_read (json_t *json, el_time_t at, relay_fact_t *out);
-static void leaves_write (const relay_fact_t *fact, json_t *json);
-static int leaves_read (json_t *json, el_time_t at, relay_fact_t *out);
+static void leaving_write (const relay_fact_t *fact, json_t *json);
+static int leaving_read (json_t *json, el_time_t at, relay_fact_t *out);
 static void rules_write (const relay_fact_t *fact, json_t *json);
 static int rules_read (json_t *json, el_time_t at, relay_fact_t *out);
 static void request_write (const relay_fact_t *fact, json_t *json);
@@ -33,7 +33,7 @@
   [RELAY_FACT_COMPLETED] = { "survived", request_write, request_read },
   [RELAY_FACT_BLOCKED] = { "blocked", request_write, request_read },
   [RELAY_FACT_CLEARED] = { "cleared", request_write, request_read },
-  [RELAY_FACT_LEAVING] = { "leaves", leaves_write, leaves_read },
+  [RELAY_FACT_LEAVING] = { "leaves", leaving_write, leaving_read },
   [RELAY_FACT_RULES] = { "rules", rules_write, rules_read },
 };
 
@@ -46,7 +46,7 @@
   return json_string (text);
 }
 
-/* Return 0 if JSON is no such number. */
+/* Returns 0 if JSON is not a hexadecimal number. */
 static int
 number_read (json_t *json, uint64_t *out)
 {
@@ -60,15 +60,15 @@
 }
 
 static void
-start_write (const rt_instance_t *instance, json_t *json)
+instance_write (const rt_instance_t *instance, json_t *json)
 {
   json_object_set_new (json, "endpoint", json_string (instance->id));
   json_object_set_new (json, "born", number_write (instance->born));
 }
 
-/* Return 0 if JSON names no endpoint instance. */
+/* Returns 0 if JSON does not name an endpoint instance. */
 static int
-start_read (json_t *json, rt_instance_t *out)
+instance_read (json_t *json, rt_instance_t *out)
 {
   const char *id = json_string_value (json_object_get (json, "endpoint"));
 
@@ -80,16 +80,16 @@
 }
 
 static void
-leaves_write (const relay_fact_t *fact, json_t *json)
+leaving_write (const relay_fact_t *fact, json_t *json)
 {
-  start_write (&fact->instance, json);
+  instance_write (&fact->instance, json);
 }
 
 static int
-leaves_read (json_t *json, el_time_t at, relay_fact_t *out)
+leaving_read (json_t *json, el_time_t at, relay_fact_t *out)
 {
   (void)at;
-  return start_read (json, &out->instance);
+  return instance_read (json, &out->instance);
 }
 
 static void
@@ -112,7 +112,7 @@
   const rt_crash_report_t *run;
   size_t i;
 
-  start_write (&fact->runs[0].instance, json);
+  instance_write (&fact->runs[0].instance, json);
   json_object_set_new (json, "host", number_write (fact->runs[0].host));
   for (i = 0; i < fact->nruns; i++)
     {
@@ -178,7 +178,7 @@
   json_t *item;
   size_t i;
 
-  if (!start_read (json, &report.instance)
+  if (!instance_read (json, &report.instance)
       || !number_read (json_object_get (json, "host"), &report.host)
       || !report.host || json_array_size (list) > RELAY_FACT_RUNS_MAX)
     return 0;
@@ -192,7 +192,7 @@
   return out->nruns > 0;
 }
 
-/** Encode FACT as the body of a rumor. */
+/** Encodes FACT as the body of a rumor. */
 void
 relay_fact_encode (const relay_fact_t *fact, el_buf_t *out)
 {
@@ -206,7 +206,7 @@
   json_decref (json);
 }
 
-/** Decode the body of a rumor that was first sent at AT. Return 0 if it is
+/** Decodes the body of a rumor that was published at AT. Returns 0 if it is
     malformed. */
 int
 relay_fact_decode (el_str_t body, el_time_t at, relay_fact_t *out)
--- a/gate/relay_head.c
+++ b/gate/relay_head.c
@@ -3,8 +3,7 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Request headers of an attempt: the caller's, and those that this host
- * sets.
+ * Request headers of an attempt: the caller's, and those that this host sets.
  */
 #include <inttypes.h>
 #include <stdio.h>
@@ -14,7 +13,7 @@
 #include "libgate.h"
 #include "librelay.h"
 
-/* Headers that this host adds. */
+/* Number of headers that this host sets, at most. */
 #define OWN_HEADERS_MAX 6
 
 /* Whether a caller's header is forwarded; those that this host sets are not.
@@ -67,10 +66,10 @@
 relay_head_build (gt_relay_t *relay, el_time_t now, relay_head_t *head)
 {
   const gt_relay_dialect_t *dialect = relay->relays->options.dialect;
-  size_t most = relay->req->headers.size + OWN_HEADERS_MAX;
+  size_t max = relay->req->headers.size + OWN_HEADERS_MAX;
 
   memset (head, 0, sizeof *head);
-  head->list = el_alloc (most * sizeof *head->list);
+  head->list = el_alloc (max * sizeof *head->list);
   head_add_forwarded (relay, head);
   snprintf (head->time_left, sizeof head->time_left, "%" PRIu64,
             (relay->deadline - now) / EL_MSEC);
--- a/gate/relay_log.c
+++ b/gate/relay_log.c
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Log lines for decisions on relayed requests, with the data that they are
- * based on, its age, and the result.
+ * Log lines for decisions on relayed requests, with the data that the decision
+ * is based on, the age of that data, and the result.
  */
 #include "librelay.h"
 
@@ -34,18 +34,18 @@
       EL_FS ("rule", relay->rule ? relay->rule->name : el_str ("-")),
       EL_FS ("customer", relay->customer),
       EL_FS ("endpoint", target ? target->attrs.id : el_str ("-")),
-      EL_FN ("parts", relay->line.n), EL_FN ("attempts", relay->course.sent),
-      EL_FN ("may_have_run", relay->course.may_run), EL_FN ("status", status),
-      EL_FC ("reason", reason), EL_FN ("events", relay->nevents),
-      EL_FN ("first_us", relay->first_event),
+      EL_FN ("parts", relay->line.n), EL_FN ("attempts", relay->attempts.sent),
+      EL_FN ("may_have_run", relay->attempts.may_run),
+      EL_FN ("status", status), EL_FC ("reason", reason),
+      EL_FN ("events", relay->nevents), EL_FN ("first_us", relay->first_event),
       EL_FN ("longest_gap_us", relay->longest_gap),
       EL_FN ("config", relay->rules ? relay->rules->version : 0),
       EL_FN ("config_age_us", now - relay->relays->rules_as_of),
       EL_FN ("us", now - relay->received));
 }
 
-/** Logs an attempt, with what is known about its target and how old that is.
- */
+/** Logs the send of an attempt, with what is known about its target and how
+   old that knowledge is. */
 void
 relay_log_sent (const gt_relay_t *relay, el_time_t now)
 {
@@ -53,7 +53,7 @@
   EL_LOG (EL_LOG_INFO, "sent", EL_FS ("request", relay->id),
           EL_FS ("endpoint", target->attrs.id),
           EL_FN ("born", target->attrs.born),
-          EL_FN ("attempt", relay->course.sent + 1),
+          EL_FN ("attempt", relay->attempts.sent + 1),
           EL_FN ("parts", relay->line.n),
           EL_FC ("against",
                  rt_unavail_name (rt_avail_reason_at (&target->avail, now))),
@@ -67,7 +67,7 @@
           EL_FN ("known_age_us", now - relay->relays->rules_as_of));
 }
 
-/** Logs an attempt whose response was not simply forwarded; NEXT follows. */
+/** Logs an attempt whose response is not forwarded; NEXT is what follows. */
 void
 relay_log_failed (gt_relay_t *relay, const rt_attempt_t *attempt,
                   const net_result_t *result, rt_next_t next)
@@ -79,20 +79,21 @@
 
   rt_digest_hex (relay_digest (relay), digest);
   dialect->write_line (&relay->line, &line);
-  EL_LOG (
-      EL_LOG_INFO, "attempt_failed", EL_FS ("request", relay->id),
-      EL_FC ("digest", digest), EL_FS ("endpoint", relay->target->attrs.id),
-      EL_FC ("net", outcome_names[result->net]),
-      EL_FN ("status", result->status),
-      EL_FC ("verdict", el_verdict_name (attempt->verdict)),
-      EL_FN ("crossed", relay->crossed), EL_FN ("attempt", relay->course.sent),
-      EL_FN ("sent_us", now - relay->sent),
-      EL_FN ("ran_us", relay->head_at ? now - relay->head_at : 0),
-      EL_FN ("events", relay->nevents),
-      EL_FN ("budget_left", relay_retry_left (relay)),
-      EL_FC ("next", next_names[next]),
-      EL_FS ("fault", net_result_header (result, dialect->names.at_fault)),
-      EL_FN ("rest_asked_us", relay->asks.rest),
-      EL_FS ("line", el_buf_str (&line)));
+  EL_LOG (EL_LOG_INFO, "attempt_failed", EL_FS ("request", relay->id),
+          EL_FC ("digest", digest),
+          EL_FS ("endpoint", relay->target->attrs.id),
+          EL_FC ("net", outcome_names[result->net]),
+          EL_FN ("status", result->status),
+          EL_FC ("verdict", el_verdict_name (attempt->verdict)),
+          EL_FN ("crossed", relay->wrong_id),
+          EL_FN ("attempt", relay->attempts.sent),
+          EL_FN ("sent_us", now - relay->sent),
+          EL_FN ("ran_us", relay->head_at ? now - relay->head_at : 0),
+          EL_FN ("events", relay->nevents),
+          EL_FN ("budget_left", relay_retry_left (relay)),
+          EL_FC ("next", next_names[next]),
+          EL_FS ("fault", net_result_header (result, dialect->names.at_fault)),
+          EL_FN ("rest_asked_us", relay->hints.rest),
+          EL_FS ("line", el_buf_str (&line)));
   el_buf_free (&line);
 }
--- a/gate/relay_poll.c
+++ b/gate/relay_poll.c
@@ -3,24 +3,25 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Polling of a hall's engines by one of its hosts, which sends the reports
- * to the others.
+ * Polling of a hall's engines by one of its hosts, which sends their reports
+ * to the other hosts.
  */
 #include "librelay.h"
 
-/* All engines of the hall are considered once per interval, in POLL_SLICES
-   slices. */
+/* Each engine of the hall is considered once per interval; every slice of the
+   interval takes one of POLL_SLICES groups. */
 #define POLL_INTERVAL (500 * EL_MSEC)
 #define POLL_SLICES 10
-/* Engines that are neither full nor slow are polled less often, to save
+/* Engines that are neither busy nor slow are polled less often, to save
    requests. */
-#define POLL_CALM_INTERVAL (1800 * EL_MSEC)
+#define POLL_IDLE_INTERVAL (1800 * EL_MSEC)
 #define POLL_BUSY_FILL 0.5
 #define POLL_SLOW_PACE 1.5
-/* An engine that holds the first layers: streams wait for its slots. */
+/* Share of slots taken from which an engine with the first layers is busy:
+   streams wait for its slots. */
 #define POLL_BUSY_SLOTS 0.6
 /* Older reports are not sent to other hosts. */
-#define REPORT_MAX_AGE (3 * EL_SEC)
+#define REPORT_AGE_MAX (3 * EL_SEC)
 
 static int
 poll_covers (const gt_relays_t *relays, const rt_target_t *engine)
@@ -38,10 +39,10 @@
   if (slots_busy || engine->fill > POLL_BUSY_FILL
       || engine->pace > POLL_SLOW_PACE)
     return POLL_INTERVAL / 2;
-  return POLL_CALM_INTERVAL;
+  return POLL_IDLE_INTERVAL;
 }
 
-/* Retries moving streams away from engines that released their layers: other
+/* Tries again to move streams off engines that released their layers: other
    engines may have capacity by now. */
 static void
 poll_released_layers (gt_relays_t *relays)
@@ -93,8 +94,8 @@
   net_clock_cancel (relays->options.clock, &relays->poll);
 }
 
-/** Returns the reports of the hall's engines in OUT, which the caller frees.
- */
+/** Stores the recent reports of the hall's engines in OUT, which the caller
+    frees, and returns their number. */
 size_t
 gt_relays_engine_reports (gt_relays_t *relays, pr_engine_report_t **out)
 {
@@ -106,7 +107,7 @@
   *out = el_alloc ((rt_fleet_count (o->fleet) + 1) * sizeof **out);
   for (engine = rt_fleet_first (o->fleet); engine; engine = engine->hh.next)
     if (poll_covers (relays, engine) && engine->reported_at
-        && now < engine->reported_at + REPORT_MAX_AGE)
+        && now < engine->reported_at + REPORT_AGE_MAX)
       (*out)[n++] = (pr_engine_report_t){ .id = engine->attrs.id,
                                           .born = engine->attrs.born,
                                           .fill = engine->fill,
@@ -117,8 +118,9 @@
   return n;
 }
 
-/** Processes reports from another host. An engine that is silent there is
-    checked by this host, too: it may only be out of the other host's reach. */
+/** Processes engine reports from another host. An engine that did not respond
+    there is checked by this host, too: it may be unreachable for the other
+   host only. */
 void
 gt_relays_receive_reports (gt_relays_t *relays, const pr_engine_report_t *news,
                            size_t n)
--- a/gate/relay_response.c
+++ b/gate/relay_response.c
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Responses to callers of relayed requests. An incomplete response never
- * looks complete: it ends without its last chunk.
+ * Responses to callers of relayed requests. An incomplete response is never
+ * taken for a complete one: it ends without its last chunk.
  */
 #include <stdio.h>
 
@@ -13,8 +13,8 @@
 
 static void response_proceed (h2o_generator_t *generator, h2o_req_t *req);
 
-/** Responds without an endpoint's response. RETRY_AFTER tells the caller
-    when to send a request that was not executed again. */
+/** Responds with an error of this host. RETRY_AFTER tells the caller when to
+    retry a request that was not executed; 0: not stated. */
 void
 relay_respond_error (gt_relay_t *relay, int status, const char *reason,
                      el_time_t retry_after)
@@ -50,7 +50,7 @@
 relay_respond_whole (gt_relay_t *relay, const net_result_t *result)
 {
   relay_log (relay, "answered", result->status, "passed");
-  relay->relays->counts.passed++;
+  relay->relays->counts.forwarded++;
   el_hist_add (&relay->relays->counts.answer,
                net_clock_now (relay->relays->options.clock) - relay->received);
   response_head (relay, result);
@@ -58,7 +58,8 @@
   h2o_send_inline (relay->req, result->body.ptr, result->body.len);
 }
 
-/** Starts a stream's response with the head of the endpoint's. */
+/** Starts the response of a stream with the head of the endpoint's response.
+ */
 void
 relay_respond_head (gt_relay_t *relay, const net_result_t *head)
 {
@@ -122,13 +123,13 @@
 relay_respond_end (gt_relay_t *relay)
 {
   relay_log (relay, "answered", relay->req->res.status, "stream ended");
-  relay->relays->counts.passed++;
+  relay->relays->counts.forwarded++;
   relay->end_pending = 1;
   response_flush (relay);
 }
 
-/** Ends the response so that it does not look complete, and closes the
-    connection. */
+/** Ends the response so that it is not taken for a complete one, and closes
+   the connection. Logs REASON unless it is NULL. */
 void
 relay_respond_abort (gt_relay_t *relay, const char *reason)
 {
@@ -143,7 +144,7 @@
   if (reason)
     {
       relay_log (relay, "broken_off", relay->req->res.status, reason);
-      relay->relays->counts.cut++;
+      relay->relays->counts.aborted++;
     }
   relay_cancel_attempt (relay);
   relay->abort_pending = 1;
--- a/gate/relay_rumor.c
+++ b/gate/relay_rumor.c
@@ -3,7 +3,8 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Rumors about requests and endpoints, which hosts send to each other at once.
+ * Publishing and receiving of rumors about requests and endpoints, which hosts
+ * gossip without waiting for the store.
  */
 #include "librelay.h"
 
@@ -20,7 +21,7 @@
         [RELAY_FACT_RULES] = relay_epoch_on_rules,
       };
 
-/** Send FACT to all hosts under the rumor id ID, to be kept for HOLD. */
+/** Publishes FACT as the rumor ID, which is gossiped for HOLD. */
 void
 relay_rumor_publish (gt_relays_t *relays, const relay_fact_t *fact,
                      uint64_t id, el_time_t hold)
@@ -34,7 +35,7 @@
   el_buf_free (&body);
 }
 
-/** Handle a rumor from another host. */
+/** Handles a rumor from another host. */
 void
 gt_relays_rumor (gt_relays_t *relays, const co_rumor_t *rumor)
 {
--- a/gate/relay_suspect.c
+++ b/gate/relay_suspect.c
@@ -3,27 +3,28 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Admission and routing of requests that were running where endpoints crashed:
- * a blocked request is refused; a suspect is sent to an endpoint of its own
- * and, after several crashes, one at a time.
+ * Admission and routing of requests that were running where endpoints crashed.
+ * A blocked request is refused. A suspect is sent to an endpoint on probation
+ * for no other suspect; after several crashes it waits for such an endpoint.
  */
 #include "librelay.h"
 
-/* A suspect whose endpoint has not crashed this long after the send no longer
-   keeps others waiting. */
+/* Time after the send of a suspect during which other requests avoid its
+   endpoint. */
 #define PROBATION_TIME (500 * EL_MSEC)
-/* A suspect with this many crashes waits while no endpoint is open to it, as
-   when other suspects of this host are on probation at all of them. */
-#define TURN_MIN_CRASHES 2
+/* A suspect with this many crashes waits while no endpoint is available to it,
+   for example because other suspects of this host are on probation at all of
+   them. */
+#define TURN_CRASHES_MIN 2
 /* Such a suspect also waits until it is known whether its last endpoint
-   crashed: a few milliseconds if the port is closed and other hosts check,
-   three heartbeats if not. */
+   crashed. That takes a few milliseconds if its port is closed and other hosts
+   confirm it, otherwise three heartbeats. */
 #define TURN_RETRY_INTERVAL (20 * EL_MSEC)
-#define TURNS_MAX 250
+#define TURN_WAITS_MAX 250
 
-/** Whether RELAY may be served; if not, it has been answered. The refusal
-    states that this arrival did not run, which is true, and asks to retry when
-    the block ends. */
+/** Whether RELAY may be served. Returns 0 after an error response, which
+   states that the request was not executed and may be retried when the block
+   ends. */
 int
 relay_suspect_admit (gt_relay_t *relay)
 {
@@ -39,7 +40,7 @@
           EL_FC ("digest", digest), EL_FN ("ends", status.crashes),
           EL_FN ("holds", status.holds),
           EL_FN ("left_us", status.blocked_until - now));
-  relays->counts.barred++;
+  relays->counts.refused_blocked++;
   relay_respond_error (relay, 503, "ends endpoints",
                        status.blocked_until - now);
   return 0;
@@ -52,7 +53,7 @@
   relay_attempt (arg);
 }
 
-/* Pick the endpoint for a suspect. */
+/* Picks an endpoint for a suspect, other than those on probation. */
 static rt_target_t *
 pick_isolated_target (gt_relay_t *relay, const rt_blame_status_t *status,
                       el_time_t now)
@@ -62,22 +63,22 @@
       relay_digest (relay) + status->crashes, &relay->tried);
 }
 
-/** Whether RELAY has to wait for its turn. It is retried later, or refused
-    with a time to retry if it has not been sent yet. */
+/** Whether RELAY has to wait for its turn. If so, its next attempt has been
+    scheduled, or it was refused with a retry-after if it was never sent. */
 int
 relay_suspect_must_wait (gt_relay_t *relay, el_time_t now)
 {
   gt_relays_t *relays = relay->relays;
   rt_blame_status_t status = relay_blame_get_status (relay);
 
-  if (status.state != RT_BLAME_SUSPECT || status.crashes < TURN_MIN_CRASHES
+  if (status.state != RT_BLAME_SUSPECT || status.crashes < TURN_CRASHES_MIN
       || (!status.unconfirmed
           && !relay_blame_is_pending (relays, relay_digest (relay))
           && pick_isolated_target (relay, &status, now))
-      || relay->turns++ >= TURNS_MAX)
+      || relay->turn_waits++ >= TURN_WAITS_MAX)
     return 0;
-  relays->counts.turns++;
-  if (relay->course.sent == 0)
+  relays->counts.turn_waits++;
+  if (relay->attempts.sent == 0)
     {
       relays->counts.refused++;
       relay_respond_error (relay, 503, "waits for its turn", PROBATION_TIME);
@@ -90,8 +91,8 @@
   return 1;
 }
 
-/** Return the endpoint where a suspect is to be sent first; others avoid it
-    until RELAY's probation is over. NULL: no restriction. */
+/** Returns the endpoint that a suspect is to be sent to; others avoid it until
+    RELAY's probation is over. Returns NULL if there is no restriction. */
 rt_target_t *
 relay_suspect_pick_target (gt_relay_t *relay, el_time_t now)
 {
@@ -99,17 +100,18 @@
   rt_target_t *target;
 
   if (status.state != RT_BLAME_SUSPECT
-      || (status.crashes < TURN_MIN_CRASHES && !status.prime_suspect))
+      || (status.crashes < TURN_CRASHES_MIN && !status.prime_suspect))
     return NULL;
   target = pick_isolated_target (relay, &status, now);
   if (!target)
     return NULL;
-  relay->relays->counts.apart++;
+  relay->relays->counts.isolated++;
   rt_avail_suspect_sent (&target->avail, now, PROBATION_TIME);
   return target;
 }
 
-/** DIGEST is the culprit: stop its runs before they crash more endpoints. */
+/** Aborts the requests with DIGEST, which was blocked, before they crash more
+    endpoints. */
 void
 relay_suspect_cancel (gt_relays_t *relays, rt_digest_t digest)
 {
--- a/gate/relay_wait.c
+++ b/gate/relay_wait.c
@@ -3,17 +3,17 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Streams that lost their endpoint and found none to resume at. They wait
- * until their deadline or until the caller disconnects: what a caller has
- * already received is worth more than a new request.
+ * Streams that lost their endpoint and found no other to resume on. They wait
+ * until their deadline or until the caller disconnects, since a caller would
+ * lose what it has already received if it had to send a new request.
  */
 #include "librelay.h"
 
-/* Delay before looking for an endpoint again, doubled each time: streams end
-   and free capacity every few milliseconds; other engines hold the layers of
-   a crashed one after 0.4 s at the earliest. */
-#define WAIT_MIN (25 * EL_MSEC)
-#define WAIT_MAX (400 * EL_MSEC)
+/* Retry delay, doubled each time: streams end and free capacity every few
+   milliseconds; other engines hold the layers of a crashed one after 0.4 s at
+   the earliest. */
+#define RETRY_DELAY_MIN (25 * EL_MSEC)
+#define RETRY_DELAY_MAX (400 * EL_MSEC)
 
 static void
 wait_expired (void *arg, el_time_t now)
@@ -26,25 +26,25 @@
 }
 
 /** Schedules another attempt, with a longer delay each time. Returns 0 if
-    RELAY is not a stream in progress that can be resumed. */
+   RELAY is not a stream in progress that may be resumed. */
 int
 relay_wait_endpoint (gt_relay_t *relay)
 {
   gt_relays_t *relays = relay->relays;
-  el_time_t wait = WAIT_MAX;
+  el_time_t wait = RETRY_DELAY_MAX;
 
   if (!relay->response_started || !relay->rule->resumable)
     return 0;
-  if (relay->waits == 0)
+  if (relay->endpoint_waits == 0)
     {
       relays->counts.waits++;
       EL_LOG (EL_LOG_INFO, "stream_waits", EL_FS ("request", relay->id),
               EL_FN ("events", relay->nevents),
-              EL_FN ("sent", relay->course.sent),
+              EL_FN ("sent", relay->attempts.sent),
               EL_FC ("reason", "no endpoint to go on at"));
     }
-  if (WAIT_MIN << relay->waits < WAIT_MAX)
-    wait = WAIT_MIN << relay->waits++;
+  if (RETRY_DELAY_MIN << relay->endpoint_waits < RETRY_DELAY_MAX)
+    wait = RETRY_DELAY_MIN << relay->endpoint_waits++;
   relay->retry_timer.cb = wait_expired;
   relay->retry_timer.arg = relay;
   net_clock_set (relays->options.clock, &relay->retry_timer, wait);
--- a/gate/relay_watch.c
+++ b/gate/relay_watch.c
@@ -3,41 +3,41 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Detection of stalled streams by the time since their last event. First
- * the engines of the pipeline are sent health checks; if all respond, the
- * pipeline's first engine is asked where the stream is stalled. The stream
- * is then rerouted around that engine.
+ * Detection of stalled streams by the time since their last event. First the
+ * engines of the chain are sent health checks; if all respond, the chain's
+ * first engine is asked which engine the stream waits for. The stream is then
+ * rerouted around that engine.
  */
 #include <string.h>
 
 #include "librelay.h"
 
-/* A stream is stalled after this long without an event. */
+/* Time without an event after which a stream counts as stalled. */
 #define STALL_TIMEOUT (75 * EL_MSEC)
-/* The same before the first event, while the prompt is read. */
+/* The same before the first event, while the prompt is processed. */
 #define FIRST_EVENT_TIMEOUT (150 * EL_MSEC)
-/* If all streams are slow, the limit is this many times the mean of this
-   host. */
+/* If all streams of this host are slow, they count as stalled only after this
+   many times their mean. */
 #define STALL_MEAN_FACTOR 2
 #define FIRST_EVENT_MEAN_FACTOR 3
 #define MEAN_WINDOW 32
-/* A timer that fires later than this was delayed with the process. */
-#define LATE_TIMER (10 * EL_MSEC)
+/* If a timer fires later than this, the process was delayed. */
+#define TIMER_DELAY_MAX (10 * EL_MSEC)
 #define WATCH_INTERVAL (100 * EL_MSEC)
-/* The interval for a stream that can't be retried now. */
-#define HELD_INTERVAL (400 * EL_MSEC)
-/* One of QUERY_PERIOD stall checks, the one at QUERY_PHASE, asks the first
-   engine where the stream is stalled; the others send health checks. */
+/* Interval until a stalled stream that may not be retried is checked again. */
+#define NO_RETRY_INTERVAL (400 * EL_MSEC)
+/* Of each QUERY_PERIOD stall checks, number QUERY_PHASE asks the first engine
+   which engine the stream waits for; the others send health checks. */
 #define QUERY_PERIOD 4
 #define QUERY_PHASE 2
 #define STALL_CHECKS_MAX 30
-/* Refused reroutes before the stream is restarted on another pipeline. */
+/* Refused reroutes before the stream is resumed on another chain. */
 #define REROUTES_MAX 3
 
 static void watch_tick (void *arg, el_time_t now);
 static void watch_move_stream (gt_relay_t *relay);
 static void watch_reroute_done (void *arg, int done, el_str_t at_fault,
-                                const rt_hints_t *asks);
+                                const rt_hints_t *hints);
 
 static el_time_t
 stall_timeout (const gt_relay_t *relay)
@@ -67,7 +67,7 @@
   relay->avoid.n = 0;
 }
 
-/* Cancels the query and releases the new pipeline. */
+/* Cancels the query or reroute in progress and releases the new chain. */
 static void
 watch_cancel_query (gt_relay_t *relay)
 {
@@ -115,7 +115,7 @@
   net_clock_set (relay->relays->options.clock, &relay->watch_timer, wait);
 }
 
-/* Tells the first engine to continue the stream over the new pipeline. */
+/* Tells the first engine to continue the stream on the new chain. */
 static void
 watch_reroute (gt_relay_t *relay)
 {
@@ -126,35 +126,36 @@
       o->client, relay->id, &relay->reroute_line, watch_reroute_done, relay);
 }
 
-/* Restarts the stream. One that may not be retried stays where it is: its
-   engine may come back, and silence is no reason to end a response that the
-   caller waits for. */
+/* Resumes the stream on another chain, for the reason WHY. A stream that may
+   not be retried stays where it is: its engine may recover, and a stall alone
+   is no reason to end a response that the caller waits for. */
 static void
 watch_restart_stream (gt_relay_t *relay, const char *why)
 {
-  int may = relay_may_resume (relay);
+  int may_resume = relay_may_resume (relay);
 
-  EL_LOG (EL_LOG_INFO, may ? "stream_begun_anew" : "stream_waits",
+  EL_LOG (EL_LOG_INFO, may_resume ? "stream_begun_anew" : "stream_waits",
           EL_FS ("request", relay->id), EL_FN ("avoided", relay->avoid.n),
           EL_FN ("events", relay->nevents), EL_FC ("reason", why));
-  if (may)
+  if (may_resume)
     {
       relay_abandon_attempt (relay);
       return;
     }
-  relay->relays->counts.held++;
+  relay->relays->counts.not_retried++;
   watch_reset (relay);
-  watch_schedule (relay, HELD_INTERVAL);
+  watch_schedule (relay, NO_RETRY_INTERVAL);
 }
 
-/* Bypasses the engine that refused its part, too. A stream that left only
-   for a slow engine, or for released layers, stays where it is. */
+/* Tries another chain that also bypasses the engine that refused. A stream
+   that was to be moved only off a slow engine, or for released layers, stays
+   where it is. */
 static void
 watch_reroute_failed (gt_relay_t *relay, el_str_t at_fault)
 {
   rt_target_t *engine = rt_chain_engine_at (&relay->reroute_line, at_fault);
 
-  /* If none is named, one of the new engines has no room. */
+  /* If none is named, one of the new engines has no capacity. */
   if (!engine)
     engine = rt_chain_fullest (&relay->reroute_line, &relay->line);
   if (relay->avoid.n == 0)
@@ -179,12 +180,12 @@
 
 static void
 watch_reroute_done (void *arg, int done, el_str_t at_fault,
-                    const rt_hints_t *asks)
+                    const rt_hints_t *hints)
 {
   gt_relay_t *relay = arg;
 
   relay->query = NULL;
-  gt_relays_asked (relay->relays, relay->target, asks, relay->id);
+  gt_relays_asked (relay->relays, relay->target, hints, relay->id);
   EL_LOG (EL_LOG_INFO, done ? "stream_moved" : "stream_not_moved",
           EL_FS ("request", relay->id), EL_FN ("events", relay->nevents),
           EL_FN ("parts", relay->reroute_line.n),
@@ -201,9 +202,9 @@
   watch_schedule (relay, WATCH_INTERVAL);
 }
 
-/* Moves the stream around the engines to avoid. A pipeline that leaves the
-   hall sends all tokens so far over the shared link between halls; reading
-   them again in another hall's own pipeline is faster. */
+/* Reroutes the stream around the engines to avoid. A chain that crosses halls
+   would send all tokens so far over the shared link between halls; processing
+   them again on a chain within another hall is faster. */
 static void
 watch_move_stream (gt_relay_t *relay)
 {
@@ -226,7 +227,7 @@
   watch_restart_stream (relay, why);
 }
 
-/** ENGINE, in the stream's pipeline, does not respond. */
+/** Moves the stream off ENGINE, in its chain, which does not respond. */
 void
 relay_watch_engine_silent (gt_relay_t *relay, rt_target_t *engine)
 {
@@ -236,13 +237,13 @@
           EL_FN ("still_us", net_clock_now (relay->relays->options.clock)
                                  - relay->last_progress));
   watch_cancel_query (relay);
-  relay_blame_run_broken (relay, engine);
+  relay_blame_run_interrupted (relay, engine);
   rt_tried_add (&relay->avoid, engine);
   watch_move_stream (relay);
 }
 
-/** ENGINE, in the stream's pipeline, is slow: moves the stream to a copy in
-    the same hall, if there is one. */
+/** Moves the stream off ENGINE, in its chain, which is slow, if the same hall
+    has a replica. */
 void
 relay_watch_engine_slow (gt_relay_t *relay, rt_target_t *engine)
 {
@@ -278,11 +279,11 @@
   return 0;
 }
 
-/** ENGINE, in the stream's pipeline, may have released layers that the
-    stream uses: it loads no others until its streams have ended or left. The
-    mean time from an order that moves a spare copy until the copy is in place
-    was 5.9 s with streams that stay to their end, and 2.5 s with this (17 and
-    18 moves). */
+/** Moves the stream off ENGINE, in its chain, if it uses layers that ENGINE
+   has released: ENGINE loads no others until the streams on these have ended
+   or moved. The mean time from an order that moves a spare replica until the
+    replica is in place was 5.9 s with streams that stay to their end, and 2.5
+   s with this (17 and 18 moves). */
 void
 relay_watch_layers_released (gt_relay_t *relay, rt_target_t *engine)
 {
@@ -301,13 +302,13 @@
 
 static void
 watch_query_done (void *arg, int answered, el_str_t address,
-                  const rt_hints_t *asks)
+                  const rt_hints_t *hints)
 {
   gt_relay_t *relay = arg;
   rt_target_t *engine = rt_chain_engine_at (&relay->line, address);
 
   relay->query = NULL;
-  gt_relays_asked (relay->relays, relay->target, asks, relay->id);
+  gt_relays_asked (relay->relays, relay->target, hints, relay->id);
   EL_LOG (EL_LOG_INFO, "stream_stands_still", EL_FS ("request", relay->id),
           EL_FN ("answered", answered), EL_FS ("engine", address),
           EL_FN ("looks", relay->stall_checks),
@@ -316,7 +317,7 @@
                                  - relay->last_progress));
   if (engine)
     {
-      /* It may be alive but out of its neighbours' reach. */
+      /* It may be alive but unreachable for its neighbors in the chain. */
       rt_target_changed (engine, net_clock_now (relay->relays->options.clock));
       rt_tried_add (&relay->avoid, engine);
       watch_move_stream (relay);
@@ -325,8 +326,7 @@
     watch_schedule (relay, WATCH_INTERVAL);
 }
 
-/* Sends health checks to the engines of the pipeline; waits longer each
-   time. */
+/* Sends health checks to the engines of the chain; waits longer each time. */
 static void
 watch_check (gt_relay_t *relay)
 {
@@ -353,10 +353,10 @@
       watch_schedule (relay, limit - stalled_for);
       return;
     }
-  if (now > relay->watch_timer.due + LATE_TIMER)
+  if (now > relay->watch_timer.due + TIMER_DELAY_MAX)
     {
       /* The process was delayed: events may be waiting to be read. */
-      watch_schedule (relay, LATE_TIMER);
+      watch_schedule (relay, TIMER_DELAY_MAX);
       return;
     }
   if (relay->query || relay->stall_checks++ >= STALL_CHECKS_MAX)
