--- a/gate/gate_relay.h
+++ b/gate/gate_relay.h
@@ -35,8 +35,8 @@
   const char *at_fault; /**< on a refusal: address of the refusing engine */
 } gt_relay_headers_t;
 
-/** Result of a stall query: ADDRESS is the engine that the stream waits for.
- */
+/** Result of a stall query: ADDRESS is the engine that the stream waits
+    for. */
 typedef void (*gt_stalled_cb) (void *arg, int answered, el_str_t address,
                                const rt_hints_t *hints);
 /** Outcome of a health check. */
--- a/gate/relay.c
+++ b/gate/relay.c
@@ -14,8 +14,8 @@
    reaches the platform. */
 #define NO_CONFIG_RETRY_AFTER (300 * EL_MSEC)
 /* Requests that arrive before the first configuration are held: a starting
-   host has it within about 200 ms. If the store does not respond, callers
-   wait no longer than this, and at most a third of their deadline. */
+   host has it within about 200 ms. If the store does not respond, callers wait
+   no longer than this, and at most a third of their deadline. */
 #define CONFIG_WAIT_MAX (1000 * EL_MSEC)
 #define CONFIG_WAIT_DIVISOR 3
 /* Retry-after of a host that is stopping; short, since other hosts serve the
@@ -266,8 +266,8 @@
   return service;
 }
 
-/** Takes a retry from the budget of RELAY's service. Returns 0 if this
-    host's share is exhausted. */
+/** Takes a retry from the budget of RELAY's service. Returns 0 if this host's
+    share is exhausted. */
 int
 relay_retry_take (gt_relay_t *relay)
 {
@@ -413,8 +413,8 @@
     relay_wait_config (relay);
 }
 
-/** Starts listening for callers. Returns NULL, with the reason in ERR, if
-    the address can't be bound. */
+/** Starts listening for callers. Returns NULL, with the reason in ERR, if the
+    address can't be bound. */
 gt_relays_t *
 gt_relays_new (const gt_relay_options_t *options, el_err_t *err)
 {
@@ -481,8 +481,8 @@
   return relays->rules;
 }
 
-/** Closes each caller's connection after its next response; requests are
-    still served. */
+/** Closes each caller's connection after its next response; requests are still
+    served. */
 void
 gt_relays_drain_connections (gt_relays_t *relays)
 {
@@ -501,8 +501,8 @@
   net_server_stop (relays->server);
 }
 
-/** Returns the number of requests whose response is not yet completely sent.
- */
+/** Returns the number of requests whose response is not yet completely
+    sent. */
 size_t
 gt_relays_running (const gt_relays_t *relays)
 {
--- a/gate/relay_attempt.c
+++ b/gate/relay_attempt.c
@@ -388,8 +388,8 @@
   relay_attempt (arg);
 }
 
-/* Retries. After a lost connection, waits until it is known whether
-   the endpoint crashed and the request is to blame. */
+/* Retries. After a lost connection, waits until it is known whether the
+   endpoint crashed and the request is to blame. */
 static void
 attempt_retry (gt_relay_t *relay, int connection_lost)
 {
@@ -444,8 +444,8 @@
          && relay_retry_left (relay);
 }
 
-/** Cancels the current attempt, counts it as possibly executed, and retries.
- */
+/** Cancels the current attempt, counts it as possibly executed, and
+    retries. */
 void
 relay_abandon_attempt (gt_relay_t *relay)
 {
--- a/gate/relay_backoff.c
+++ b/gate/relay_backoff.c
@@ -130,7 +130,7 @@
 }
 
 /** Applies the backoff and the leaving notice that TARGET sent in a response
-   to BY: a request id, or "check" or "order". */
+    to BY: a request id, or "check" or "order". */
 void
 gt_relays_asked (gt_relays_t *relays, rt_target_t *target,
                  const rt_hints_t *hints, el_str_t by)
@@ -218,7 +218,7 @@
 }
 
 /** Returns the time until an endpoint's backoff ends and it may serve RELAY,
-   or 0 if no backoff prevents that now. */
+    or 0 if no backoff prevents that now. */
 el_time_t
 relay_backoff_left (gt_relay_t *relay, el_time_t now)
 {
--- a/gate/relay_blame.c
+++ b/gate/relay_blame.c
@@ -16,8 +16,8 @@
  * - It refuses connections, and no other endpoint has responded: undecided, as
  *   this host may be cut off from the network.
  * - It does not respond: undecided, until it is no longer listed.
- * - It is no longer listed, or listed as another instance, and was not
- * leaving: it certainly crashed; decided after about three heartbeats.
+ * - It was not leaving, and is no longer listed or listed as another instance:
+ *   it certainly crashed; decided after about three heartbeats.
  * - It refused a request, was slow, or was leaving: no evidence of a crash.
  */
 #include <stdlib.h>
@@ -104,8 +104,7 @@
 
 /** Records that RELAY's run at TARGET lost its connection, or stalls because
     TARGET does not respond. It is reported if TARGET turns out to have
-   crashed.
- */
+    crashed. */
 void
 relay_blame_run_interrupted (gt_relay_t *relay, rt_target_t *target)
 {
@@ -124,9 +123,9 @@
     pending_add (relays->blame, target, &report);
 }
 
-/** Whether it is unknown, or not yet evaluated, if an endpoint crashed where
-    DIGEST's run lost its connection. An engine may close its streams a moment
-    before it stops listening. */
+/** Whether a crash is still possible, or not yet evaluated, at an endpoint
+    where DIGEST's run lost its connection. An engine may close its streams a
+    moment before it stops listening. */
 int
 relay_blame_is_pending (const gt_relays_t *relays, rt_digest_t digest)
 {
@@ -219,8 +218,8 @@
   return 0;
 }
 
-/* Picks another engine, whose answer would show that this host is not cut off.
- */
+/* Picks another engine, whose answer would show that this host is not cut
+   off. */
 static rt_target_t *
 pick_other_engine (const gt_relays_t *relays, const rt_target_t *target)
 {
@@ -315,8 +314,8 @@
 }
 
 /** Handles that TARGET is no longer listed, or listed as another instance: it
-    has crashed, unless it was leaving. All hosts learn this in the same way.
- */
+    has crashed, unless it was leaving. All hosts learn this in the same
+    way. */
 void
 gt_relays_engine_gone (gt_relays_t *relays, rt_target_t *target)
 {
@@ -348,9 +347,9 @@
 }
 
 /** Records that RELAY completed. If it was running at any crash, the
-   completion is published: a host that sees the next crash may not know that
-   the request completed elsewhere in between. All hosts give the rumor the
-   same id, so that it spreads only once. */
+    completion is published: a host that sees the next crash may not know that
+    the request completed elsewhere in between. All hosts give the rumor the
+    same id, so that it spreads only once. */
 void
 relay_blame_completed (gt_relay_t *relay)
 {
--- a/gate/relay_block.c
+++ b/gate/relay_block.c
@@ -71,7 +71,7 @@
 
 /** Blocks DIGEST, which was found to crash endpoints. The block is published,
     since some hosts do not know of every crash, and stored for hosts that
-   start later. */
+    start later. */
 void
 relay_block_add (void *arg, rt_digest_t digest,
                  const rt_blame_status_t *status)
@@ -120,7 +120,7 @@
 }
 
 /** Whether ORDER is blocked because engines crashed on the same order: no
-   other engine is sent it until an operator clears the block or it ends. */
+    other engine is sent it until an operator clears the block or it ends. */
 int
 gt_relays_order_blocked (gt_relays_t *relays, const rt_order_t *order)
 {
@@ -134,7 +134,7 @@
 }
 
 /** Records that ORDER's engine crashed while executing it. A resulting block
-   is published, so that the next planner knows of it. */
+    is published, so that the next planner knows of it. */
 void
 gt_relays_order_crashed (gt_relays_t *relays, rt_order_failures_t *failures,
                          const rt_order_t *order)
@@ -180,8 +180,8 @@
           EL_FC ("by", by));
 }
 
-/** Unblocks DIGEST on all hosts, for an operator. Returns 0 if it is unknown.
- */
+/** Unblocks DIGEST on all hosts, for an operator. Returns 0 if it is
+    unknown. */
 int
 gt_relays_unblock (gt_relays_t *relays, rt_digest_t digest)
 {
--- a/gate/relay_check.c
+++ b/gate/relay_check.c
@@ -94,7 +94,7 @@
 
 /** Processes a LOAD that ENGINE reported at AT. Streams are moved off a slow
     engine if their hall has a replica, fewer new streams are sent to it, and
-   it is checked until it has recovered. */
+    it is checked until it has recovered. */
 void
 relay_check_load (gt_relays_t *relays, rt_target_t *engine,
                   const rt_load_t *load, el_time_t at)
@@ -121,7 +121,7 @@
 }
 
 /** Handles that ENGINE now holds other layers. Streams that use layers which
-   it has released are moved, so that it need not wait until they end. */
+    it has released are moved, so that it need not wait until they end. */
 void
 gt_relays_engine_changed (gt_relays_t *relays, rt_target_t *engine)
 {
@@ -298,7 +298,7 @@
 }
 
 /** Checks ENGINE unless it was checked after SINCE or the platform has no
-   health checks. */
+    health checks. */
 void
 gt_relays_check_engine (gt_relays_t *relays, rt_target_t *engine,
                         el_time_t since)
--- a/gate/relay_head.c
+++ b/gate/relay_head.c
@@ -16,8 +16,8 @@
 /* Number of headers that this host sets, at most. */
 #define OWN_HEADERS_MAX 6
 
-/* Whether a caller's header is forwarded; those that this host sets are not.
- */
+/* Whether a caller's header is forwarded; those that this host sets are
+   not. */
 static int
 header_forwarded (const gt_relay_t *relay, el_str_t name)
 {
@@ -60,8 +60,8 @@
     }
 }
 
-/** Builds the headers of an attempt at the current target. They point into
-    the request, the target and HEAD itself. */
+/** Builds the headers of an attempt at the current target. They point into the
+    request, the target and HEAD itself. */
 void
 relay_head_build (gt_relay_t *relay, el_time_t now, relay_head_t *head)
 {
--- a/gate/relay_log.c
+++ b/gate/relay_log.c
@@ -45,7 +45,7 @@
 }
 
 /** Logs the send of an attempt, with what is known about its target and how
-   old that knowledge is. */
+    old that knowledge is. */
 void
 relay_log_sent (const gt_relay_t *relay, el_time_t now)
 {
--- a/gate/relay_poll.c
+++ b/gate/relay_poll.c
@@ -120,7 +120,7 @@
 
 /** Processes engine reports from another host. An engine that did not respond
     there is checked by this host, too: it may be unreachable for the other
-   host only. */
+    host only. */
 void
 gt_relays_receive_reports (gt_relays_t *relays, const pr_engine_report_t *news,
                            size_t n)
--- a/gate/relay_response.c
+++ b/gate/relay_response.c
@@ -58,8 +58,8 @@
   h2o_send_inline (relay->req, result->body.ptr, result->body.len);
 }
 
-/** Starts the response of a stream with the head of the endpoint's response.
- */
+/** Starts the response of a stream with the head of the endpoint's
+    response. */
 void
 relay_respond_head (gt_relay_t *relay, const net_result_t *head)
 {
@@ -129,7 +129,7 @@
 }
 
 /** Ends the response so that it is not taken for a complete one, and closes
-   the connection. Logs REASON unless it is NULL. */
+    the connection. Logs REASON unless it is NULL. */
 void
 relay_respond_abort (gt_relay_t *relay, const char *reason)
 {
--- a/gate/relay_suspect.c
+++ b/gate/relay_suspect.c
@@ -23,8 +23,8 @@
 #define TURN_WAITS_MAX 250
 
 /** Whether RELAY may be served. Returns 0 after an error response, which
-   states that the request was not executed and may be retried when the block
-   ends. */
+    states that the request was not executed and may be retried when the block
+    ends. */
 int
 relay_suspect_admit (gt_relay_t *relay)
 {
--- a/gate/relay_wait.c
+++ b/gate/relay_wait.c
@@ -26,7 +26,7 @@
 }
 
 /** Schedules another attempt, with a longer delay each time. Returns 0 if
-   RELAY is not a stream in progress that may be resumed. */
+    RELAY is not a stream in progress that may be resumed. */
 int
 relay_wait_endpoint (gt_relay_t *relay)
 {
--- a/gate/relay_watch.c
+++ b/gate/relay_watch.c
@@ -280,10 +280,10 @@
 }
 
 /** Moves the stream off ENGINE, in its chain, if it uses layers that ENGINE
-   has released: ENGINE loads no others until the streams on these have ended
-   or moved. The mean time from an order that moves a spare replica until the
+    has released: ENGINE loads no others until the streams on these have ended
+    or moved. The mean time from an order that moves a spare replica until the
     replica is in place was 5.9 s with streams that stay to their end, and 2.5
-   s with this (17 and 18 moves). */
+    s with this (17 and 18 moves). */
 void
 relay_watch_layers_released (gt_relay_t *relay, rt_target_t *engine)
 {
