--- a/gate/gate_relay.h
+++ b/gate/gate_relay.h
@@ -69,6 +69,7 @@
 {
   gt_relay_headers_t names;
   const char *priorities[GT_PRIORITIES]; /**< header values */
+  /** Writes the header value that describes a chain. */
   void (*write_line) (const rt_chain_t *line, el_buf_t *out);
   /** Reads the backoff and the leaving notice from a response head. */
   void (*read_asks) (const net_result_t *head, rt_hints_t *out);
@@ -80,7 +81,7 @@
   /** Sends a health check to an engine. The exchange can be cancelled. */
   net_exchange_t *(*check) (net_client_t *client, const rt_target_t *engine,
                             gt_check_cb done, void *arg);
-  /** Tells the first engine to move the stream ID to the chain LINE. */
+  /** Tells the first engine to move the stream ID to another chain. */
   net_exchange_t *(*reroute) (net_client_t *client, el_str_t id,
                               const rt_chain_t *line, gt_reroute_cb done,
                               void *arg);
@@ -117,9 +118,8 @@
   uint64_t turn_waits; /**< waits of suspect requests for their turn */
   uint64_t backoffs;   /**< backoffs requested by endpoints */
   uint64_t backoff_us; /**< time spent in backoff, microseconds */
-  uint64_t kept;    /**< sends cancelled: endpoint unavailable by the time the
-                       connection was made */
-  uint64_t in_rest; /**< sends to an endpoint in backoff; stays 0 */
+  uint64_t kept;       /**< not sent: endpoint unavailable once connected */
+  uint64_t in_rest;    /**< sends to an endpoint in backoff; stays 0 */
   uint64_t refused_backoff; /**< refused: all endpoints in backoff */
   uint64_t leaving; /**< endpoints found leaving by a response or by gossip */
   uint64_t events;
@@ -153,7 +153,7 @@
   /** Called when all slices have been polled: the reports may be sent to
       other hosts. */
   void (*poll_done) (void *arg);
-  uint64_t witness; /**< id of this host's incarnation in crash reports */
+  uint64_t witness; /**< identifies this host in crash reports */
   /** Publishes BODY as the rumor ID, which is gossiped for HOLD. */
   void (*tell) (void *arg, uint64_t id, el_time_t hold, el_str_t body);
   /** Called to store a block: DIGEST is blocked for the HOLDS-th time, and the
--- a/gate/relay_epoch.c
+++ b/gate/relay_epoch.c
@@ -12,8 +12,8 @@
 #include "librelay.h"
 
 /* How long a host waits for a version of the rules that is in force on another
-   host, and how long that version is gossiped: it is stored again within about
-   two seconds. */
+   host, and how long that version is gossiped: the operator stores it again
+   within about two seconds. */
 #define RULES_WAIT_MAX (5 * EL_SEC)
 #define RULES_GOSSIP_TIME (30 * EL_SEC)
 /* Limit for the endpoints published as leaving that are no longer listed. The
--- a/gate/relay_poll.c
+++ b/gate/relay_poll.c
@@ -8,8 +8,8 @@
  */
 #include "librelay.h"
 
-/* Each engine of the hall is considered once per interval; every slice of the
-   interval takes one of POLL_SLICES groups. */
+/* Each engine of the hall is considered once per interval, in one of its
+   POLL_SLICES slices. */
 #define POLL_INTERVAL (500 * EL_MSEC)
 #define POLL_SLICES 10
 /* Engines that are neither busy nor slow are polled less often, to save
--- a/gate/relay_suspect.c
+++ b/gate/relay_suspect.c
@@ -4,8 +4,9 @@
  */
 /** @file
  * Admission and routing of requests that were running where endpoints crashed.
- * A blocked request is refused. A suspect is sent to an endpoint on probation
- * for no other suspect; after several crashes it waits for such an endpoint.
+ * A blocked request is refused. A suspect is sent to an endpoint of its own;
+ * after several crashes it waits until there is one, and until the outcome at
+ * its last endpoint is known.
  */
 #include "librelay.h"
 
--- a/gate/relay_wait.c
+++ b/gate/relay_wait.c
@@ -4,8 +4,8 @@
  */
 /** @file
  * Streams that lost their endpoint and found no other to resume on. They wait
- * until their deadline or until the caller disconnects, since a caller would
- * lose what it has already received if it had to send a new request.
+ * until their deadline or until the caller disconnects: a response that the
+ * caller has partly received is worth more than a new request.
  */
 #include "librelay.h"
 
