--- a/gate/gate_relay.h
+++ b/gate/gate_relay.h
@@ -170,7 +170,7 @@
 size_t gt_relays_engine_reports (gt_relays_t *relays,
                                  pr_engine_report_t **out);
 void gt_relays_receive_reports (gt_relays_t *relays,
-                                const pr_engine_report_t *news, size_t n);
+                                const pr_engine_report_t *reports, size_t n);
 void gt_relays_engine_changed (gt_relays_t *relays, rt_target_t *engine);
 void gt_relays_engine_gone (gt_relays_t *relays, rt_target_t *target);
 void gt_relays_rumor (gt_relays_t *relays, const co_rumor_t *rumor);
--- a/gate/relay_check.c
+++ b/gate/relay_check.c
@@ -199,11 +199,11 @@
   relay_check_t *check = arg;
   const gt_relays_t *relays = check->relays;
   int delayed = now > check->timeout.due + TIMER_DELAY_MAX;
-  int peer_answered = relays->last_answered_check >= check->sent;
+  int other_answered = relays->last_answered_check >= check->sent;
 
   if (delayed
       || (now < check->sent + CHECK_TIMEOUT_MAX
-          && (!peer_answered || check->engine->last_event_at > check->sent)))
+          && (!other_answered || check->engine->last_event_at > check->sent)))
     {
       net_clock_set (relays->options.clock, &check->timeout, TIMER_DELAY_MAX);
       return;
--- a/gate/relay_poll.c
+++ b/gate/relay_poll.c
@@ -122,8 +122,8 @@
     there is checked by this host, too: it may be unreachable for the other
     host only. */
 void
-gt_relays_receive_reports (gt_relays_t *relays, const pr_engine_report_t *news,
-                           size_t n)
+gt_relays_receive_reports (gt_relays_t *relays,
+                           const pr_engine_report_t *reports, size_t n)
 {
   const gt_relay_options_t *o = &relays->options;
   el_time_t now = net_clock_now (o->clock);
@@ -131,17 +131,17 @@
 
   for (i = 0; i < n; i++)
     {
-      const rt_load_t load = { .born = news[i].born,
-                               .fill = news[i].fill,
-                               .pace = news[i].pace,
-                               .taken = news[i].taken };
-      rt_target_t *engine = rt_fleet_find (o->fleet, news[i].id);
+      const rt_load_t load = { .born = reports[i].born,
+                               .fill = reports[i].fill,
+                               .pace = reports[i].pace,
+                               .taken = reports[i].taken };
+      rt_target_t *engine = rt_fleet_find (o->fleet, reports[i].id);
 
       if (!engine)
         continue;
-      if (news[i].silent)
+      if (reports[i].silent)
         relay_check (relays, engine);
       else
-        relay_check_load (relays, engine, &load, now - news[i].age);
+        relay_check_load (relays, engine, &load, now - reports[i].age);
     }
 }
