--- a/gate/relay_head.c
+++ b/gate/relay_head.c
@@ -3,8 +3,7 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Request headers of an attempt: the caller's, and those that this host
- * sets.
+ * Request headers of an attempt: the caller's, and those that this host sets.
  */
 #include <inttypes.h>
 #include <stdio.h>
@@ -14,11 +13,11 @@
 #include "libgate.h"
 #include "librelay.h"
 
-/* Headers that this host adds. */
+/* Number of headers that this host sets, at most. */
 #define OWN_HEADERS_MAX 6
 
-/* Whether a caller's header is forwarded; those that this host sets are not.
- */
+/* Whether a caller's header is forwarded; those that this host sets are
+   not. */
 static int
 header_forwarded (const gt_relay_t *relay, el_str_t name)
 {
@@ -61,16 +60,16 @@
     }
 }
 
-/** Builds the headers of an attempt at the current target. They point into
-    the request, the target and HEAD itself. */
+/** Builds the headers of an attempt at the current target. They point into the
+    request, the target and HEAD itself. */
 void
 relay_head_build (gt_relay_t *relay, el_time_t now, relay_head_t *head)
 {
   const gt_relay_dialect_t *dialect = relay->relays->options.dialect;
-  size_t most = relay->req->headers.size + OWN_HEADERS_MAX;
+  size_t max = relay->req->headers.size + OWN_HEADERS_MAX;
 
   memset (head, 0, sizeof *head);
-  head->list = el_alloc (most * sizeof *head->list);
+  head->list = el_alloc (max * sizeof *head->list);
   head_add_forwarded (relay, head);
   snprintf (head->time_left, sizeof head->time_left, "%" PRIu64,
             (relay->deadline - now) / EL_MSEC);
