--- a/elmarchd/frontend.c
+++ b/elmarchd/frontend.c
@@ -228,7 +228,7 @@
   frontend->peers_synced = 1;
   EL_LOG (EL_LOG_INFO, "hosts_heard", EL_FN ("known", known),
           EL_FN ("us", now - frontend->started_at));
-  gt_relays_peers_heard (frontend->relays);
+  gt_relays_first_gossip_done (frontend->relays);
 }
 
 /* Withdraw this host from the entry addresses while its data is stale. A host
@@ -470,7 +470,7 @@
 {
   frontend_t *frontend = arg;
 
-  gt_relays_rumor (frontend->relays, rumor);
+  gt_relays_receive_rumor (frontend->relays, rumor);
 }
 
 static json_t *
@@ -487,7 +487,7 @@
   frontend_t *frontend = arg;
   const gt_store_counts_t *counts = &frontend->store.counts;
   pr_store_position_t at = gt_follow_position (frontend->follow);
-  json_t *json = gt_relays_closed_endpoints (frontend->relays);
+  json_t *json = gt_relays_unavailable_endpoints (frontend->relays);
 
   json_object_set_new (
       json, "store",
@@ -548,17 +548,17 @@
           .hall = o->hall,
           .key = o->key,
           .max_body = DEFAULT_BODY_MAX,
-          .repeat_ratio = o->repeat_ratio,
-          .repeat_slack = o->repeat_slack,
-          .repeat_window = o->repeat_window,
+          .retry_ratio = o->retry_ratio,
+          .retry_slack = o->retry_slack,
+          .retry_window = o->retry_window,
           .keys_limit = o->keys_limit,
           .seed = o->seed,
           .hosts = frontend_count_hosts,
           .hall_hosts = frontend_count_hall_hosts,
           .is_poller = frontend_is_poller,
           .poll_done = frontend_poll_done,
-          .witness = gt_gate_incarnation_number (frontend->gate),
-          .tell = frontend_send_rumor,
+          .host_incarnation = gt_gate_incarnation_number (frontend->gate),
+          .publish = frontend_send_rumor,
           .blocked = frontend_store_blocked,
           .arg = frontend };
 
--- a/elmarchd/frontend.h
+++ b/elmarchd/frontend.h
@@ -20,9 +20,9 @@
   el_str_t hall;
   el_str_t key; /**< shared by all hosts */
   uint64_t entry_ttl_s;
-  double repeat_ratio;
-  double repeat_slack;
-  el_time_t repeat_window;
+  double retry_ratio;
+  double retry_slack;
+  el_time_t retry_window;
   el_time_t keys_limit;
   el_time_t change_limit; /**< time within which a change of the rules must
                                be in force */
--- a/elmarchd/main.c
+++ b/elmarchd/main.c
@@ -50,9 +50,9 @@
   double capacity;
   const char *name;
   uint64_t entry_ttl_s;
-  double repeat_ratio;
-  double repeat_slack;
-  double repeat_window_s;
+  double retry_ratio;
+  double retry_slack;
+  double retry_window_s;
   double keys_limit_ms;
   double change_limit_ms;
   uint64_t lease_ms;
@@ -105,11 +105,11 @@
     "name of this host in leases" },
   { "entry-ttl-s", EL_SETTING_U64, AT (entry_ttl_s), "2", 1, 3600, 0, "S",
     "time for which callers cache entry addresses" },
-  { "repeat-ratio", EL_SETTING_DOUBLE, AT (repeat_ratio), "0.2", 0, 1000, 0,
+  { "repeat-ratio", EL_SETTING_DOUBLE, AT (retry_ratio), "0.2", 0, 1000, 0,
     "RATIO", "repeats allowed per relayed request, over all hosts" },
-  { "repeat-slack", EL_SETTING_DOUBLE, AT (repeat_slack), "20", 0, 1000000, 0,
+  { "repeat-slack", EL_SETTING_DOUBLE, AT (retry_slack), "20", 0, 1000000, 0,
     "N", "additional repeats allowed per window, over all hosts" },
-  { "repeat-window-s", EL_SETTING_DOUBLE, AT (repeat_window_s), "10", 1, 3600,
+  { "repeat-window-s", EL_SETTING_DOUBLE, AT (retry_window_s), "10", 1, 3600,
     0, "S", "window in which repeats are counted" },
   { "keys-limit-ms", EL_SETTING_DOUBLE, AT (keys_limit_ms), "5000", 0, 3600000,
     0, "MS", "refuse keys when the rules are older than this" },
@@ -239,9 +239,9 @@
     .hall = el_str (set->hall),
     .key = el_str (set->cluster_key),
     .entry_ttl_s = set->entry_ttl_s,
-    .repeat_ratio = set->repeat_ratio,
-    .repeat_slack = set->repeat_slack,
-    .repeat_window = (el_time_t)(set->repeat_window_s * EL_SEC),
+    .retry_ratio = set->retry_ratio,
+    .retry_slack = set->retry_slack,
+    .retry_window = (el_time_t)(set->retry_window_s * EL_SEC),
     .keys_limit = (el_time_t)(set->keys_limit_ms * EL_MSEC),
     .change_limit = (el_time_t)(set->change_limit_ms * EL_MSEC),
     .lease_ms = set->lease_ms,
--- a/gate/gate_relay.h
+++ b/gate/gate_relay.h
@@ -31,7 +31,7 @@
   const char *tokens; /**< prompt length and response limit, in tokens */
   const char *expected_tokens; /**< the caller's estimate of response tokens */
   const char *priority; /**< priority of the prompt among those queued */
-  const char *line;     /**< engines of the chain and their layers */
+  const char *chain;    /**< engines of the chain and their layers */
   const char *at_fault; /**< on a refusal: address of the refusing engine */
 } gt_relay_headers_t;
 
@@ -70,9 +70,9 @@
   gt_relay_headers_t names;
   const char *priorities[GT_PRIORITIES]; /**< header values */
   /** Writes the header value that describes a chain. */
-  void (*write_line) (const rt_chain_t *line, el_buf_t *out);
+  void (*write_chain) (const rt_chain_t *chain, el_buf_t *out);
   /** Reads the backoff and the leaving notice from a response head. */
-  void (*read_asks) (const net_result_t *head, rt_hints_t *out);
+  void (*read_hints) (const net_result_t *head, rt_hints_t *out);
   /** Asks the first engine of a chain which engine the stream ID is
       waiting for. The exchange can be cancelled. */
   net_exchange_t *(*query_stalled) (net_client_t *client,
@@ -83,7 +83,7 @@
                             gt_check_cb done, void *arg);
   /** Tells the first engine to move the stream ID to another chain. */
   net_exchange_t *(*reroute) (net_client_t *client, el_str_t id,
-                              const rt_chain_t *line, gt_reroute_cb done,
+                              const rt_chain_t *chain, gt_reroute_cb done,
                               void *arg);
 } gt_relay_dialect_t;
 
@@ -101,7 +101,7 @@
   uint64_t aborted;      /**< streams aborted before their end */
   uint64_t disconnected; /**< callers that disconnected */
   uint64_t attempts;
-  uint64_t repeats;     /**< attempts after a request's first */
+  uint64_t retries;     /**< attempts after a request's first */
   uint64_t resumed;     /**< streams resumed on another chain */
   uint64_t rerouted;    /**< streams moved to another chain without a retry */
   uint64_t not_retried; /**< stalled streams that may not be retried */
@@ -118,8 +118,8 @@
   uint64_t turn_waits; /**< waits of suspect requests for their turn */
   uint64_t backoffs;   /**< backoffs requested by endpoints */
   uint64_t backoff_us; /**< time spent in backoff, microseconds */
-  uint64_t kept;       /**< not sent: endpoint unavailable once connected */
-  uint64_t in_rest;    /**< sends to an endpoint in backoff; stays 0 */
+  uint64_t withheld;   /**< not sent: endpoint unavailable once connected */
+  uint64_t sent_in_backoff; /**< sends to an endpoint in backoff; stays 0 */
   uint64_t refused_backoff; /**< refused: all endpoints in backoff */
   uint64_t leaving; /**< endpoints found leaving by a response or by gossip */
   uint64_t events;
@@ -138,11 +138,11 @@
   el_str_t hall;
   el_str_t key; /**< cluster key */
   size_t max_body;
-  double repeat_ratio;     /**< retries per request, over all hosts */
-  double repeat_slack;     /**< retries allowed in addition */
-  el_time_t repeat_window; /**< requests are counted over this time */
-  el_time_t keys_limit;    /**< keys are refused if the configuration was last
-                              known to be current longer ago; 0: no limit */
+  double retry_ratio;     /**< retries per request, over all hosts */
+  double retry_slack;     /**< retries allowed in addition */
+  el_time_t retry_window; /**< requests are counted over this time */
+  el_time_t keys_limit;   /**< keys are refused if the configuration was last
+                             known to be current longer ago; 0: no limit */
   uint64_t seed;
   /** Returns the number of live hosts, this one included. */
   size_t (*hosts) (void *arg);
@@ -153,9 +153,9 @@
   /** Called when all slices have been polled: the reports may be sent to
       other hosts. */
   void (*poll_done) (void *arg);
-  uint64_t witness; /**< identifies this host in crash reports */
+  uint64_t host_incarnation; /**< identifies this host in crash reports */
   /** Publishes BODY as the rumor ID, which is gossiped for HOLD. */
-  void (*tell) (void *arg, uint64_t id, el_time_t hold, el_str_t body);
+  void (*publish) (void *arg, uint64_t id, el_time_t hold, el_str_t body);
   /** Called to store a block: DIGEST is blocked for the HOLDS-th time, and the
       block ends after LEFT. */
   void (*blocked) (void *arg, rt_digest_t digest, unsigned holds,
@@ -173,7 +173,7 @@
                                 const pr_engine_report_t *reports, size_t n);
 void gt_relays_engine_changed (gt_relays_t *relays, rt_target_t *engine);
 void gt_relays_engine_gone (gt_relays_t *relays, rt_target_t *target);
-void gt_relays_rumor (gt_relays_t *relays, const co_rumor_t *rumor);
+void gt_relays_receive_rumor (gt_relays_t *relays, const co_rumor_t *rumor);
 void gt_relays_block (gt_relays_t *relays, rt_digest_t digest, unsigned holds);
 void gt_relays_check_engine (gt_relays_t *relays, rt_target_t *engine,
                              el_time_t since);
@@ -186,10 +186,10 @@
                            const rt_order_t *order);
 int gt_relays_unblock (gt_relays_t *relays, rt_digest_t digest);
 json_t *gt_relays_suspects (gt_relays_t *relays);
-json_t *gt_relays_closed_endpoints (gt_relays_t *relays);
-void gt_relays_asked (gt_relays_t *relays, rt_target_t *target,
-                      const rt_hints_t *hints, el_str_t by);
-void gt_relays_peers_heard (gt_relays_t *relays);
+json_t *gt_relays_unavailable_endpoints (gt_relays_t *relays);
+void gt_relays_apply_hints (gt_relays_t *relays, rt_target_t *target,
+                            const rt_hints_t *hints, el_str_t by);
+void gt_relays_first_gossip_done (gt_relays_t *relays);
 void gt_relays_store_epoch_began (gt_relays_t *relays);
 void gt_relays_persist_blocked (gt_relays_t *relays);
 int gt_relays_rules_outdated (const gt_relays_t *relays);
--- a/gate/librelay.h
+++ b/gate/librelay.h
@@ -79,7 +79,7 @@
   /* Current attempt. */
   net_exchange_t *exchange;
   rt_target_t *target; /* the endpoint, or the first engine of the chain */
-  rt_chain_t line;
+  rt_chain_t chain;
   el_time_t sent;
   el_time_t head_at; /* response head received: the request is executing; 0: no
                       head yet */
@@ -117,9 +117,9 @@
   net_exchange_t *query;   /* stall query or reroute in progress */
   el_time_t last_progress; /* time of the last event, or of the send */
   unsigned stall_checks;
-  unsigned reroutes;       /* refused reroutes since the last event */
-  rt_tried_t avoid;        /* engines that a reroute has to bypass */
-  rt_chain_t reroute_line; /* new chain while a reroute is in progress */
+  unsigned reroutes;        /* refused reroutes since the last event */
+  rt_tried_t avoid;         /* engines that a reroute has to bypass */
+  rt_chain_t reroute_chain; /* new chain while a reroute is in progress */
 
   gt_relay_t *prev;
   gt_relay_t *next;
@@ -139,7 +139,7 @@
   size_t n;
   char time_left[RELAY_NUMBER_MAX];
   char resume[RELAY_NUMBER_MAX];
-  el_buf_t line;
+  el_buf_t chain;
 } relay_head_t;
 
 void relay_head_build (gt_relay_t *relay, el_time_t now, relay_head_t *head);
--- a/gate/planner.c
+++ b/gate/planner.c
@@ -77,8 +77,8 @@
   planner_order_t *order = arg;
 
   order->in_flight = 0;
-  gt_relays_asked (order->planner->options.relays, order->order.target, hints,
-                   EL_STR ("order"));
+  gt_relays_apply_hints (order->planner->options.relays, order->order.target,
+                         hints, EL_STR ("order"));
   EL_LOG (EL_LOG_INFO, "order_answered",
           EL_FS ("engine", order->order.target->attrs.id),
           EL_FN ("first", order->order.first), EL_FN ("end", order->order.end),
--- a/gate/relay.c
+++ b/gate/relay.c
@@ -258,9 +258,9 @@
     return service;
   service = el_alloc (sizeof *service);
   service->name = (char *)(uintptr_t)el_str_dup (name).ptr;
-  rt_shared_budget_init (&service->retry_budget, relays->options.repeat_ratio,
-                         relays->options.repeat_slack,
-                         relays->options.repeat_window, relays->started_at);
+  rt_shared_budget_init (&service->retry_budget, relays->options.retry_ratio,
+                         relays->options.retry_slack,
+                         relays->options.retry_window, relays->started_at);
   HASH_ADD_KEYPTR (hh, relays->services, service->name, (unsigned)name.len,
                    service);
   return service;
@@ -466,7 +466,7 @@
 /** Records that the first gossip exchange completed, or that there are no
     other hosts. */
 void
-gt_relays_peers_heard (gt_relays_t *relays)
+gt_relays_first_gossip_done (gt_relays_t *relays)
 {
   if (relays->first_gossip_at)
     return;
--- a/gate/relay_attempt.c
+++ b/gate/relay_attempt.c
@@ -39,7 +39,7 @@
 static void
 attempt_release (gt_relay_t *relay)
 {
-  rt_chain_release (&relay->line);
+  rt_chain_release (&relay->chain);
   if (relay->target)
     {
       relay->target->running--;
@@ -97,10 +97,10 @@
                             .tried = &relay->tried,
                             .first = first };
 
-  if (rt_chain_pick (o->fleet, now, &want, &relay->line))
+  if (rt_chain_pick (o->fleet, now, &want, &relay->chain))
     return 1;
   want.first = NULL;
-  return first && rt_chain_pick (o->fleet, now, &want, &relay->line);
+  return first && rt_chain_pick (o->fleet, now, &want, &relay->chain);
 }
 
 /* Picks the target of the next attempt. Returns 0 if there is none. */
@@ -119,11 +119,11 @@
                                          o->hall, &relay->tried);
   else if (attempt_pick_chain (relay, isolated, now))
     {
-      rt_chain_acquire (&relay->line, NULL,
+      rt_chain_acquire (&relay->chain, NULL,
                         relay->nevents ? relay->tokens : relay->prompt);
       if (relay->attempts.sent == 0)
         rt_fleet_stream_sent (o->fleet, now, relay->tokens);
-      relay->target = relay->line.part[0].target;
+      relay->target = relay->chain.part[0].target;
     }
   if (!relay->target)
     return 0;
@@ -162,7 +162,7 @@
     return; /* already forwarded by an earlier attempt */
   now = net_clock_now (relays->options.clock);
   relay_blame_target_alive (relays, relay->target);
-  rt_chain_progress (&relay->line, now);
+  rt_chain_progress (&relay->chain, now);
   relay_watch_event (relay, now - relay->last_progress);
   record_event_time (relay, now);
   relay->last_event = now;
@@ -221,7 +221,7 @@
   const gt_relay_headers_t *names = &relay->relays->options.dialect->names;
   el_str_t address = net_result_header (result, names->at_fault);
   rt_target_t *named
-      = address.len ? rt_chain_engine_at (&relay->line, address) : NULL;
+      = address.len ? rt_chain_engine_at (&relay->chain, address) : NULL;
 
   return named ? named : relay->target;
 }
@@ -279,7 +279,7 @@
     rt_target_busy (fault, now);
   else
     rt_target_failed (fault, now);
-  if (relay->line.n && !attempt->answered && !relay->hints.rest)
+  if (relay->chain.n && !attempt->answered && !relay->hints.rest)
     relay_check (relay->relays, fault);
   rt_tried_add (&relay->tried, fault);
 }
@@ -301,7 +301,7 @@
   if (result->net != NET_CONNECTION_LOST || attempt->verdict == EL_NOT_RUN)
     return;
   relay_blame_run_interrupted (relay, relay->target);
-  if (relay->line.n)
+  if (relay->chain.n)
     relay_check_unless_recent (relays, relay->target,
                                net_clock_now (relays->options.clock)
                                    - CHECK_INTERVAL_MIN);
@@ -312,7 +312,7 @@
 static void
 attempt_not_sent (gt_relay_t *relay)
 {
-  relay->relays->counts.kept++;
+  relay->relays->counts.withheld++;
   EL_LOG (EL_LOG_INFO, "kept_back", EL_FS ("request", relay->id),
           EL_FS ("endpoint", relay->target->attrs.id));
   attempt_release (relay);
@@ -395,7 +395,7 @@
 {
   gt_relay_counts_t *counts = &relay->relays->counts;
 
-  counts->repeats++;
+  counts->retries++;
   counts->resumed += relay->response_started != 0;
   relay->retry_timer.cb = retry_due;
   relay->retry_timer.arg = relay;
@@ -493,7 +493,7 @@
   relay_backoff_sent (relay, now);
   relay->exchange = net_client_send (o->client, &send);
   relay_head_free (&head);
-  if (relay->line.n)
+  if (relay->chain.n)
     relay_watch_start (relay);
 }
 
--- a/gate/relay_backoff.c
+++ b/gate/relay_backoff.c
@@ -132,8 +132,8 @@
 /** Applies the backoff and the leaving notice that TARGET sent in a response
     to BY: a request id, or "check" or "order". */
 void
-gt_relays_asked (gt_relays_t *relays, rt_target_t *target,
-                 const rt_hints_t *hints, el_str_t by)
+gt_relays_apply_hints (gt_relays_t *relays, rt_target_t *target,
+                       const rt_hints_t *hints, el_str_t by)
 {
   if (hints->leaves)
     leaving_learned (relays, target, by);
@@ -151,11 +151,13 @@
 {
   rt_target_t *fault = relay_fault_target (relay, head);
 
-  relay->relays->options.dialect->read_asks (head, &relay->hints);
-  gt_relays_asked (relay->relays, relay->target, &relay->hints, relay->id);
+  relay->relays->options.dialect->read_hints (head, &relay->hints);
+  gt_relays_apply_hints (relay->relays, relay->target, &relay->hints,
+                         relay->id);
   if (fault != relay->target)
-    gt_relays_asked (relay->relays, fault,
-                     &(rt_hints_t){ .rest = relay->hints.rest }, relay->id);
+    gt_relays_apply_hints (relay->relays, fault,
+                           &(rt_hints_t){ .rest = relay->hints.rest },
+                           relay->id);
 }
 
 /* Calls EACH for the endpoints that RELAY is sent to: the target, or all
@@ -167,16 +169,16 @@
 {
   size_t i;
 
-  if (!relay->line.n)
+  if (!relay->chain.n)
     each (relay, relay->target, now);
-  for (i = 0; i < relay->line.n; i++)
-    each (relay, relay->line.part[i].target, now);
+  for (i = 0; i < relay->chain.n; i++)
+    each (relay, relay->chain.part[i].target, now);
 }
 
 static void
 sent_to (gt_relay_t *relay, rt_target_t *target, el_time_t now)
 {
-  relay->relays->counts.in_rest
+  relay->relays->counts.sent_in_backoff
       += rt_avail_backoff_left (&target->avail, now) > 0;
   rt_avail_sent (&target->avail, now);
 }
@@ -195,8 +197,8 @@
 {
   size_t i;
 
-  for (i = 0; i < relay->line.n; i++)
-    if (rt_avail_level_at (&relay->line.part[i].target->avail, now)
+  for (i = 0; i < relay->chain.n; i++)
+    if (rt_avail_level_at (&relay->chain.part[i].target->avail, now)
         == RT_AVAIL_NONE)
       return 0;
   return rt_avail_level_at (&relay->target->avail, now) != RT_AVAIL_NONE;
@@ -241,7 +243,7 @@
 /** Returns the endpoints that are unavailable to new requests, and the total
     backoff of each service, as JSON. */
 json_t *
-gt_relays_closed_endpoints (gt_relays_t *relays)
+gt_relays_unavailable_endpoints (gt_relays_t *relays)
 {
   el_time_t now = net_clock_now (relays->options.clock);
   json_t *list = json_array ();
--- a/gate/relay_blame.c
+++ b/gate/relay_blame.c
@@ -114,7 +114,7 @@
       = { .instance = rt_target_instance (target),
           .digest = relay_digest (relay),
           .customer = customer_key (relay),
-          .host = relays->options.witness,
+          .host = relays->options.host_incarnation,
           .at = now,
           .ran = now - (relay->head_at ? relay->head_at : relay->sent),
           .first = target == relay->target };
@@ -241,7 +241,7 @@
 {
   const rt_crash_report_t report
       = { .instance = rt_target_instance (target),
-          .host = relays->options.witness,
+          .host = relays->options.host_incarnation,
           .at = net_clock_now (relays->options.clock) };
 
   if (rt_blame_needs_witness (relays->blame->table, &report.instance,
@@ -390,7 +390,8 @@
 
   if (target && target->attrs.born == instance->born && o->dialect->check
       && target->attrs.end > target->attrs.first
-      && rt_blame_needs_witness (relays->blame->table, instance, o->witness)
+      && rt_blame_needs_witness (relays->blame->table, instance,
+                                 o->host_incarnation)
       && el_random (&relays->random) % o->hosts (o->arg) < EXTRA_CHECKERS)
     relay_check_unless_recent (relays, target,
                                net_clock_now (o->clock) - CHECK_INTERVAL_MIN);
--- a/gate/relay_check.c
+++ b/gate/relay_check.c
@@ -73,7 +73,7 @@
   gt_relay_t *next;
 
   DL_FOREACH_SAFE (relays->running, relay, next)
-  if (!relay->ended && relay->exchange && rt_chain_has (&relay->line, engine))
+  if (!relay->ended && relay->exchange && rt_chain_has (&relay->chain, engine))
     each (relay, engine);
 }
 
@@ -155,7 +155,7 @@
 
   check->request = NULL;
   net_clock_cancel (relays->options.clock, &check->timeout);
-  gt_relays_asked (relays, engine, hints, EL_STR ("check"));
+  gt_relays_apply_hints (relays, engine, hints, EL_STR ("check"));
   engine->asked = 0;
   engine->avail.silent = !answered;
   if (result == GT_CHECK_REFUSED && !engine->refused_at)
--- a/gate/relay_head.c
+++ b/gate/relay_head.c
@@ -23,7 +23,7 @@
 {
   const gt_relay_headers_t *names = &relay->relays->options.dialect->names;
   const char *own[] = { names->time_left, names->expect, names->customer,
-                        names->priority, names->line };
+                        names->priority, names->chain };
   size_t i;
 
   for (i = 0; i < sizeof own / sizeof *own; i++)
@@ -82,14 +82,14 @@
                 relay->last_event_id);
       head_add (head, dialect->names.resume, el_str (head->resume));
     }
-  if (relay->line.n)
+  if (relay->chain.n)
     {
       head_add (
           head, dialect->names.priority,
           el_str (dialect->priorities[relay->nevents ? GT_PRIORITY_ACTIVE
                                                      : GT_PRIORITY_NEW]));
-      dialect->write_line (&relay->line, &head->line);
-      head_add (head, dialect->names.line, el_buf_str (&head->line));
+      dialect->write_chain (&relay->chain, &head->chain);
+      head_add (head, dialect->names.chain, el_buf_str (&head->chain));
     }
 }
 
@@ -98,5 +98,5 @@
 relay_head_free (relay_head_t *head)
 {
   free (head->list);
-  el_buf_free (&head->line);
+  el_buf_free (&head->chain);
 }
--- a/gate/relay_log.c
+++ b/gate/relay_log.c
@@ -29,19 +29,20 @@
   el_time_t now = net_clock_now (relay->relays->options.clock);
   const rt_target_t *target = relay->target;
 
-  EL_LOG (
-      EL_LOG_INFO, event, EL_FS ("request", relay->id),
-      EL_FS ("rule", relay->rule ? relay->rule->name : el_str ("-")),
-      EL_FS ("customer", relay->customer),
-      EL_FS ("endpoint", target ? target->attrs.id : el_str ("-")),
-      EL_FN ("parts", relay->line.n), EL_FN ("attempts", relay->attempts.sent),
-      EL_FN ("may_have_run", relay->attempts.may_run),
-      EL_FN ("status", status), EL_FC ("reason", reason),
-      EL_FN ("events", relay->nevents), EL_FN ("first_us", relay->first_event),
-      EL_FN ("longest_gap_us", relay->longest_gap),
-      EL_FN ("config", relay->rules ? relay->rules->version : 0),
-      EL_FN ("config_age_us", now - relay->relays->rules_as_of),
-      EL_FN ("us", now - relay->received));
+  EL_LOG (EL_LOG_INFO, event, EL_FS ("request", relay->id),
+          EL_FS ("rule", relay->rule ? relay->rule->name : el_str ("-")),
+          EL_FS ("customer", relay->customer),
+          EL_FS ("endpoint", target ? target->attrs.id : el_str ("-")),
+          EL_FN ("parts", relay->chain.n),
+          EL_FN ("attempts", relay->attempts.sent),
+          EL_FN ("may_have_run", relay->attempts.may_run),
+          EL_FN ("status", status), EL_FC ("reason", reason),
+          EL_FN ("events", relay->nevents),
+          EL_FN ("first_us", relay->first_event),
+          EL_FN ("longest_gap_us", relay->longest_gap),
+          EL_FN ("config", relay->rules ? relay->rules->version : 0),
+          EL_FN ("config_age_us", now - relay->relays->rules_as_of),
+          EL_FN ("us", now - relay->received));
 }
 
 /** Logs the send of an attempt, with what is known about its target and how
@@ -54,7 +55,7 @@
           EL_FS ("endpoint", target->attrs.id),
           EL_FN ("born", target->attrs.born),
           EL_FN ("attempt", relay->attempts.sent + 1),
-          EL_FN ("parts", relay->line.n),
+          EL_FN ("parts", relay->chain.n),
           EL_FC ("against",
                  rt_unavail_name (rt_avail_reason_at (&target->avail, now))),
           EL_FN ("rest_left_us", rt_avail_backoff_left (&target->avail, now)),
@@ -75,10 +76,10 @@
   const gt_relay_dialect_t *dialect = relay->relays->options.dialect;
   el_time_t now = net_clock_now (relay->relays->options.clock);
   char digest[RT_DIGEST_HEX + 1];
-  el_buf_t line = { NULL, 0, 0 };
+  el_buf_t chain = { NULL, 0, 0 };
 
   rt_digest_hex (relay_digest (relay), digest);
-  dialect->write_line (&relay->line, &line);
+  dialect->write_chain (&relay->chain, &chain);
   EL_LOG (EL_LOG_INFO, "attempt_failed", EL_FS ("request", relay->id),
           EL_FC ("digest", digest),
           EL_FS ("endpoint", relay->target->attrs.id),
@@ -94,6 +95,6 @@
           EL_FC ("next", next_names[next]),
           EL_FS ("fault", net_result_header (result, dialect->names.at_fault)),
           EL_FN ("rest_asked_us", relay->hints.rest),
-          EL_FS ("line", el_buf_str (&line)));
-  el_buf_free (&line);
+          EL_FS ("line", el_buf_str (&chain)));
+  el_buf_free (&chain);
 }
--- a/gate/relay_rumor.c
+++ b/gate/relay_rumor.c
@@ -28,16 +28,16 @@
 {
   el_buf_t body = { NULL, 0, 0 };
 
-  if (!relays->options.tell)
+  if (!relays->options.publish)
     return;
   relay_fact_encode (fact, &body);
-  relays->options.tell (relays->options.arg, id, hold, el_buf_str (&body));
+  relays->options.publish (relays->options.arg, id, hold, el_buf_str (&body));
   el_buf_free (&body);
 }
 
 /** Handles a rumor from another host. */
 void
-gt_relays_rumor (gt_relays_t *relays, const co_rumor_t *rumor)
+gt_relays_receive_rumor (gt_relays_t *relays, const co_rumor_t *rumor)
 {
   relay_fact_t fact;
 
--- a/gate/relay_watch.c
+++ b/gate/relay_watch.c
@@ -74,7 +74,7 @@
   if (relay->query)
     net_client_cancel (relay->query);
   relay->query = NULL;
-  rt_chain_release (&relay->reroute_line);
+  rt_chain_release (&relay->reroute_chain);
 }
 
 /** Starts watching a stream that was just sent. */
@@ -121,9 +121,9 @@
 {
   const gt_relay_options_t *o = &relay->relays->options;
 
-  rt_chain_acquire (&relay->reroute_line, &relay->line, relay->tokens);
+  rt_chain_acquire (&relay->reroute_chain, &relay->chain, relay->tokens);
   relay->query = o->dialect->reroute (
-      o->client, relay->id, &relay->reroute_line, watch_reroute_done, relay);
+      o->client, relay->id, &relay->reroute_chain, watch_reroute_done, relay);
 }
 
 /* Resumes the stream on another chain, for the reason WHY. A stream that may
@@ -153,14 +153,14 @@
 static void
 watch_reroute_failed (gt_relay_t *relay, el_str_t at_fault)
 {
-  rt_target_t *engine = rt_chain_engine_at (&relay->reroute_line, at_fault);
+  rt_target_t *engine = rt_chain_engine_at (&relay->reroute_chain, at_fault);
 
   /* If none is named, one of the new engines has no capacity. */
   if (!engine)
-    engine = rt_chain_fullest (&relay->reroute_line, &relay->line);
+    engine = rt_chain_fullest (&relay->reroute_chain, &relay->chain);
   if (relay->avoid.n == 0)
     {
-      rt_chain_release (&relay->reroute_line);
+      rt_chain_release (&relay->reroute_chain);
       watch_schedule (relay, WATCH_INTERVAL);
       return;
     }
@@ -171,7 +171,7 @@
       if (at_fault.len)
         relay_check (relay->relays, engine);
     }
-  rt_chain_release (&relay->reroute_line);
+  rt_chain_release (&relay->reroute_chain);
   if (++relay->reroutes >= REROUTES_MAX)
     watch_restart_stream (relay, "reroutes refused");
   else
@@ -185,10 +185,10 @@
   gt_relay_t *relay = arg;
 
   relay->query = NULL;
-  gt_relays_asked (relay->relays, relay->target, hints, relay->id);
+  gt_relays_apply_hints (relay->relays, relay->target, hints, relay->id);
   EL_LOG (EL_LOG_INFO, done ? "stream_moved" : "stream_not_moved",
           EL_FS ("request", relay->id), EL_FN ("events", relay->nevents),
-          EL_FN ("parts", relay->reroute_line.n),
+          EL_FN ("parts", relay->reroute_chain.n),
           EL_FN ("moves", relay->reroutes), EL_FS ("fault", at_fault));
   if (!done)
     {
@@ -196,9 +196,9 @@
       return;
     }
   relay->relays->counts.rerouted++;
-  rt_chain_release (&relay->line);
-  relay->line = relay->reroute_line;
-  relay->reroute_line.n = 0;
+  rt_chain_release (&relay->chain);
+  relay->chain = relay->reroute_chain;
+  relay->reroute_chain.n = 0;
   watch_schedule (relay, WATCH_INTERVAL);
 }
 
@@ -215,15 +215,16 @@
     {
       why = "no line around the engine in its hall";
       if (rt_chain_reroute (o->fleet, net_clock_now (o->clock), relay->service,
-                            &relay->line, &relay->avoid, &relay->reroute_line)
-          && !(rt_chain_crosses_halls (&relay->reroute_line)
+                            &relay->chain, &relay->avoid,
+                            &relay->reroute_chain)
+          && !(rt_chain_crosses_halls (&relay->reroute_chain)
                && relay_may_resume (relay)))
         {
           watch_reroute (relay);
           return;
         }
     }
-  relay->reroute_line.n = 0;
+  relay->reroute_chain.n = 0;
   watch_restart_stream (relay, why);
 }
 
@@ -254,11 +255,11 @@
   if (relay->query)
     return;
   if (rt_chain_reroute (o->fleet, net_clock_now (o->clock), relay->service,
-                        &relay->line, &tried, &relay->reroute_line)
-      && !rt_chain_crosses_halls (&relay->reroute_line))
+                        &relay->chain, &tried, &relay->reroute_chain)
+      && !rt_chain_crosses_halls (&relay->reroute_chain))
     watch_reroute (relay);
   else
-    relay->reroute_line.n = 0;
+    relay->reroute_chain.n = 0;
 }
 
 /* Whether the stream uses layers of ENGINE that it no longer holds. */
@@ -267,9 +268,9 @@
 {
   size_t i;
 
-  for (i = 0; i < relay->line.n; i++)
+  for (i = 0; i < relay->chain.n; i++)
     {
-      const struct rt_chain_part *part = &relay->line.part[i];
+      const struct rt_chain_part *part = &relay->chain.part[i];
 
       if (part->target == engine
           && (part->from < engine->attrs.first
@@ -294,10 +295,10 @@
     return;
   rt_tried_add (&tried, engine);
   if (rt_chain_reroute (o->fleet, net_clock_now (o->clock), relay->service,
-                        &relay->line, &tried, &relay->reroute_line))
+                        &relay->chain, &tried, &relay->reroute_chain))
     watch_reroute (relay);
   else
-    relay->reroute_line.n = 0;
+    relay->reroute_chain.n = 0;
 }
 
 static void
@@ -305,10 +306,10 @@
                   const rt_hints_t *hints)
 {
   gt_relay_t *relay = arg;
-  rt_target_t *engine = rt_chain_engine_at (&relay->line, address);
+  rt_target_t *engine = rt_chain_engine_at (&relay->chain, address);
 
   relay->query = NULL;
-  gt_relays_asked (relay->relays, relay->target, hints, relay->id);
+  gt_relays_apply_hints (relay->relays, relay->target, hints, relay->id);
   EL_LOG (EL_LOG_INFO, "stream_stands_still", EL_FS ("request", relay->id),
           EL_FN ("answered", answered), EL_FS ("engine", address),
           EL_FN ("looks", relay->stall_checks),
@@ -334,8 +335,8 @@
                                                           : QUERY_PERIOD;
   size_t i;
 
-  for (i = 0; i < relay->line.n; i++)
-    relay_check (relay->relays, relay->line.part[i].target);
+  for (i = 0; i < relay->chain.n; i++)
+    relay_check (relay->relays, relay->chain.part[i].target);
   watch_schedule (relay, WATCH_INTERVAL << doublings);
 }
 
--- a/tests/t_check.c
+++ b/tests/t_check.c
@@ -211,10 +211,10 @@
   engines[1].engine->attrs.first = 4;
   replica.engine->attrs.first = 4;
   relay.target = engines[0].engine;
-  relay.line.part[0] = (struct rt_chain_part){ engines[0].engine, 0, 4, 0 };
-  relay.line.part[1] = (struct rt_chain_part){ engines[1].engine, 4, 8, 0 };
-  relay.line.n = 2;
-  rt_chain_acquire (&relay.line, NULL, 0);
+  relay.chain.part[0] = (struct rt_chain_part){ engines[0].engine, 0, 4, 0 };
+  relay.chain.part[1] = (struct rt_chain_part){ engines[1].engine, 4, 8, 0 };
+  relay.chain.n = 2;
+  rt_chain_acquire (&relay.chain, NULL, 0);
   DL_APPEND (relays.running, &relay);
   gt_relays_engine_changed (&relays, engines[1].engine);
   ck_assert_ptr_null (relay.query);
@@ -223,11 +223,11 @@
   gt_relays_engine_changed (&relays, engines[1].engine);
   while (relay.query)
     run_loop (EL_MSEC);
-  ck_assert_uint_eq (relay.line.n, 2);
-  ck_assert_ptr_eq (relay.line.part[1].target, replica.engine);
+  ck_assert_uint_eq (relay.chain.n, 2);
+  ck_assert_ptr_eq (relay.chain.part[1].target, replica.engine);
   ck_assert_uint_eq (engines[1].engine->chains, 0);
   net_clock_cancel (&test_clock, &relay.watch_timer);
-  rt_chain_release (&relay.line);
+  rt_chain_release (&relay.chain);
   DL_DELETE (relays.running, &relay);
 }
 END_TEST
--- a/tests/t_connect.c
+++ b/tests/t_connect.c
@@ -107,8 +107,8 @@
                                  .hall = EL_STR ("h"),
                                  .key = EL_STR ("a key"),
                                  .max_body = 1024,
-                                 .repeat_ratio = 1,
-                                 .repeat_window = 10 * EL_SEC,
+                                 .retry_ratio = 1,
+                                 .retry_window = 10 * EL_SEC,
                                  .hosts = one_host,
                                  .hall_hosts = one_host,
                                  .is_poller = never_poller };
@@ -122,7 +122,7 @@
   relays = gt_relays_new (&options, &err);
   ck_assert_ptr_nonnull (relays);
   gt_relays_set_rules_as_of (relays, net_clock_now (&test_clock));
-  gt_relays_peers_heard (relays);
+  gt_relays_first_gossip_done (relays);
   gt_relays_set_rules (relays, pf_rules_read (el_str (rules_text), &err));
 }
 
@@ -193,7 +193,7 @@
   static const rt_hints_t asks[]
       = { { .rest = 60 * EL_SEC }, { .leaves = 1 }, { 0 } };
 
-  gt_relays_asked (relays, target, &asks[reason], EL_STR ("test"));
+  gt_relays_apply_hints (relays, target, &asks[reason], EL_STR ("test"));
   if (reason == 2)
     rt_fleet_remove (relays->options.fleet, target->attrs.id);
 }
@@ -215,9 +215,9 @@
   ck_assert_int_eq (answer.status, 200);
   ck_assert_uint_eq (endpoints[closed].requests, 0);
   ck_assert_uint_eq (endpoints[1 - closed].requests, 1);
-  ck_assert_uint_eq (relays->counts.kept, 1);
-  ck_assert_uint_eq (relays->counts.repeats, 0);
-  ck_assert_uint_eq (relays->counts.in_rest, 0);
+  ck_assert_uint_eq (relays->counts.withheld, 1);
+  ck_assert_uint_eq (relays->counts.retries, 0);
+  ck_assert_uint_eq (relays->counts.sent_in_backoff, 0);
 }
 END_TEST
 
@@ -233,7 +233,7 @@
   ck_assert_str_eq (answer.body,
                     _i == 0 ? "all endpoints rest" : "no endpoint");
   ck_assert_uint_eq (endpoints[0].requests, 0);
-  ck_assert_uint_eq (relays->counts.kept, 1);
+  ck_assert_uint_eq (relays->counts.withheld, 1);
 }
 END_TEST
 
