--- a/tests/blame_sim.c
+++ b/tests/blame_sim.c
@@ -23,7 +23,8 @@
 #define CRASH_DELAY_MIN (30 * EL_MSEC)
 #define CRASH_DELAY_JITTER (90 * EL_MSEC)
 #define RESTART_TIME (8 * EL_SEC)
-/* Sends of a culprit count as late from this long after this many crashes. */
+/* A send of a culprit counts as late if it follows the crash with this number
+   by more than this time. */
 #define LATE_AFTER (3 * EL_SEC)
 #define LATE_CRASHES 3
 #define REPORT_DELAY (20 * EL_MSEC)
@@ -62,7 +63,7 @@
   unsigned sends;
   unsigned retries;
   int waiting;       /* to be sent at AT */
-  int resubmitted;   /* its caller has already repeated it */
+  int resubmitted;   /* by its caller, which does so once */
   el_time_t at;      /* when it was or will be sent */
   el_time_t ends_at; /* when it completes or crashes its engine */
   struct sim_stream *prev;
@@ -103,9 +104,9 @@
 }
 
 static el_time_t
-sim_jitter (sim_t *sim, el_time_t least, el_time_t spread)
+sim_jitter (sim_t *sim, el_time_t min, el_time_t spread)
 {
-  return least + (el_time_t)(sim_random (sim) * (double)spread);
+  return min + (el_time_t)(sim_random (sim) * (double)spread);
 }
 
 static rt_blame_status_t
@@ -171,9 +172,9 @@
   free (stream);
 }
 
-/* The caller of a culprit sends it again, through any host. */
+/* The caller of a culprit resubmits it, through any host. */
 static void
-culprit_resubmit (sim_t *sim, const sim_stream_t *stream)
+culprit_schedule_resubmission (sim_t *sim, const sim_stream_t *stream)
 {
   sim_stream_t *again = el_alloc (sizeof *again);
 
@@ -191,7 +192,7 @@
 stream_finish (sim_t *sim, sim_stream_t *stream)
 {
   if (stream->culprit)
-    culprit_resubmit (sim, stream);
+    culprit_schedule_resubmission (sim, stream);
   stream_free (sim, stream);
 }
 
@@ -257,7 +258,7 @@
     }
 }
 
-/* An interrupted stream is sent again, or fails. */
+/* An interrupted stream is retried, or fails. */
 static void
 stream_interrupted (sim_t *sim, sim_stream_t *stream)
 {
@@ -271,7 +272,7 @@
       return;
     }
   if (!stream->culprit && !stream->resubmitted)
-    { /* its caller repeats it once */
+    { /* its caller resubmits it once */
       stream->resubmitted = 1;
       stream->attempts = 0;
       stream->sends = 0;
@@ -338,7 +339,7 @@
 }
 
 static void
-reports_get (sim_t *sim)
+reports_deliver (sim_t *sim)
 {
   sim_report_t *report;
   sim_report_t *next;
@@ -488,7 +489,7 @@
     {
       first.culprit = i + 1;
       first.digest = i + 1;
-      culprit_resubmit (sim, &first);
+      culprit_schedule_resubmission (sim, &first);
     }
 }
 
@@ -532,7 +533,7 @@
   end = sim->now + (el_time_t)(sim->options.seconds * EL_SEC);
   for (; sim->now < end; sim->now += STEP)
     {
-      reports_get (sim);
+      reports_deliver (sim);
       engines_step (sim);
       callers_step (sim);
       streams_step (sim);
--- a/tests/blame_sim.h
+++ b/tests/blame_sim.h
@@ -4,10 +4,10 @@
  */
 /** @file
  * Deterministic simulation of hosts, first engines and callers, for the blame
- * tests and benchmarks. Some callers repeat a culprit: a request that crashes
- * each engine that starts to run it. Each host has a blame table of its own,
- * the daemon's code, and receives the reports of the other hosts after a
- * delay, some much later than others and in any order.
+ * tests and benchmarks. Some callers resubmit a culprit: a request that
+ * crashes each engine that starts to run it. Each host has a blame table of
+ * its own, the daemon's code, and receives the reports of the other hosts
+ * after a delay, some much later than others and in any order.
  */
 #ifndef ELMARCH_BLAME_SIM_H
 #define ELMARCH_BLAME_SIM_H
@@ -28,11 +28,11 @@
   double rate;          /* streams per second */
   size_t culprits;      /* distinct culprits: requests that crash engines */
   double repeat_s;      /* mean delay in seconds after which a culprit's caller
-                          sends it again */
+                          resubmits it */
   double crash_rate;    /* unrelated crashes per engine and second */
   size_t rack_size;     /* engines that crash within one second, every 20 s */
   double delayed_share; /* share of reports that arrive a second late */
-  /* streams per second that repeat one innocent request */
+  /* streams per second of one frequent innocent request */
   double frequent_rate;
   /* a completed run is reported to other hosts only after the request's second
      crash */
@@ -44,8 +44,8 @@
 {
   size_t sends;           /* of culprits */
   size_t culprit_crashes; /* engine crashes caused by culprits */
-  size_t late; /* most sends of one culprit later than 3 s after its third
-                  crash */
+  size_t late; /* maximum over the culprits: sends later than 3 s after the
+                  culprit's third crash */
   size_t other_crashes; /* unrelated engine crashes */
   size_t streams;       /* innocent ones */
   size_t refused;       /* innocent streams refused as culprits */
--- a/tests/cluster.c
+++ b/tests/cluster.c
@@ -281,11 +281,12 @@
     metric_wait_min (&cluster->hosts[i], "elmarch_config_revision", revision);
 }
 
-/** Ends a process. Returns its exit status, or minus the signal that killed
-    it. A stopped process is continued before the signal is sent: the leak
-    check at process exit stops the process to inspect it, and a SIGCONT that
-    arrived then would undo that stop and hang the check. With 12 busy loops on
-    8 cores this occurred in 5 of 40 runs of a test. */
+/** Sends a signal to a process and waits until it has exited. Returns its exit
+    status, or minus the signal that killed it. A stopped process is continued
+    before the signal is sent: the leak check at process exit stops the process
+    to inspect it, and a SIGCONT that arrived then would undo that stop and
+    hang the check. With 12 busy loops on 8 cores this occurred in 5 of 40 runs
+    of a test. */
 int
 proc_end (proc_t *proc, int signal)
 {
@@ -300,14 +301,14 @@
   return WIFEXITED (status) ? WEXITSTATUS (status) : -WTERMSIG (status);
 }
 
-/** Kills a process without waiting for its end. */
+/** Kills a process without waiting until it has exited. */
 void
 proc_kill (const proc_t *proc)
 {
   kill (proc->pid, SIGKILL);
 }
 
-/** Kills a process and waits until it has ended, but does not reap it. */
+/** Kills a process and waits until it has exited, but does not reap it. */
 void
 proc_kill_wait (const proc_t *proc)
 {
@@ -523,9 +524,9 @@
   return value;
 }
 
-/** Waits until a host's metric is LEAST or more. */
+/** Waits until a host's metric is MIN or more. */
 void
-metric_wait_min (const proc_t *host, const char *name, uint64_t least)
+metric_wait_min (const proc_t *host, const char *name, uint64_t min)
 {
   uint64_t value = 0;
   int i;
@@ -533,12 +534,12 @@
   for (i = 0; i < WAIT_STEPS_MAX; i++)
     {
       value = metric_value (host, name);
-      if (value >= least)
+      if (value >= min)
         return;
       poll_sleep ();
     }
   ck_abort_msg ("%s: %s stays at %" PRIu64 ", not %" PRIu64, host->address,
-                name, value, least);
+                name, value, min);
 }
 
 /** Waits until a host's metric equals VALUE. */
@@ -663,10 +664,10 @@
   return text;
 }
 
-/** Extracts the tokens of a stream's events. DONE is set if the stream has its
-    end marker. */
+/** Extracts at most MAX tokens of a stream's events. DONE is set if the stream
+    has its end marker. */
 size_t
-stream_tokens (const el_buf_t *raw, uint64_t *tokens, size_t most, int *done)
+stream_tokens (const el_buf_t *raw, uint64_t *tokens, size_t max, int *done)
 {
   el_str_t rest = el_buf_str (raw);
   el_str_t line;
@@ -684,7 +685,7 @@
         continue;
       json = json_loadb (line.ptr + 6, line.len - 6, 0, NULL);
       token = json_object_get (json_object_get (json, "elmarch"), "token");
-      if (token && n < most)
+      if (token && n < max)
         tokens[n++] = (uint64_t)json_integer_value (token);
       json_decref (json);
     }
--- a/tests/cluster.h
+++ b/tests/cluster.h
@@ -21,7 +21,7 @@
 #define STAGES 3
 #define HOSTS_MAX 9
 #define LAYERS 12
-/** Most polls of a wait function: 30 s. */
+/** Maximum number of polls of a wait function: 30 s. */
 #define WAIT_STEPS_MAX 6000
 #define CUSTOMER_KEY "a-customer's-key"
 
@@ -35,7 +35,7 @@
 
 typedef struct proc
 {
-  pid_t pid; /* 0 after its end */
+  pid_t pid; /* 0 until it is started and after it is reaped */
   char address[32];
 } proc_t;
 
@@ -111,7 +111,7 @@
 long admin_request (const cluster_t *cluster, size_t host, const char *method,
                     const char *path, const char *body, reply_t *reply);
 uint64_t metric_value (const proc_t *host, const char *name);
-void metric_wait_min (const proc_t *host, const char *name, uint64_t least);
+void metric_wait_min (const proc_t *host, const char *name, uint64_t min);
 void metric_wait_value (const proc_t *host, const char *name, uint64_t value);
 
 void caller_start (caller_t *caller, const char *address, const char *path,
@@ -123,7 +123,7 @@
 
 char *chat_body (const char *content, int stream, int max_tokens,
                  const uint64_t *resume, size_t nresume);
-size_t stream_tokens (const el_buf_t *raw, uint64_t *tokens, size_t most,
+size_t stream_tokens (const el_buf_t *raw, uint64_t *tokens, size_t max,
                       int *done);
 void session_open (const proc_t *host, char *header, size_t size);
 json_int_t payment_runs (const proc_t *worker, const char *id);
--- a/tests/known_red.c
+++ b/tests/known_red.c
@@ -5,8 +5,8 @@
 /** @file
  * Skips and prints tests with a known failure that is not fixed yet.
  * KNOWN-RED.txt at the root has a line for each: "TEST | cause | issue |
- * command and seed | what was seen". ELMARCH_TEST runs such a test all the
- * same.
+ * command and seed | what was seen". ELMARCH_TEST runs such a test
+ * nevertheless.
  */
 #include <stdio.h>
 #include <stdlib.h>
--- a/tests/mbr_net.c
+++ b/tests/mbr_net.c
@@ -27,7 +27,7 @@
   mbr_net_host_t *proxy;     /* host that probes on the requester's behalf */
   uint64_t id;
   int answer;
-  int relay; /* asks TO to probe TARGET */
+  int indirect; /* requests that TO probes TARGET */
   mbr_net_host_t *target;
   co_gossip_t gossip;
 } net_msg_t;
@@ -157,11 +157,11 @@
 msg_probe (const net_msg_t *msg)
 {
   net_msg_t next = { .from = msg->to,
-                     .to = msg->relay ? msg->target : msg->from,
+                     .to = msg->indirect ? msg->target : msg->from,
                      .requester = msg->requester,
-                     .proxy = msg->relay ? msg->to : msg->proxy,
+                     .proxy = msg->indirect ? msg->to : msg->proxy,
                      .id = msg->id,
-                     .answer = !msg->relay };
+                     .answer = !msg->indirect };
 
   co_members_receive_gossip (msg->to->members, msg->to->net->now,
                              &msg->gossip);
@@ -187,14 +187,14 @@
     }
   else
     { /* forward the target's own answer */
-      net_msg_t *copy = malloc (sizeof *copy);
+      net_msg_t *forwarded = malloc (sizeof *forwarded);
 
       next.gossip = msg->gossip;
-      *copy = next;
-      copy->timer.cb = msg_arrive;
-      copy->timer.arg = copy;
-      copy->from->sent++;
-      el_timers_set (&net->timers, &copy->timer, net->now + EL_MSEC);
+      *forwarded = next;
+      forwarded->timer.cb = msg_arrive;
+      forwarded->timer.arg = forwarded;
+      forwarded->from->sent++;
+      el_timers_set (&net->timers, &forwarded->timer, net->now + EL_MSEC);
     }
 }
 
@@ -221,8 +221,8 @@
   net_msg_t msg = { .from = host, .requester = host, .id = id };
 
   msg.target = find_host_by_address (host->net, address);
-  msg.relay = proxy.len > 0;
-  msg.to = msg.relay ? find_host_by_address (host->net, proxy) : msg.target;
+  msg.indirect = proxy.len > 0;
+  msg.to = msg.indirect ? find_host_by_address (host->net, proxy) : msg.target;
   if (msg.to && msg.target)
     msg_send (&msg, NULL);
 }
@@ -250,8 +250,8 @@
     co_members_apply_change (host->members, host->net->now, &change);
 }
 
-/* Takes in the member list of the peer that was asked for it, if the peer can
-   be reached both ways. */
+/* Applies the member list of the peer from which it was requested, if messages
+   pass in both directions. */
 static void
 host_run_sync (mbr_net_host_t *host)
 {
@@ -335,15 +335,16 @@
   return net;
 }
 
-/** Ends a host and starts a new incarnation at its address. */
+/** Stops a host and starts a new incarnation at its address. */
 mbr_net_host_t *
 mbr_net_replace_host (mbr_net_t *net, size_t host)
 {
-  mbr_net_host_t *fresh = &net->hosts[net->n++];
+  mbr_net_host_t *replacement = &net->hosts[net->n++];
 
   net->hosts[host].down = 1;
-  host_open (net, fresh, net->hosts[host].address, net->hosts[host].hall);
-  return fresh;
+  host_open (net, replacement, net->hosts[host].address,
+             net->hosts[host].hall);
+  return replacement;
 }
 
 void
@@ -429,8 +430,8 @@
   return !host->down && !host->paused && !host->isolated;
 }
 
-/** Returns the number of pairs of a running host and an ended one to which it
-    would still send callers. */
+/** Returns the number of pairs of a running host and a stopped host to which
+    the running one would still send callers. */
 size_t
 mbr_net_count_dead_offered (mbr_net_t *net)
 {
--- a/tests/mbr_net.h
+++ b/tests/mbr_net.h
@@ -27,7 +27,7 @@
   char address[32];
   char hall[32];
   co_incarnation_t incarnation;
-  int down;                 /* its process has ended */
+  int down;                 /* its process has exited */
   int paused;               /* neither runs nor answers */
   int isolated;             /* cut off from all others */
   uint64_t sent;            /* messages sent */
--- a/tests/rumor_net.c
+++ b/tests/rumor_net.c
@@ -63,7 +63,7 @@
 }
 
 static void
-hear_visit (void *arg, const co_rumor_t *rumor)
+receive_visit (void *arg, const co_rumor_t *rumor)
 {
   rumor_host_t *to = arg;
 
@@ -93,7 +93,7 @@
     co_rumors_receive (msg->to->rumors, now, &msg->list[i]);
   if (msg->has_digest
       && co_rumors_needs_sync (msg->to->rumors, now, msg->digest))
-    co_rumors_visit (msg->from->rumors, hear_visit, msg->to);
+    co_rumors_visit (msg->from->rumors, receive_visit, msg->to);
   free (msg);
 }
 
@@ -183,7 +183,7 @@
   free (net);
 }
 
-/** Has a host start a rumor of its own. */
+/** Publishes a rumor from a host. */
 void
 rumor_net_tell (rumor_net_t *net, size_t host, uint64_t id)
 {
--- a/tests/site.c
+++ b/tests/site.c
@@ -104,7 +104,7 @@
   reply_free (&reply);
 }
 
-/* Whether a member's process has ended, by itself or through proc_end. If so,
+/* Whether a member's process has exited, by itself or through proc_end. If so,
    its registration is removed from the store. */
 static int
 member_reap (proc_t *proc, const char *id)
@@ -134,8 +134,8 @@
   site_wait_metric_except (site.nhosts, name, value);
 }
 
-/** Replaces the engines whose processes have ended by new ones, after their
-    registrations are removed. Returns their number once all engines hold
+/** Replaces the engines whose processes have exited by new ones, after
+    removing their registrations. Returns their number once all engines hold
     layers and all hosts know it. */
 size_t
 site_engines_replace (void)
@@ -158,8 +158,8 @@
   return n;
 }
 
-/** Replaces the engines whose processes have ended by new ones without waiting
-    for the hosts. Returns their number. */
+/** Replaces the engines whose processes have exited by new ones without
+    waiting for the hosts. Returns their number. */
 size_t
 site_engines_replace_nowait (void)
 {
@@ -175,7 +175,7 @@
   return n;
 }
 
-/** Replaces the workers whose processes have ended by new ones. Returns their
+/** Replaces the workers whose processes have exited by new ones. Returns their
     number once all hosts know the new ones. */
 size_t
 site_workers_replace (void)
--- a/tests/t_agreement.c
+++ b/tests/t_agreement.c
@@ -4,7 +4,7 @@
  */
 /** @file
  * Tests of the state that hosts share, with real processes: configuration,
- * draining endpoints, and operation without the platform.
+ * leaving and draining endpoints, and operation without the platform.
  */
 #include <signal.h>
 #include <stdio.h>
@@ -344,10 +344,10 @@
   ck_assert (endpoint_in_state (host, endpoint, state));
 }
 
-/* A worker is draining: the platform's host list says so, or the worker does
-   in a response to one host, or an operator sets it. No host sends it new
+/* A worker is leaving, according to the platform's host list or to its
+   response to one host, or an operator drains it. No host sends it new
    requests. */
-START_TEST (test_draining_endpoint_is_avoided_by_all_hosts)
+START_TEST (test_leaving_or_draining_endpoint_is_avoided_by_all_hosts)
 {
   static const char *const states[] = { "leaving", "leaving", "draining" };
   reply_t reply;
@@ -457,7 +457,8 @@
   ADD_LOOP (tcase, test_requests_are_served_without_the_platform, 2);
   ADD (tcase, test_host_starts_without_the_platform);
   ADD (tcase, test_removal_reaches_a_host_that_was_stopped);
-  ADD_LOOP (tcase, test_draining_endpoint_is_avoided_by_all_hosts, 3);
+  ADD_LOOP (tcase, test_leaving_or_draining_endpoint_is_avoided_by_all_hosts,
+            3);
   ADD (tcase, test_foreign_messages_are_refused);
   suite_add_tcase (suite, tcase);
   return suite;
--- a/tests/t_at_most_once.c
+++ b/tests/t_at_most_once.c
@@ -174,9 +174,9 @@
 }
 END_TEST
 
-/* No worker listens: the call is refused as not run, which is true. Sent again
+/* No worker listens: the call is refused as not run, which is true. Retried
    after a worker has started, it runs once. */
-START_TEST (test_not_run_call_may_be_sent_again)
+START_TEST (test_not_run_call_may_be_retried)
 {
   char session[640];
   const char *headers[] = { session, "x-elmarch-sequence: 1", NULL };
@@ -333,7 +333,7 @@
   ADD (tcase, test_duplicate_while_home_is_stopped_never_runs_elsewhere);
   ADD_LOOP (tcase, test_worker_fault_runs_at_most_once,
             (int)(sizeof worker_faults / sizeof *worker_faults));
-  ADD (tcase, test_not_run_call_may_be_sent_again);
+  ADD (tcase, test_not_run_call_may_be_retried);
   ADD (tcase, test_bad_requests_run_nothing);
   suite_add_tcase (suite, tcase);
   return suite;
--- a/tests/t_avail.c
+++ b/tests/t_avail.c
@@ -3,9 +3,9 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Tests of the conditions that keep requests off an endpoint: a backoff that
- * it requested (a rest), that it is leaving, failures; and of parsing what an
- * answer requests.
+ * Tests of the availability of endpoints, which a requested backoff, leaving
+ * and failures restrict, and of parsing the headers by which an endpoint
+ * requests a backoff or announces that it is leaving.
  */
 #include <stdio.h>
 #include <string.h>
@@ -31,7 +31,7 @@
 static rt_fleet_t *fleet;
 
 static void
-access_setup (void)
+avail_setup (void)
 {
   service = (rt_service_t){ .name = SERVICE,
                             .model = { .layers = 8,
@@ -46,7 +46,7 @@
 }
 
 static void
-access_teardown (void)
+avail_teardown (void)
 {
   rt_fleet_free (fleet);
 }
@@ -69,7 +69,7 @@
 }
 
 static int
-pipeline_pick (el_time_t now, rt_chain_t *out)
+chain_pick (el_time_t now, rt_chain_t *out)
 {
   const rt_chain_query_t want
       = { .service = &service, .hall = HALL, .tokens = 20, .tried = &none };
@@ -78,7 +78,7 @@
 }
 
 static el_time_t
-pipeline_opens (el_time_t now)
+chain_available_at (el_time_t now)
 {
   const rt_chain_query_t want
       = { .service = &service, .hall = HALL, .tokens = 20, .tried = &none };
@@ -148,8 +148,8 @@
 }
 END_TEST
 
-/* Hosts that are asked to back off at the same moment return spread over time,
-   none of them early. */
+/* Hosts that are asked for a backoff at the same moment send again at
+   different times, none of them early. */
 START_TEST (test_avail_hosts_return_spread_over_time)
 {
   unsigned tenths[10] = { 0 };
@@ -171,7 +171,7 @@
 END_TEST
 
 /* Random events in any order: no request goes to an endpoint before the end of
-   each backoff that it asked for, also when its entry is removed and added
+   each backoff that it requested, also when its entry is removed and added
    again. A new instance starts without one. */
 static void
 run_random_schedule (uint64_t seed)
@@ -181,8 +181,8 @@
   uint64_t draw = seed + 1;
   el_time_t now = NOW;
   el_time_t closed_until = 0;
-  el_time_t asked;
-  int leaves = 0;
+  el_time_t requested;
+  int leaving = 0;
   unsigned i;
 
   for (i = 0; i < EVENTS; i++)
@@ -191,10 +191,10 @@
       switch (el_random (&draw) % 12)
         {
         case 0:
-          asked = el_random (&draw) % (3 * EL_SEC);
-          rt_fleet_backoff (fleet, target, now, asked);
-          if (now + asked > closed_until)
-            closed_until = now + asked;
+          requested = el_random (&draw) % (3 * EL_SEC);
+          rt_fleet_backoff (fleet, target, now, requested);
+          if (now + requested > closed_until)
+            closed_until = now + requested;
           break;
         case 1:
           rt_target_succeeded (target, EL_MSEC);
@@ -228,7 +228,7 @@
           if (el_random (&draw) % 8 == 0)
             {
               rt_fleet_mark_leaving (fleet, EL_STR ("e"), born);
-              leaves = 1;
+              leaving = 1;
             }
           break;
         default:
@@ -236,7 +236,7 @@
             {
               target = add_endpoint ("e", ++born, 0, 0);
               closed_until = 0;
-              leaves = 0;
+              leaving = 0;
               ck_assert_int_eq (rt_avail_level_at (&target->avail, now),
                                 RT_AVAIL_FULL);
             }
@@ -244,7 +244,7 @@
         }
       ck_assert (now >= closed_until
                  || rt_avail_level_at (&target->avail, now) == RT_AVAIL_NONE);
-      ck_assert (!leaves
+      ck_assert (!leaving
                  || rt_avail_level_at (&target->avail, now) == RT_AVAIL_NONE);
       ck_assert (
           (rt_fleet_pick (fleet, now, SERVICE, HALL, &none) == NULL)
@@ -258,8 +258,8 @@
 }
 END_TEST
 
-/* Other endpoints serve the requests; when all have asked
-   hosts to back off, the end of the earliest backoff is known. */
+/* Other endpoints serve the requests; when all have requested a backoff, the
+   end of the earliest one is known. */
 START_TEST (test_pick_skips_endpoints_in_backoff)
 {
   rt_target_t *a = add_endpoint ("a", 1, 0, 0);
@@ -280,38 +280,38 @@
 }
 END_TEST
 
-/* An engine in backoff runs no part of a new pipeline, neither the first nor a
-   later one. A pipeline is available again as soon as enough backoffs have
-   ended to cover all layers. */
+/* An engine in backoff is used in no new chain, neither as the first engine
+   nor as a later one. A chain is available again as soon as enough backoffs
+   have expired to cover all layers. */
 START_TEST (test_chain_skips_engines_in_backoff)
 {
   rt_target_t *first_engine = add_endpoint ("f0", 1, 0, 4);
   rt_target_t *first_replica = add_endpoint ("f1", 1, 0, 4);
   rt_target_t *last_engine = add_endpoint ("b0", 1, 4, 8);
-  rt_chain_t line;
+  rt_chain_t chain;
   unsigned i;
 
   rt_avail_backoff (&first_engine->avail, NOW, 3 * EL_SEC, 0);
   for (i = 0; i < 50; i++)
     {
-      ck_assert_int_eq (pipeline_pick (NOW + i, &line), 1);
-      ck_assert_ptr_eq (line.part[0].target, first_replica);
+      ck_assert_int_eq (chain_pick (NOW + i, &chain), 1);
+      ck_assert_ptr_eq (chain.part[0].target, first_replica);
     }
-  ck_assert_uint_eq (pipeline_opens (NOW), 0);
+  ck_assert_uint_eq (chain_available_at (NOW), 0);
   rt_avail_backoff (&last_engine->avail, NOW, 2 * EL_SEC, 0);
-  ck_assert_int_eq (pipeline_pick (NOW, &line), 0);
-  ck_assert_uint_eq (pipeline_opens (NOW), NOW + 2 * EL_SEC);
+  ck_assert_int_eq (chain_pick (NOW, &chain), 0);
+  ck_assert_uint_eq (chain_available_at (NOW), NOW + 2 * EL_SEC);
   rt_avail_backoff (&first_replica->avail, NOW, 9 * EL_SEC, 0);
-  ck_assert_uint_eq (pipeline_opens (NOW), NOW + 3 * EL_SEC);
-  ck_assert_int_eq (pipeline_pick (NOW + 3 * EL_SEC, &line), 1);
-  ck_assert_ptr_eq (line.part[0].target, first_engine);
+  ck_assert_uint_eq (chain_available_at (NOW), NOW + 3 * EL_SEC);
+  ck_assert_int_eq (chain_pick (NOW + 3 * EL_SEC, &chain), 1);
+  ck_assert_ptr_eq (chain.part[0].target, first_engine);
   rt_fleet_remove (fleet, EL_STR ("b0"));
-  ck_assert_uint_eq (pipeline_opens (NOW), 0);
+  ck_assert_uint_eq (chain_available_at (NOW), 0);
 }
 END_TEST
 
 /* The layout does not change for an engine in backoff, which is neither lost
-   nor empty, but for one that leaves. */
+   nor empty, but does for one that is leaving. */
 START_TEST (test_layout_keeps_engines_in_backoff)
 {
   rt_target_t *first_engine = add_endpoint ("f0", 1, 0, 4);
@@ -351,17 +351,17 @@
 }
 END_TEST
 
-/* What an answer requests. */
+/* Hints in the headers of an answer. */
 
 static rt_hints_t
-asks_read (int status, const net_header_t *headers, size_t n)
+read_hints (int status, const net_header_t *headers, size_t n)
 {
   const net_result_t head
       = { .status = status, .headers = headers, .nheaders = n };
-  rt_hints_t asks;
+  rt_hints_t hints;
 
-  pf_hints_read (&head, &asks);
-  return asks;
+  pf_hints_read (&head, &hints);
+  return hints;
 }
 
 START_TEST (test_retry_after_is_parsed_and_bounded)
@@ -369,7 +369,7 @@
   static const struct
   {
     const char *value;
-    el_time_t rest;
+    el_time_t backoff;
   } times[] = {
     { "3", 3 * EL_SEC },
     { "0.25", 250 * EL_MSEC },
@@ -403,12 +403,12 @@
       const net_header_t header
           = { EL_STR ("Retry-After"), el_str (times[i].value) };
 
-      ck_assert_msg (asks_read (503, &header, 1).rest == times[i].rest, "%s",
-                     times[i].value);
-      ck_assert_uint_eq (asks_read (429, &header, 1).rest, 0);
-      ck_assert_uint_eq (asks_read (200, &header, 1).rest, 0);
+      ck_assert_msg (read_hints (503, &header, 1).rest == times[i].backoff,
+                     "%s", times[i].value);
+      ck_assert_uint_eq (read_hints (429, &header, 1).rest, 0);
+      ck_assert_uint_eq (read_hints (200, &header, 1).rest, 0);
     }
-  ck_assert_uint_eq (asks_read (503, NULL, 0).rest, 0);
+  ck_assert_uint_eq (read_hints (503, NULL, 0).rest, 0);
 }
 END_TEST
 
@@ -419,7 +419,7 @@
                                    { EL_STR ("RETRY-AFTER"), EL_STR ("4") },
                                    { EL_STR ("retry-after"), EL_STR ("?") } };
 
-  ck_assert_uint_eq (asks_read (503, headers, 4).rest, 4 * EL_SEC);
+  ck_assert_uint_eq (read_hints (503, headers, 4).rest, 4 * EL_SEC);
 }
 END_TEST
 
@@ -431,11 +431,11 @@
   size_t i;
 
   for (i = 0; i < sizeof statuses / sizeof *statuses; i++)
-    ck_assert_int_eq (asks_read (statuses[i], &header, 1).leaves, 1);
+    ck_assert_int_eq (read_hints (statuses[i], &header, 1).leaves, 1);
   for (i = 0; i < sizeof others / sizeof *others; i++)
     {
       header.value = el_str (others[i]);
-      ck_assert_int_eq (asks_read (200, &header, 1).leaves, 0);
+      ck_assert_int_eq (read_hints (200, &header, 1).leaves, 0);
     }
 }
 END_TEST
@@ -443,10 +443,10 @@
 Suite *
 avail_suite (void)
 {
-  Suite *suite = suite_create ("access");
-  TCase *tcase = tcase_create ("access");
+  Suite *suite = suite_create ("avail");
+  TCase *tcase = tcase_create ("avail");
 
-  tcase_add_checked_fixture (tcase, access_setup, access_teardown);
+  tcase_add_checked_fixture (tcase, avail_setup, avail_teardown);
   ADD (tcase, test_avail_no_event_shortens_a_backoff);
   ADD (tcase, test_avail_longer_backoff_replaces_shorter);
   ADD (tcase, test_avail_trial_request_after_a_backoff);
--- a/tests/t_backoff.c
+++ b/tests/t_backoff.c
@@ -3,27 +3,27 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Tests of endpoints that ask for backoff, or announce in their responses
- * that they drain, with real processes. The endpoints count the requests
- * that arrive in spite of it.
+ * Tests of endpoints that request a backoff, or announce in their responses
+ * that they are leaving, with real processes. The endpoints count the
+ * requests that arrive nevertheless.
  *
  * An engine with the first layers refused requests and asked each host for
- * three seconds of backoff. The hosts continued to send to it: in 6 s it
- * refused 102 requests of seven hosts, 70 of them between half a second
- * after the host was asked and the end of the three seconds. Log lines of
+ * a backoff of three seconds. The hosts continued to send to it: in 6 s it
+ * refused 102 requests of seven hosts, 70 of them later than half a second
+ * after the host was asked and before the end of its backoff. Log lines of
  * one host:
  *
  *   6.0754 event=attempt_failed endpoint=i-0762f0bff0 status=503 attempt=1
  *   6.2355 event=attempt_failed endpoint=i-0762f0bff0 status=503 attempt=1
  *   7.0104 event=attempt_failed endpoint=i-0762f0bff0 status=503 attempt=1
  *
- * No code read the time in the responses, and the request for backoff was
- * forgotten with the response that held it. A refusal set the engine aside
- * for 100 ms, whatever it asked for, and each of the hundreds of streams
- * already running that completed there lifted even that: one host was
- * refused at 6.7184 and again at 6.7642, with two completed streams in
- * between. Draining endpoints were known from their registrations in the
- * store alone, although they announce it in every response.
+ * No code read the time in the responses, so hosts kept no record of the
+ * backoff. A refusal made a host avoid the engine for 100 ms, whatever time
+ * it requested, and each of the hundreds of running streams that completed
+ * there ended even that: one host was refused at 6.7184 and again at 6.7642,
+ * with two completed streams in between. Leaving endpoints were known only
+ * from their registrations in the store, although they announce it in every
+ * response.
  */
 #include <signal.h>
 #include <stdio.h>
@@ -37,7 +37,8 @@
    backoff. */
 #define REQUESTS 80
 #define STREAMS 40
-/* Polls for a good deal longer than until a failed order is sent again. */
+/* Polls that take much longer than the delay until a failed order is retried.
+ */
 #define ORDER_STEPS 800
 /* Far longer than the requests of a test take. */
 #define LONG_BACKOFF                                                          \
@@ -134,7 +135,7 @@
     }
 }
 
-/* A worker, then an engine, asks each of two hosts once for backoff: no
+/* A worker, then an engine, asks each of two hosts once for a backoff: no
    requests of callers arrive there from these hosts until it expires. */
 START_TEST (test_endpoint_in_backoff_gets_no_requests)
 {
@@ -154,8 +155,8 @@
 }
 END_TEST
 
-/* All workers ask for backoff: new requests are refused at once, with the time
-   until the first backoff expires, and nothing arrives at the workers. */
+/* All workers request a backoff: new requests are refused at once, with the
+   time until the first backoff expires, and nothing arrives at the workers. */
 START_TEST (test_callers_are_told_the_backoff_of_all_endpoints)
 {
   char header[64];
@@ -260,49 +261,49 @@
 }
 END_TEST
 
-/* The path of the last request that used ENGINE as its first engine. */
+/* The chain of the last request that used ENGINE as its first engine. */
 static json_t *
-last_path (const proc_t *engine)
+last_chain (const proc_t *engine)
 {
   json_t *seen = http_get_json (engine->address, "/seen");
-  json_t *path = json_incref (json_object_get (seen, "path"));
+  json_t *chain = json_incref (json_object_get (seen, "path"));
 
   json_decref (seen);
-  return path;
+  return chain;
 }
 
-/* Runs streams, and returns an engine that was the first of a path. */
+/* Runs streams, and returns an engine that was the first of a chain. */
 static const proc_t *
-entry_engine (void)
+first_engine_of_chain (void)
 {
-  json_t *path;
+  json_t *chain;
   size_t i;
 
   send_streams ();
   for (i = 0; i < SITE_ENGINES; i++)
     {
-      path = last_path (&site.engines[i]);
-      json_decref (path);
-      if (path)
+      chain = last_chain (&site.engines[i]);
+      json_decref (chain);
+      if (chain)
         return &site.engines[i];
     }
-  ck_abort_msg ("no engine was the first of a path");
+  ck_abort_msg ("no engine was the first of a chain");
   return NULL;
 }
 
-/* An engine after FIRST on the path of the last stream that began there. */
+/* An engine after FIRST in the chain of the last stream that began there. */
 static const proc_t *
-later_engine_of_path (const proc_t *first)
+later_engine_of_chain (const proc_t *first)
 {
-  json_t *path = last_path (first);
+  json_t *chain = last_chain (first);
   const proc_t *last = NULL;
   size_t i;
 
   for (i = 0; i < SITE_ENGINES; i++)
     if (&site.engines[i] != first
-        && strstr (json_string_value (path), site.engines[i].address))
+        && strstr (json_string_value (chain), site.engines[i].address))
       last = &site.engines[i];
-  json_decref (path);
+  json_decref (chain);
   ck_assert_ptr_nonnull (last);
   return last;
 }
@@ -314,12 +315,12 @@
   json_t *seen = http_get_json (at->address, "/seen");
   const char *last
       = json_string_value (json_object_get (seen, "x-elmarch-request-id"));
-  const char *path = json_string_value (json_object_get (seen, "path"));
-  int passed = last && path && strcmp (last, id) == 0
-               && strstr (path, engine->address) != NULL;
+  const char *chain = json_string_value (json_object_get (seen, "path"));
+  int used = last && chain && strcmp (last, id) == 0
+             && strstr (chain, engine->address) != NULL;
 
   json_decref (seen);
-  return passed;
+  return used;
 }
 
 /* New streams must be served without ENGINE. */
@@ -343,9 +344,10 @@
     }
 }
 
-/* A refusal names another engine of the pipeline as the one at fault, and does
-   not say which of the two asks for backoff: no stream uses either of them. */
-START_TEST (test_backoff_of_a_later_engine_of_the_pipeline)
+/* A refusal names another engine of the chain as the one at fault, and does
+   not say which of the two requests the backoff: no stream uses either of
+   them. */
+START_TEST (test_backoff_of_a_later_engine_of_the_chain)
 {
   const proc_t *first;
   const proc_t *named;
@@ -353,8 +355,8 @@
 
   site.step_us = "1000";
   site_start (1);
-  first = entry_engine ();
-  named = later_engine_of_path (first);
+  first = first_engine_of_chain ();
+  named = later_engine_of_chain (first);
   snprintf (text, sizeof text,
             "{\"kinds\":[\"requests\"],\"status\":503,\"asked\":[\"60\"],"
             "\"span_ms\":60000,\"at\":\"%s\"}",
@@ -406,9 +408,9 @@
 }
 END_TEST
 
-/* Sends requests through HOST until it learns that an endpoint is draining. */
+/* Sends requests through HOST until it learns that an endpoint is leaving. */
 static void
-send_until_draining (size_t host)
+send_until_leaving (size_t host)
 {
   char id[16];
   reply_t reply;
@@ -425,9 +427,9 @@
     }
 }
 
-/* An endpoint announces draining in its responses but not in its registration:
-   it receives no new requests. */
-START_TEST (test_endpoint_announcing_drain_gets_no_new_requests)
+/* An endpoint announces in its responses, but not in its registration, that it
+   is leaving: it receives no new requests. */
+START_TEST (test_endpoint_that_announces_leaving_gets_no_new_requests)
 {
   const proc_t *member;
 
@@ -445,9 +447,10 @@
 }
 END_TEST
 
-/* One host is told that an endpoint is draining: the other host avoids it
-   before any response says so, and so does a host that starts later. */
-START_TEST (test_announced_drain_is_known_to_other_hosts)
+/* One host learns from a response that an endpoint is leaving: the other host
+   avoids it before it receives such a response, and so does a host that starts
+   later. */
+START_TEST (test_announced_leaving_is_known_to_other_hosts)
 {
   const proc_t *member = &site.workers[0];
   int64_t all;
@@ -456,7 +459,7 @@
   site_start (2);
   prefer_first_worker ();
   backoff_set (member, "{\"leaving\":true}");
-  send_until_draining (0);
+  send_until_leaving (0);
   metric_wait_value (&site.hosts[1], "elmarch_endpoints_leaving", 1);
   all = arrival_count (member, "requests", "all");
   send_requests ();
@@ -469,8 +472,9 @@
 }
 END_TEST
 
-/* A host that can't reach the store keeps to what the response said. */
-START_TEST (test_announced_drain_is_kept_without_the_store)
+/* A host that can't reach the store still avoids an endpoint that has
+   announced in a response that it is leaving. */
+START_TEST (test_announced_leaving_is_kept_without_the_store)
 {
   const proc_t *member = &site.workers[0];
   char id[16];
@@ -482,7 +486,7 @@
   prefer_first_worker ();
   site_store_mute (1);
   backoff_set (member, "{\"leaving\":true}");
-  send_until_draining (0);
+  send_until_leaving (0);
   all = arrival_count (member, "requests", "all");
   for (i = 0; i < 20; i++)
     {
@@ -495,8 +499,8 @@
 }
 END_TEST
 
-/* An endpoint that restarts with its id is no longer draining. */
-START_TEST (test_drained_endpoint_gets_requests_after_restart)
+/* An endpoint that restarts with the same id is no longer leaving. */
+START_TEST (test_leaving_endpoint_gets_requests_after_restart)
 {
   int64_t runs;
   int i;
@@ -505,7 +509,7 @@
   site_start (1);
   prefer_first_worker ();
   backoff_set (&site.workers[0], "{\"leaving\":true}");
-  send_until_draining (0);
+  send_until_leaving (0);
   proc_end (&site.workers[0], SIGKILL);
   site_worker_start (0);
   metric_wait_value (&site.hosts[0], "elmarch_endpoints_leaving", 0);
@@ -516,8 +520,9 @@
 }
 END_TEST
 
-/* A stream that runs on an engine that starts to drain completes there. */
-START_TEST (test_stream_completes_on_draining_engine)
+/* A running stream completes on its engine after the engine has announced that
+   it is leaving. */
+START_TEST (test_stream_completes_on_leaving_engine)
 {
   const proc_t *member = NULL;
   caller_t caller;
@@ -618,8 +623,8 @@
 Suite *
 backoff_suite (void)
 {
-  Suite *suite = suite_create ("rest");
-  TCase *tcase = tcase_create ("rest");
+  Suite *suite = suite_create ("backoff");
+  TCase *tcase = tcase_create ("relay");
 
   tcase_set_timeout (tcase, 90);
   tcase_add_checked_fixture (tcase, site_setup, site_teardown);
@@ -627,16 +632,17 @@
   ADD (tcase, test_callers_are_told_the_backoff_of_all_endpoints);
   ADD (tcase, test_endpoint_gets_requests_after_backoff);
   ADD (tcase, test_running_stream_waits_for_end_of_backoff);
-  ADD (tcase, test_backoff_of_a_later_engine_of_the_pipeline);
+  ADD (tcase, test_backoff_of_a_later_engine_of_the_chain);
   ADD (tcase, test_backoff_in_a_report_response);
   ADD (tcase, test_backoff_in_an_order_response);
-  ADD_LOOP (tcase, test_endpoint_announcing_drain_gets_no_new_requests, 2);
-  ADD (tcase, test_announced_drain_is_known_to_other_hosts);
-  ADD (tcase, test_announced_drain_is_kept_without_the_store);
-  ADD (tcase, test_drained_endpoint_gets_requests_after_restart);
-  ADD (tcase, test_stream_completes_on_draining_engine);
+  ADD_LOOP (tcase, test_endpoint_that_announces_leaving_gets_no_new_requests,
+            2);
+  ADD (tcase, test_announced_leaving_is_known_to_other_hosts);
+  ADD (tcase, test_announced_leaving_is_kept_without_the_store);
+  ADD (tcase, test_leaving_endpoint_gets_requests_after_restart);
+  ADD (tcase, test_stream_completes_on_leaving_engine);
   suite_add_tcase (suite, tcase);
-  tcase = tcase_create ("own");
+  tcase = tcase_create ("apis");
   tcase_set_timeout (tcase, 60);
   tcase_add_checked_fixture (tcase, cluster_setup, cluster_teardown);
   ADD (tcase, test_backoff_is_kept_by_session_and_service_apis);
--- a/tests/t_base.c
+++ b/tests/t_base.c
@@ -49,7 +49,7 @@
 END_TEST
 
 static void
-note_timer (void *arg, el_time_t now)
+record_timer (void *arg, el_time_t now)
 {
   el_buf_printf (arg, "%llu ", (unsigned long long)now);
 }
@@ -65,7 +65,7 @@
   memset (list, 0, sizeof list);
   for (i = 0; i < 64; i++)
     {
-      list[i].cb = note_timer;
+      list[i].cb = record_timer;
       list[i].arg = &out;
       el_timers_set (&timers, &list[i], (i * 37) % 64 + 1);
     }
--- a/tests/t_blame.c
+++ b/tests/t_blame.c
@@ -79,8 +79,8 @@
 }
 
 static void
-count_incriminated (void *arg, rt_digest_t digest,
-                    const rt_blame_status_t *status)
+count_suspect_or_blocked (void *arg, rt_digest_t digest,
+                          const rt_blame_status_t *status)
 {
   unsigned *n = arg;
 
@@ -115,8 +115,9 @@
   return rt_blame_get_status (blame, NOW, digest).state;
 }
 
-/* At each of three crashes the culprit ran beside fifty other requests, new
-   ones each time. Only the culprit is blocked, and only at the third crash. */
+/* At each of three crashes the culprit ran along with fifty other requests,
+   new ones each time. Only the culprit is blocked, and only at the third
+   crash. */
 START_TEST (test_blame_finds_one_culprit_of_fifty)
 {
   unsigned crash;
@@ -240,7 +241,7 @@
 END_TEST
 
 /* A crash reported by only one host may be a fault of that host: it has less
-   weight until a second witness, here the store, confirms it. */
+   weight until a second source, here the store, confirms it. */
 START_TEST (test_blame_unconfirmed_crash_counts_half)
 {
   rt_crash_report_t e
@@ -303,8 +304,8 @@
 }
 END_TEST
 
-/* A culprit is allowed again as a suspect when its block of ten minutes ends;
-   one more crash blocks it for twenty. */
+/* A culprit is admitted again, as a suspect, when its block of ten minutes
+   ends; one more crash blocks it for twenty. */
 START_TEST (test_blame_second_block_lasts_twice_as_long)
 {
   el_time_t now = NOW;
@@ -357,7 +358,7 @@
     }
   ck_assert_int_eq (state_of (CULPRIT), RT_BLAME_BLOCKED);
   blocked_count = 0;
-  rt_blame_visit_requests (blame, NOW + 6 * EL_SEC, count_incriminated,
+  rt_blame_visit_requests (blame, NOW + 6 * EL_SEC, count_suspect_or_blocked,
                            &blocked_count);
   ck_assert_uint_le (blocked_count, 201);
 }
--- a/tests/t_check.c
+++ b/tests/t_check.c
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Tests of health checks of engines, against servers that answer or don't.
+ * Tests of the health checks of engines, against servers that answer or don't.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -47,7 +47,7 @@
 }
 
 static int
-never_poller (void *arg)
+is_no_poller (void *arg)
 {
   (void)arg;
   return 0;
@@ -88,7 +88,7 @@
   relays.options.fleet = rt_fleet_new (7);
   relays.options.dialect = &pf_relay;
   relays.options.hall = EL_STR ("h");
-  relays.options.is_poller = never_poller;
+  relays.options.is_poller = is_no_poller;
   relay_blame_open (&relays);
   engine_open (&engines[0], "a");
   engine_open (&engines[1], "b");
@@ -155,7 +155,7 @@
 END_TEST
 
 /* No engine answers: the fault may be this host's own, so it waits longer
-   before it takes the engine as silent. */
+   before it marks the engine as silent. */
 START_TEST (test_check_waits_longer_if_no_engine_answers)
 {
   el_time_t sent_at;
@@ -170,7 +170,7 @@
 }
 END_TEST
 
-/* An event of a stream shows that the engines of its pipeline are alive. */
+/* An event of a stream shows that the engines of its chain are alive. */
 START_TEST (test_check_stream_event_proves_liveness)
 {
   check_all_once ();
@@ -185,9 +185,9 @@
 }
 END_TEST
 
-/* An engine that gives up layers loads others only once its streams have left:
-   they are rerouted to the replica. */
-START_TEST (test_stream_leaves_an_engine_that_gives_up_layers)
+/* An engine that releases its layers loads others only once no stream uses it:
+   its streams are rerouted to the replica. */
+START_TEST (test_stream_is_rerouted_when_engine_releases_layers)
 {
   static rt_card_t card
       = { .memory_mb = 1000, .step_scale = 1, .prefill_scale = 1 };
@@ -265,7 +265,7 @@
   ADD (tcase, test_check_silent_engine_is_detected);
   ADD (tcase, test_check_waits_longer_if_no_engine_answers);
   ADD (tcase, test_check_stream_event_proves_liveness);
-  ADD (tcase, test_stream_leaves_an_engine_that_gives_up_layers);
+  ADD (tcase, test_stream_is_rerouted_when_engine_releases_layers);
   ADD (tcase, test_check_one_outstanding_per_engine);
   suite_add_tcase (suite, tcase);
   return suite;
--- a/tests/t_clock.c
+++ b/tests/t_clock.c
@@ -4,7 +4,7 @@
  */
 /** @file
  * Tests of a host that was suspended for seconds: timers, leases and blocks
- * that ran out meanwhile have ended when it resumes.
+ * that fell due meanwhile have expired when it resumes.
  */
 #include <string.h>
 
@@ -28,8 +28,8 @@
 }
 
 /* The clock includes the time of the suspension, and timers that fell due
-   meanwhile fire in the next iteration of the event loop, which something else
-   has to bring about. */
+   meanwhile fire in the next iteration of the event loop, which another event
+   has to cause. */
 START_TEST (test_clock_includes_suspension)
 {
   el_timer_t late = { .cb = timer_fired };
@@ -85,8 +85,8 @@
 }
 END_TEST
 
-/* A blocked request is admitted again when its block has run out, also where
-   the host was suspended meanwhile. */
+/* A blocked request is admitted again when its block has expired, also if the
+   host was suspended meanwhile. */
 START_TEST (test_block_expires_during_suspension)
 {
   const rt_blame_options_t options = { .max_requests = 10,
--- a/tests/t_connect.c
+++ b/tests/t_connect.c
@@ -3,9 +3,9 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Tests of requests whose endpoint stops taking new work after it was chosen
- * and before the request is sent. The relay, its endpoints and a caller run on
- * one loop, so that the test controls what happens in between.
+ * Tests of requests whose endpoint stops accepting new requests after it was
+ * chosen and before the request is sent. The relay, its endpoints and a caller
+ * run on one loop, so that the test controls what happens in between.
  */
 #include <stdio.h>
 #include <string.h>
@@ -92,7 +92,7 @@
 }
 
 static int
-never_poller (void *arg)
+is_no_poller (void *arg)
 {
   (void)arg;
   return 0;
@@ -111,7 +111,7 @@
                                  .repeat_window = 10 * EL_SEC,
                                  .hosts = one_host,
                                  .hall_hosts = one_host,
-                                 .is_poller = never_poller };
+                                 .is_poller = is_no_poller };
   el_err_t err;
 
   uv_loop_init (&loop);
@@ -154,14 +154,14 @@
                                .timeout = REQUEST_TIMEOUT,
                                .done = answer_done,
                                .arg = answer };
-  net_request_t whole = send;
+  net_request_t request = send;
   int i;
 
   snprintf (address, sizeof address, "127.0.0.1:%u",
             net_server_port (relays->server));
-  whole.address = el_str (address);
+  request.address = el_str (address);
   memset (answer, 0, sizeof *answer);
-  net_client_send (callers, &whole);
+  net_client_send (callers, &request);
   for (i = 0; i < MAX_ITERATIONS && !relays->counts.attempts; i++)
     {
       uv_run (&loop, UV_RUN_NOWAIT);
@@ -185,21 +185,21 @@
   ck_assert_int_eq (answer->done, 1);
 }
 
-/* Close an endpoint to new requests: 0: it requests a backoff, 1: it says that
-   it leaves, 2: it is no longer listed. */
+/* Close an endpoint to new requests. REASON 0: it requests a backoff, 1: it
+   announces that it is leaving, 2: it is no longer listed. */
 static void
 close_endpoint (rt_target_t *target, int reason)
 {
-  static const rt_hints_t asks[]
+  static const rt_hints_t hints[]
       = { { .rest = 60 * EL_SEC }, { .leaves = 1 }, { 0 } };
 
-  gt_relays_asked (relays, target, &asks[reason], EL_STR ("test"));
+  gt_relays_asked (relays, target, &hints[reason], EL_STR ("test"));
   if (reason == 2)
     rt_fleet_remove (relays->options.fleet, target->attrs.id);
 }
 
-/* The request goes to the other endpoint, and takes nothing from the retry
-   budget. */
+/* The request is sent to the other endpoint, and nothing is taken from the
+   retry budget. */
 START_TEST (test_connect_closed_endpoint_is_replaced)
 {
   connect_answer_t answer;
--- a/tests/t_crash.c
+++ b/tests/t_crash.c
@@ -3,15 +3,15 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Tests of requests that crash the endpoints which run them, with real
+ * Tests of requests that crash the endpoints that run them, with real
  * processes.
  *
- * One caller sent the same request again and again, and each engine that
- * started it crashed, along with the fifty streams that it ran. Hosts
- * treated every arrival as a new request: they sent it, retried it on
- * another engine, and forgot it with the response. On one day 14 engines
- * crashed under one request, and twice no engine with the first layers was
- * left for four seconds. Log lines of a host, with similar ones on others:
+ * One caller kept resubmitting the same request, and each engine that
+ * started it crashed, which interrupted the fifty streams that ran there.
+ * Hosts treated every arrival as a new request: they sent it, retried it on
+ * another engine, and kept no record of it after the response. On one day
+ * one request crashed 14 engines, and twice no engine with the first layers
+ * was left for four seconds. Log lines of a host, with similar ones on others:
  *
  *   event=attempt_failed endpoint=i-e27376682a net=broken status=200
  *     attempt=1 events=0 next=again
@@ -29,14 +29,15 @@
 #define CRASHING_BODY "a deadly roster"
 /* Number of times that it is sent, to the hosts in turn. */
 #define ARRIVALS 8
-/* Most engines that one request may crash: fewer crashes may be a coincidence.
- */
+/* Maximum number of engines that one request may crash: fewer crashes may be a
+   coincidence. */
 #define CRASHES_MAX 3
-/* Most engines that crash under one kind of order: all four receive it at
-   once, and again before the first three crashes are known. */
+/* Maximum number of engines that one kind of order may crash: all four engines
+   receive it at once, and once more before the first three crashes are known.
+ */
 #define ORDER_CRASHES_MAX (2 * SITE_ENGINES)
 /* Polls without a crash; the planner sends orders every 0.2 s. */
-#define QUIET_STEPS 600
+#define NO_CRASH_STEPS 600
 /* Polls from an engine's crash to its restart; on the platform it takes
    seconds. */
 #define RESTART_STEPS 150
@@ -56,9 +57,9 @@
     }
 }
 
-/* Replaces the engines that crashed under the request that REPLY answers, and
-   returns their number. If the request ran, at least one is crashing; its
-   process may end a moment after the response. */
+/* Replaces the engines that were crashed by the request that REPLY answers,
+   and returns their number. If the request ran, at least one is crashing; its
+   process may exit a moment after the response. */
 static size_t
 crashed_engines_replace (const reply_t *reply)
 {
@@ -73,8 +74,9 @@
   return n;
 }
 
-/* Each request is sent once all engines are back and the hosts have had time
-   to gossip. If SLOW_CRASH, engines crash slowly from the second request on.
+/* Each request is sent once all engines have been replaced and the hosts have
+   had time to gossip. If SLOW_CRASH, engines crash slowly from the second
+   request on.
    */
 static void
 assert_few_crashes (int slow_crash)
@@ -117,12 +119,12 @@
 }
 END_TEST
 
-/* A fourth engine crashed under one request, although the third crash had
-   identified the request as the cause. The third engine had closed its streams
-   but still held its port: nothing showed yet that it was crashing, and the
-   request was retried at once, as after a broken connection. The host that got
-   the second arrival learned of the third crash 40 ms after it had sent the
-   request to the fourth engine:
+/* One request crashed a fourth engine, although the third crash had identified
+   it as the cause. The third engine had closed its streams but still held its
+   port: nothing showed yet that it was crashing, and the request was retried
+   at once, as after a broken connection. The host that received the second
+   arrival learned of the third crash 40 ms after it had sent the request to
+   the fourth engine:
 
      event=endpoint_ended endpoint=e0-6be99d7ed4 sign=gone runs=1
      event=endpoint_ended endpoint=e3-6beb4e4f24 sign=gone runs=1
@@ -197,8 +199,8 @@
 END_TEST
 
 /* Other requests of the same customer and rule run on the engines that crash:
-   none of their streams that begins is incomplete, and no host blocks more
-   than one request. */
+   each stream that has begun completes, and no host blocks more than one
+   request. */
 START_TEST (test_streams_beside_a_crashing_request_are_complete)
 {
   caller_t callers[6];
@@ -249,7 +251,7 @@
   reply_t reply;
   json_t *list;
   const char *digest;
-  size_t before;
+  size_t admitted;
   int i;
 
   site_start (2);
@@ -264,19 +266,20 @@
   snprintf (path, sizeof path, "/admin/v1/blocked/%s", digest);
   json_decref (site_admin_request (1, "DELETE", path));
   json_decref (list);
-  before = 0;
-  for (i = 0; i < WAIT_STEPS_MAX && !before; i++)
-    { /* the other host learns of it a moment later */
+  admitted = 0;
+  for (i = 0; i < WAIT_STEPS_MAX && !admitted; i++)
+    { /* the other host learns of the unblocking a moment later */
       send_request_body (0, "/chat/x", CRASHING_BODY, "g", &reply);
-      before = reply.status != 503;
+      admitted = reply.status != 503;
       reply_free (&reply);
     }
-  ck_assert_uint_eq (before, 1);
+  ck_assert_uint_eq (admitted, 1);
   ck_assert_uint_ge (site_engines_replace (), 1);
 }
 END_TEST
 
-/* Workers, and a request that is never retried: four of them crash at most. */
+/* The same for workers and a request that is never retried: at most four of
+   them crash. */
 START_TEST (test_request_that_crashes_workers_is_blocked)
 {
   char id[16];
@@ -300,33 +303,33 @@
 }
 END_TEST
 
-/* The operators' memory size of the card is wrong: each engine crashes under
-   its order and restarts empty. The planner stops sending the order, and so
-   does the planner that takes over. */
+/* The memory size that operators configured for the card is wrong: each engine
+   crashes on its order and restarts empty. The planner stops sending the
+   order, and so does the planner that takes over. */
 START_TEST (test_order_that_crashes_engines_is_withdrawn)
 {
   size_t ended = 0;
   size_t last;
   size_t i;
-  int quiet;
+  int no_crash;
 
   site.max_layers = "1";
   site_start_unplaced (2);
-  for (quiet = 0; quiet < QUIET_STEPS; quiet++)
+  for (no_crash = 0; no_crash < NO_CRASH_STEPS; no_crash++)
     {
       last = ended;
-      if (quiet % RESTART_STEPS == RESTART_STEPS - 1)
+      if (no_crash % RESTART_STEPS == RESTART_STEPS - 1)
         ended += site_engines_replace_nowait ();
       ck_assert_uint_le (ended, ORDER_CRASHES_MAX);
       if (ended != last)
-        quiet = 0;
+        no_crash = 0;
       poll_sleep ();
     }
   ck_assert_uint_ge (ended, CRASHES_MAX);
   i = metric_value (&site.hosts[0], "elmarch_planner") ? 0 : 1;
   proc_end (&site.hosts[i], SIGKILL);
   metric_wait_min (&site.hosts[1 - i], "elmarch_planner", 1);
-  for (quiet = 0; quiet < QUIET_STEPS; quiet++)
+  for (no_crash = 0; no_crash < NO_CRASH_STEPS; no_crash++)
     {
       ck_assert_uint_eq (site_engines_replace_nowait (), 0);
       poll_sleep ();
@@ -335,7 +338,7 @@
 END_TEST
 
 /* The payment hangs at a worker, which is then killed. Returns the number of
-   workers that ended. */
+   workers that were replaced. */
 static size_t
 crash_worker_during_payment (size_t host, const char *id)
 {
@@ -364,12 +367,12 @@
   return site_workers_replace ();
 }
 
-/* A frequent payment was running when an endpoint ended, and again when
-   another did a while later. In between, another host or the same one had run
-   it successfully. It was blocked for ten minutes as a request that crashes
-   endpoints: hosts gossiped a successful run only if the request had run under
-   two crashes by then, so hosts that learned of two crashes knew of no
-   success:
+/* A frequent payment was running when an endpoint crashed, and also when
+   another crashed a while later. In between, another host or the same one had
+   run it successfully. It was blocked for ten minutes as a request that
+   crashes endpoints: hosts gossiped a successful run only if the request had
+   been running at two crashes by then, so hosts that learned of two crashes
+   knew of no success:
 
      request_blocked by=ends ends=2 odds=24 holds=1 left_us=599724755
      blocked_for_end endpoint=w1-5dde3a43f5 age_us=876151 ran_us=5829 first=1
@@ -401,8 +404,8 @@
 Suite *
 crash_suite (void)
 {
-  Suite *suite = suite_create ("ends");
-  TCase *tcase = tcase_create ("ends");
+  Suite *suite = suite_create ("crash");
+  TCase *tcase = tcase_create ("crash");
 
   tcase_set_timeout (tcase, 120);
   tcase_add_checked_fixture (tcase, site_setup, site_teardown);
--- a/tests/t_epoch.c
+++ b/tests/t_epoch.c
@@ -3,10 +3,10 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Tests of store epochs. A store that goes on from an older copy of its data
- * begins a new epoch, in which revisions of the former one may occur again.
- * Tests the table of known keys, and a follower and a duty against an endpoint
- * that sends scripted bytes.
+ * Tests of store epochs. A store that is restored from a backup of its data
+ * begins a new epoch, in which revisions of the former epoch may be assigned
+ * again. Tests the table of known keys, and a follower and a duty against an
+ * endpoint that sends scripted bytes.
  */
 #include <string.h>
 
@@ -93,14 +93,14 @@
 END_TEST
 
 /* A read in a new epoch passes on only what differs; a host that is still in
-   the former epoch is told all keys. */
+   the former epoch receives all keys. */
 START_TEST (test_keys_new_epoch_passes_on_differences)
 {
   const pr_store_item_t other
       = { .key = EL_STR ("o"), .value = EL_STR ("x"), .revision = 3 };
   record_t record = { .refuse = 0 };
   gt_keys_t *keys = open_keys (&record);
-  pr_store_update_t news = { 0 };
+  pr_store_update_t update = { 0 };
 
   put_key (keys, 1, 5, "a");
   gt_keys_apply (keys, 1, &other);
@@ -109,13 +109,13 @@
   put_key (keys, 2, 4, "b");
   gt_keys_end_snapshot (keys, (pr_store_position_t){ 2, 4 });
   check_record (&record, "+k=a +o=x +k=b ");
-  gt_keys_changes_since (keys, (pr_store_position_t){ 1, 9 }, &news);
-  ck_assert_int_eq (news.whole, 1);
-  ck_assert_uint_eq (news.n, 2);
-  free (news.items);
-  gt_keys_changes_since (keys, (pr_store_position_t){ 2, 4 }, &news);
-  ck_assert_int_eq (news.whole, 0);
-  free (news.items);
+  gt_keys_changes_since (keys, (pr_store_position_t){ 1, 9 }, &update);
+  ck_assert_int_eq (update.whole, 1);
+  ck_assert_uint_eq (update.n, 2);
+  free (update.items);
+  gt_keys_changes_since (keys, (pr_store_position_t){ 2, 4 }, &update);
+  ck_assert_int_eq (update.whole, 0);
+  free (update.items);
   gt_keys_free (keys);
   el_buf_free (&record.text);
 }
@@ -127,14 +127,14 @@
 {
   record_t record = { .refuse = 0 };
   gt_keys_t *keys = open_keys (&record);
-  pr_store_update_t news = { 0 };
+  pr_store_update_t update = { 0 };
 
   put_key (keys, 1, 5, "v66");
   record.refuse = 1;
   put_key (keys, 2, 3, "v59");
-  gt_keys_changes_since (keys, (pr_store_position_t){ 1, 0 }, &news);
-  ck_assert (el_str_eq (news.items[0].value, EL_STR ("v66")));
-  free (news.items);
+  gt_keys_changes_since (keys, (pr_store_position_t){ 1, 0 }, &update);
+  ck_assert (el_str_eq (update.items[0].value, EL_STR ("v66")));
+  free (update.items);
   gt_keys_free (keys);
   el_buf_free (&record.text);
 }
@@ -143,7 +143,7 @@
 /* A key that the first read of an epoch lacks stays valid, and one that had
    been deleted and is back stays deleted, until gt_keys_release_held or the
    next change of the key. */
-START_TEST (test_keys_missing_or_restored_wait_for_settle)
+START_TEST (test_keys_missing_or_restored_are_held_until_release)
 {
   static const pr_store_item_t gone[]
       = { { .key = EL_STR ("g"), .value = EL_STR ("1"), .revision = 3 },
@@ -378,7 +378,7 @@
 END_TEST
 
 /* Guards against two holders: a holder that does not know of the new epoch may
-   go on until its lease runs out. */
+   continue until its lease expires. */
 START_TEST (test_duty_waits_for_leases_of_former_epoch)
 {
   gt_store_t store = { .clock = &test_clock,
@@ -441,7 +441,7 @@
   ADD (tcase, test_keys_former_epoch_is_ignored);
   ADD (tcase, test_keys_new_epoch_passes_on_differences);
   ADD (tcase, test_keys_refused_value_is_not_passed_on);
-  ADD_LOOP (tcase, test_keys_missing_or_restored_wait_for_settle, 2);
+  ADD_LOOP (tcase, test_keys_missing_or_restored_are_held_until_release, 2);
   ADD (tcase, test_follow_watch_across_epochs_is_discarded);
   ADD (tcase, test_follow_new_epoch_between_pages_restarts_read);
   ADD (tcase, test_follow_two_epochs_in_quick_succession);
--- a/tests/t_load.c
+++ b/tests/t_load.c
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Simulated load on the selection of pipelines. The hosts of a hall each know
+ * Simulated load on the selection of chains. The hosts of a hall each know
  * only their own streams and the engines' reports; the engines account for all
  * streams. Deterministic: no clock, no random numbers.
  */
@@ -34,7 +34,7 @@
 
 typedef struct sim_stream
 {
-  rt_chain_t line;
+  rt_chain_t chain;
   el_time_t end;
   int in_use;
 } sim_stream_t;
@@ -92,7 +92,7 @@
   for (i = 0; i < STREAMS_MAX; i++)
     if (streams[i].in_use)
       {
-        rt_chain_release (&streams[i].line);
+        rt_chain_release (&streams[i].chain);
         streams[i].in_use = 0;
       }
   for (i = 0; i < HOSTS; i++)
@@ -148,31 +148,31 @@
   return NULL;
 }
 
-/* Account for a stream on the engines of its pipeline: add it if SIGN is 1,
+/* Account for a stream on the engines of its chain: add it if SIGN is 1,
    remove it if -1. */
 static void
-engines_account (const rt_chain_t *line, int sign)
+engines_account (const rt_chain_t *chain, int sign)
 {
   size_t i;
 
-  for (i = 0; i < line->n; i++)
-    engine_of (line->part[i].target)->token_layers
+  for (i = 0; i < chain->n; i++)
+    engine_of (chain->part[i].target)->token_layers
         += sign * STREAM_TOKENS
-           * (double)(line->part[i].to - line->part[i].from);
-  engine_of (line->part[0].target)->running += (unsigned)sign;
+           * (double)(chain->part[i].to - chain->part[i].from);
+  engine_of (chain->part[0].target)->running += (unsigned)sign;
 }
 
 /* The duration of a stream: for each token, the steps on the engines, slowed
    down by other streams, and the hops between engines. */
 static el_time_t
-stream_duration (const rt_chain_t *line)
+stream_duration (const rt_chain_t *chain)
 {
   double ms = 0;
   size_t i;
 
-  for (i = 0; i < line->n; i++)
+  for (i = 0; i < chain->n; i++)
     {
-      const struct rt_chain_part *part = &line->part[i];
+      const struct rt_chain_part *part = &chain->part[i];
       const rt_card_t *card
           = rt_model_card (&service.model, part->target->attrs.card);
 
@@ -196,13 +196,14 @@
 
   while (stream->in_use)
     ck_assert (++stream < streams + STREAMS_MAX);
-  ck_assert_int_eq (rt_chain_pick (hosts[host], now, &want, &stream->line), 1);
-  rt_chain_acquire (&stream->line, NULL, 0);
-  stream->line.part[0].target->running++;
-  stream->end = now + stream_duration (&stream->line);
+  ck_assert_int_eq (rt_chain_pick (hosts[host], now, &want, &stream->chain),
+                    1);
+  rt_chain_acquire (&stream->chain, NULL, 0);
+  stream->chain.part[0].target->running++;
+  stream->end = now + stream_duration (&stream->chain);
   stream->in_use = 1;
-  engines_account (&stream->line, 1);
-  return engine_of (stream->line.part[0].target);
+  engines_account (&stream->chain, 1);
+  return engine_of (stream->chain.part[0].target);
 }
 
 static void
@@ -213,9 +214,9 @@
   for (stream = streams; stream < streams + STREAMS_MAX; stream++)
     if (stream->in_use && stream->end <= now)
       {
-        engines_account (&stream->line, -1);
-        stream->line.part[0].target->running--;
-        rt_chain_release (&stream->line);
+        engines_account (&stream->chain, -1);
+        stream->chain.part[0].target->running--;
+        rt_chain_release (&stream->chain);
         stream->in_use = 0;
       }
 }
@@ -267,7 +268,7 @@
 }
 
 /* A hall without most of its large engines: streams take 3.6 s instead of 2.3,
-   and one of the two first engines leads to the faster pipeline. 80 streams
+   and one of the two first engines has the faster chain. 80 streams
    per second are 288 at a time, for 384 slots. */
 START_TEST (test_load_slots_of_all_first_engines_are_used)
 {
@@ -329,7 +330,7 @@
 }
 
 /* A hall that has lost both of its large engines, under normal load: the other
-   engines hold enough replicas of the layers to carry it. When the layout
+   engines hold enough replicas of the layers to serve it. When the layout
    reserves memory for all of an engine's slots, 767 of 960 streams find no
    free slot; with the limit that layout.c sets, 31. */
 START_TEST (test_load_hall_without_its_large_engines)
--- a/tests/t_members.c
+++ b/tests/t_members.c
@@ -22,7 +22,7 @@
   mbr_net_t *net = mbr_net_new ((uint64_t)seed + 1, HOSTS, 3);
 
   mbr_net_run (net, net->now + SETTLE_TIME);
-  ck_assert_msg (mbr_net_is_converged (net, HOSTS), "seed %d: not settled",
+  ck_assert_msg (mbr_net_is_converged (net, HOSTS), "seed %d: not converged",
                  seed);
   return net;
 }
--- a/tests/t_net.c
+++ b/tests/t_net.c
@@ -367,7 +367,7 @@
 /* Event streams. */
 
 static void
-note_event (void *arg, el_str_t event, int has_id, uint64_t id)
+record_event (void *arg, el_str_t event, int has_id, uint64_t id)
 {
   el_buf_printf (arg, "[%zu:%d:%lu]", event.len, has_id, (unsigned long)id);
 }
@@ -384,9 +384,9 @@
   for (cut = 0; cut <= text.len; cut++)
     {
       el_buf_reset (&out);
-      relay_events_add (&events, (el_str_t){ text.ptr, cut }, note_event,
+      relay_events_add (&events, (el_str_t){ text.ptr, cut }, record_event,
                         &out);
-      relay_events_add (&events, el_str_after (text, cut), note_event, &out);
+      relay_events_add (&events, el_str_after (text, cut), record_event, &out);
       ck_assert_str_eq (out.ptr, "[15:1:7][17:1:8][9:0:0]");
       ck_assert_uint_eq (events.part.len, 8);
       relay_events_reset (&events);
--- a/tests/t_random.c
+++ b/tests/t_random.c
@@ -62,7 +62,7 @@
   net_result_t result = { .net = NET_OK, .status = 200 };
   gt_store_list_t list = { 0 };
   rt_attrs_t attrs;
-  json_t *keep;
+  json_t *entry_json;
   el_err_t err;
   size_t bytes = 0;
   size_t cut;
@@ -71,10 +71,10 @@
   rt_rules_unref (pf_rules_read (el_buf_str (&text), &err));
   el_buf_free (&text);
   text = seeds_mutate (entry_text);
-  if (pf_attrs_read (EL_STR ("servers/x"), el_buf_str (&text), &attrs, &keep,
-                     &err))
+  if (pf_attrs_read (EL_STR ("servers/x"), el_buf_str (&text), &attrs,
+                     &entry_json, &err))
     ck_assert_uint_le (attrs.first, attrs.end);
-  json_decref (keep);
+  json_decref (entry_json);
   el_buf_free (&text);
   text = seeds_mutate (list_text);
   result.body = el_buf_str (&text);
@@ -314,7 +314,7 @@
           order_execute (&sim.orders[i]);
     }
   ck_assert_msg (idle_runs == 20,
-                 "seed %lu: the planner gives orders without end",
+                 "seed %lu: the planner does not stop giving orders",
                  (unsigned long)seed);
   if (uncovered_layers (&held))
     ck_assert_msg (held < 2 * LAYERS,
@@ -329,15 +329,15 @@
 }
 END_TEST
 
-/* Attempts with random outcomes: they end, a request that may not be repeated
-   runs at most once, and one is refused only if it did not run. */
+/* Attempts with random outcomes: they end, a request that must not be retried
+   runs at most once, and a request is refused only if it did not run. */
 static void
 fuzz_attempts (uint64_t seed)
 {
   const rt_rule_t rule = { .kind = (rt_rule_kind_t)seeds_random (3),
                            .attempts = 1 + seeds_random (3),
                            .resumable = (int)seeds_random (2) };
-  rt_attempts_t course = { 0, 0 };
+  rt_attempts_t state = { 0, 0 };
   rt_attempt_t attempt;
   unsigned may_run = 0;
   unsigned sent = 0;
@@ -355,7 +355,7 @@
         }
       sent++;
       may_run += attempt.verdict != EL_NOT_RUN;
-      next = rt_attempts_next (&course, &rule, &attempt, (int)seeds_random (4),
+      next = rt_attempts_next (&state, &rule, &attempt, (int)seeds_random (4),
                                seeds_random (100) * EL_MSEC);
       ck_assert_msg (sent <= 8, "seed %lu: retries do not end",
                      (unsigned long)seed);
--- a/tests/t_relay.c
+++ b/tests/t_relay.c
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Tests of the routing of relayed requests: endpoint selection, pipelines
- * (lines) of engines, and placement of model layers.
+ * Tests of the routing of relayed requests: selection of endpoints and of
+ * chains of engines, and placement of model layers.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -82,7 +82,7 @@
 }
 
 static int
-pipeline_pick (const char *hall, const rt_tried_t *tried, rt_chain_t *out)
+chain_pick (const char *hall, const rt_tried_t *tried, rt_chain_t *out)
 {
   static const rt_tried_t none;
   const rt_chain_query_t want = { .service = &service,
@@ -187,27 +187,27 @@
 }
 END_TEST
 
-/* Pipelines. */
+/* Chains. */
 
 START_TEST (test_chain_covers_each_layer_once)
 {
-  rt_chain_t line;
+  rt_chain_t chain;
 
   add_engine ("a", "h", "large", 0, 16);
   add_engine ("b", "h", "middle", 10, 40);
   add_engine ("c", "h", "middle", 30, 80);
-  ck_assert_int_eq (pipeline_pick ("h", NULL, &line), 1);
-  ck_assert_int_eq (rt_chain_valid (&line, LAYERS), 1);
+  ck_assert_int_eq (chain_pick ("h", NULL, &chain), 1);
+  ck_assert_int_eq (rt_chain_valid (&chain, LAYERS), 1);
   add_engine ("b", "h", "middle", 17, 40);
-  ck_assert_int_eq (pipeline_pick ("h", NULL, &line), 0);
-  ck_assert_uint_eq (line.n, 0);
+  ck_assert_int_eq (chain_pick ("h", NULL, &chain), 0);
+  ck_assert_uint_eq (chain.n, 0);
 }
 END_TEST
 
 START_TEST (test_chain_stays_in_the_callers_hall)
 {
   rt_order_t orders[64];
-  rt_chain_t line;
+  rt_chain_t chain;
   size_t n;
   size_t i;
 
@@ -215,13 +215,13 @@
   add_hall ("near", 1, 5, 8);
   n = rt_layout_assign (fleet, &service, NULL, 0, orders, 64);
   orders_apply (orders, n);
-  ck_assert_int_eq (pipeline_pick ("near", NULL, &line), 1);
-  for (i = 0; i < line.n; i++)
-    ck_assert (el_str_eq (line.part[i].target->attrs.hall, EL_STR ("near")));
+  ck_assert_int_eq (chain_pick ("near", NULL, &chain), 1);
+  for (i = 0; i < chain.n; i++)
+    ck_assert (el_str_eq (chain.part[i].target->attrs.hall, EL_STR ("near")));
   rt_fleet_remove (fleet, EL_STR ("near-large-0"));
-  ck_assert_int_eq (pipeline_pick ("near", NULL, &line), 1);
-  for (i = 0; i < line.n; i++)
-    ck_assert (el_str_eq (line.part[i].target->attrs.hall, EL_STR ("far")));
+  ck_assert_int_eq (chain_pick ("near", NULL, &chain), 1);
+  for (i = 0; i < chain.n; i++)
+    ck_assert (el_str_eq (chain.part[i].target->attrs.hall, EL_STR ("far")));
 }
 END_TEST
 
@@ -232,7 +232,7 @@
   const rt_load_t full = { .fill = 0.85, .pace = 1 };
   rt_order_t orders[64];
   rt_target_t *target;
-  rt_chain_t line;
+  rt_chain_t chain;
   size_t n;
 
   add_hall ("far", 1, 5, 8);
@@ -244,34 +244,34 @@
       rt_target_report (target, &full, NOW);
   rt_fleet_set_hosts (fleet, 1, 10);
   rt_fleet_stream_sent (fleet, NOW, 900);
-  ck_assert_int_eq (pipeline_pick ("near", NULL, &line), 1);
-  ck_assert (el_str_eq (line.part[0].target->attrs.hall, EL_STR ("far")));
+  ck_assert_int_eq (chain_pick ("near", NULL, &chain), 1);
+  ck_assert (el_str_eq (chain.part[0].target->attrs.hall, EL_STR ("far")));
   rt_fleet_stream_sent (fleet, NOW, 900 * 1000);
-  ck_assert_int_eq (pipeline_pick ("near", NULL, &line), 1);
-  ck_assert (el_str_eq (line.part[0].target->attrs.hall, EL_STR ("near")));
+  ck_assert_int_eq (chain_pick ("near", NULL, &chain), 1);
+  ck_assert (el_str_eq (chain.part[0].target->attrs.hall, EL_STR ("near")));
 }
 END_TEST
 
 START_TEST (test_chain_uses_avoided_engines_as_last_resort)
 {
   rt_target_t *a = add_engine ("a", "h", "large", 0, 80);
-  rt_chain_t line;
+  rt_chain_t chain;
 
   rt_target_busy (a, NOW);
-  ck_assert_int_eq (pipeline_pick ("h", NULL, &line), 1);
+  ck_assert_int_eq (chain_pick ("h", NULL, &chain), 1);
   rt_target_mark_leaving (a);
-  ck_assert_int_eq (pipeline_pick ("h", NULL, &line), 0);
+  ck_assert_int_eq (chain_pick ("h", NULL, &chain), 0);
 }
 END_TEST
 
-/* Engines with random, overlapping layer ranges: a pipeline that is picked
-   covers all layers and uses no engine twice; none is found only if some layer
+/* Engines with random, overlapping layer ranges: a chain that is picked covers
+   all layers and uses no engine twice; none is found only if some layer
    is held by no engine. */
 START_TEST (test_chain_random_layout_is_covered_or_refused)
 {
   unsigned cover[LAYERS] = { 0 };
   char id[16];
-  rt_chain_t line;
+  rt_chain_t chain;
   unsigned uncovered = 0;
   unsigned i;
   unsigned k;
@@ -294,18 +294,18 @@
     }
   for (k = 0; k < LAYERS; k++)
     uncovered += !cover[k];
-  if (pipeline_pick ("h", NULL, &line))
+  if (chain_pick ("h", NULL, &chain))
     {
       ck_assert_uint_eq (uncovered, 0);
-      ck_assert_int_eq (rt_chain_valid (&line, LAYERS), 1);
-      for (i = 0; i < line.n; i++)
+      ck_assert_int_eq (rt_chain_valid (&chain, LAYERS), 1);
+      for (i = 0; i < chain.n; i++)
         for (k = 0; k < i; k++)
-          ck_assert_ptr_ne (line.part[i].target, line.part[k].target);
+          ck_assert_ptr_ne (chain.part[i].target, chain.part[k].target);
     }
   else
     {
       ck_assert_uint_gt (uncovered, 0);
-      ck_assert_uint_eq (line.n, 0);
+      ck_assert_uint_eq (chain.n, 0);
     }
 }
 END_TEST
@@ -316,22 +316,22 @@
   rt_target_t *b = add_engine ("b", "h", "small", 40, 60);
   rt_target_t *c = add_engine ("c", "h", "small", 60, 80);
   rt_tried_t tried = { .n = 0 };
-  rt_chain_t line;
+  rt_chain_t chain;
   rt_chain_t around;
 
-  ck_assert_int_eq (pipeline_pick ("h", NULL, &line), 1);
-  ck_assert_uint_eq (line.n, 3);
+  ck_assert_int_eq (chain_pick ("h", NULL, &chain), 1);
+  ck_assert_uint_eq (chain.n, 3);
   rt_tried_add (&tried, b);
   ck_assert_int_eq (
-      rt_chain_reroute (fleet, NOW, &service, &line, &tried, &around), 0);
+      rt_chain_reroute (fleet, NOW, &service, &chain, &tried, &around), 0);
   add_engine ("spare", "h", "small", 40, 60);
   ck_assert_int_eq (
-      rt_chain_reroute (fleet, NOW, &service, &line, &tried, &around), 1);
+      rt_chain_reroute (fleet, NOW, &service, &chain, &tried, &around), 1);
   ck_assert_ptr_eq (around.part[0].target, a);
   ck_assert_ptr_eq (around.part[2].target, c);
   rt_tried_add (&tried, a);
   ck_assert_int_eq (
-      rt_chain_reroute (fleet, NOW, &service, &line, &tried, &around), 0);
+      rt_chain_reroute (fleet, NOW, &service, &chain, &tried, &around), 0);
 }
 END_TEST
 
@@ -339,16 +339,16 @@
 {
   rt_target_t *a = add_engine ("a", "h", "small", 0, 6);
   rt_target_t *b = add_engine ("b", "h", "small", 0, 6);
-  rt_chain_t line;
+  rt_chain_t chain;
 
   add_engine ("c", "h", "large", 6, 80);
   a->kv_held = 1e9;
-  ck_assert_int_eq (pipeline_pick ("h", NULL, &line), 1);
-  ck_assert_ptr_eq (line.part[0].target, b);
+  ck_assert_int_eq (chain_pick ("h", NULL, &chain), 1);
+  ck_assert_ptr_eq (chain.part[0].target, b);
   a->kv_held = 0;
   b->kv_held = 1e9;
-  ck_assert_int_eq (pipeline_pick ("h", NULL, &line), 1);
-  ck_assert_ptr_eq (line.part[0].target, a);
+  ck_assert_int_eq (chain_pick ("h", NULL, &chain), 1);
+  ck_assert_ptr_eq (chain.part[0].target, a);
 }
 END_TEST
 
@@ -356,16 +356,16 @@
 {
   rt_target_t *a = add_engine ("a", "h", "small", 0, 6);
   rt_target_t *b = add_engine ("b", "h", "small", 0, 6);
-  rt_chain_t line;
+  rt_chain_t chain;
 
   add_engine ("c", "h", "large", 6, 80);
   a->pace = 4;
-  ck_assert_int_eq (pipeline_pick ("h", NULL, &line), 1);
-  ck_assert_ptr_eq (line.part[0].target, b);
+  ck_assert_int_eq (chain_pick ("h", NULL, &chain), 1);
+  ck_assert_ptr_eq (chain.part[0].target, b);
   a->pace = 0;
   b->pace = 4;
-  ck_assert_int_eq (pipeline_pick ("h", NULL, &line), 1);
-  ck_assert_ptr_eq (line.part[0].target, a);
+  ck_assert_int_eq (chain_pick ("h", NULL, &chain), 1);
+  ck_assert_ptr_eq (chain.part[0].target, a);
 }
 END_TEST
 
@@ -378,25 +378,25 @@
   rt_target_t *c = add_engine ("c", "h", "small", 12, 18);
   rt_tried_t tried = { .n = 0 };
   rt_chain_t old;
-  rt_chain_t line;
+  rt_chain_t chain;
 
   add_engine ("f", "h", "small", 0, 6);
   add_engine ("d", "h", "small", 12, 18);
   add_engine ("e", "h", "large", 18, 80);
   a->asked = NOW - 20 * EL_MSEC;
-  ck_assert_int_eq (pipeline_pick ("h", NULL, &line), 1);
-  ck_assert_ptr_eq (line.part[1].target, b);
+  ck_assert_int_eq (chain_pick ("h", NULL, &chain), 1);
+  ck_assert_ptr_eq (chain.part[1].target, b);
   a->asked = NOW; /* not overdue yet */
   b->asked = NOW - 20 * EL_MSEC;
-  ck_assert_int_eq (pipeline_pick ("h", NULL, &old), 1);
+  ck_assert_int_eq (chain_pick ("h", NULL, &old), 1);
   ck_assert_ptr_eq (old.part[1].target, a);
   c->asked = NOW - 20 * EL_MSEC;
-  ck_assert_int_eq (pipeline_pick ("h", NULL, &line), 1);
-  ck_assert_ptr_ne (line.part[2].target, c);
+  ck_assert_int_eq (chain_pick ("h", NULL, &chain), 1);
+  ck_assert_ptr_ne (chain.part[2].target, c);
   rt_tried_add (&tried, a); /* leaves only b, overdue or not */
   ck_assert_int_eq (
-      rt_chain_reroute (fleet, NOW, &service, &old, &tried, &line), 1);
-  ck_assert_ptr_eq (line.part[1].target, b);
+      rt_chain_reroute (fleet, NOW, &service, &old, &tried, &chain), 1);
+  ck_assert_ptr_eq (chain.part[1].target, b);
 }
 END_TEST
 
@@ -408,26 +408,26 @@
   rt_load_t old = { .fill = 0.1, .pace = 1 };
   rt_target_t *a = add_engine ("a", "h", "small", 0, 6);
   rt_target_t *b = add_engine ("b", "h", "small", 0, 6);
-  rt_chain_t line;
+  rt_chain_t chain;
   rt_chain_t other;
   rt_chain_t filled;
 
   add_engine ("c", "h", "large", 6, 80);
   ck_assert_int_eq (rt_target_report (a, &full, NOW), 1);
   ck_assert_int_eq (rt_target_report (a, &old, NOW - EL_SEC), 0);
-  ck_assert_int_eq (pipeline_pick ("h", NULL, &line), 1);
-  ck_assert_ptr_eq (line.part[0].target, b);
-  ck_assert (line.fill <= 1);
+  ck_assert_int_eq (chain_pick ("h", NULL, &chain), 1);
+  ck_assert_ptr_eq (chain.part[0].target, b);
+  ck_assert (chain.fill <= 1);
   ck_assert_int_eq (rt_target_report (b, &full, NOW), 1);
-  ck_assert_int_eq (pipeline_pick ("h", NULL, &line), 1);
+  ck_assert_int_eq (chain_pick ("h", NULL, &chain), 1);
   rt_fleet_set_hosts (fleet, 20, 20);
-  rt_chain_acquire (&line, NULL, 0); /* 20 hosts may do the same */
-  ck_assert_int_eq (pipeline_pick ("h", NULL, &other), 1);
-  ck_assert_ptr_ne (other.part[0].target, line.part[0].target);
+  rt_chain_acquire (&chain, NULL, 0); /* 20 hosts may do the same */
+  ck_assert_int_eq (chain_pick ("h", NULL, &other), 1);
+  ck_assert_ptr_ne (other.part[0].target, chain.part[0].target);
   rt_chain_acquire (&other, NULL, 0);
-  ck_assert_int_eq (pipeline_pick ("h", NULL, &filled), 1);
+  ck_assert_int_eq (chain_pick ("h", NULL, &filled), 1);
   ck_assert (filled.fill > 1);
-  rt_chain_release (&line);
+  rt_chain_release (&chain);
   rt_chain_release (&other);
 }
 END_TEST
@@ -439,65 +439,65 @@
   rt_target_t *a = add_engine ("a", "h", "small", 0, 6);
   rt_target_t *b = add_engine ("b", "h", "small", 0, 6);
   rt_chain_t first;
-  rt_chain_t line;
+  rt_chain_t chain;
 
   add_engine ("c", "h", "large", 6, 80);
   rt_fleet_set_hosts (fleet, 20, 20);
-  ck_assert_int_eq (pipeline_pick ("h", NULL, &first), 1);
+  ck_assert_int_eq (chain_pick ("h", NULL, &first), 1);
   first.tokens = 0; /* memory does not decide here */
   rt_chain_acquire (&first, NULL, 2000);
-  ck_assert_int_eq (pipeline_pick ("h", NULL, &line), 1);
-  ck_assert_ptr_eq (line.part[0].target, first.part[0].target == a ? b : a);
+  ck_assert_int_eq (chain_pick ("h", NULL, &chain), 1);
+  ck_assert_ptr_eq (chain.part[0].target, first.part[0].target == a ? b : a);
   rt_chain_progress (&first, NOW);
   ck_assert_uint_eq (first.part[0].target->last_event_at, NOW);
   ck_assert (first.part[0].target->to_prefill == 0);
-  rt_chain_acquire (&line, NULL, 2000);
-  rt_chain_release (&line);
+  rt_chain_acquire (&chain, NULL, 2000);
+  rt_chain_release (&chain);
   ck_assert (a->to_prefill == 0 && b->to_prefill == 0);
   rt_chain_release (&first);
 }
 END_TEST
 
-/* A rerouted stream repeats the prefill only on the engines that are new in
-   its pipeline. */
+/* A rerouted stream needs another prefill only on the engines that are new in
+   its chain. */
 START_TEST (test_chain_reroute_prefills_only_new_engines)
 {
   rt_target_t *b;
   rt_tried_t tried = { .n = 0 };
   rt_chain_t old;
-  rt_chain_t line;
+  rt_chain_t chain;
 
   add_engine ("f", "h", "large", 0, 10);
   b = add_engine ("b", "h", "small", 10, 16);
   add_engine ("c", "h", "large", 16, 80);
-  ck_assert_int_eq (pipeline_pick ("h", NULL, &old), 1);
+  ck_assert_int_eq (chain_pick ("h", NULL, &old), 1);
   rt_chain_acquire (&old, NULL, 500);
   rt_chain_progress (&old, NOW);
   add_engine ("d", "h", "small", 10, 16);
   rt_tried_add (&tried, b);
   ck_assert_int_eq (
-      rt_chain_reroute (fleet, NOW, &service, &old, &tried, &line), 1);
-  ck_assert_ptr_eq (rt_chain_fullest (&line, &old), line.part[1].target);
-  rt_chain_acquire (&line, &old, 700);
-  ck_assert (line.part[0].to_prefill == 0);
-  ck_assert (line.part[1].to_prefill == 700);
-  ck_assert (line.part[2].to_prefill == 0);
+      rt_chain_reroute (fleet, NOW, &service, &old, &tried, &chain), 1);
+  ck_assert_ptr_eq (rt_chain_fullest (&chain, &old), chain.part[1].target);
+  rt_chain_acquire (&chain, &old, 700);
+  ck_assert (chain.part[0].to_prefill == 0);
+  ck_assert (chain.part[1].to_prefill == 700);
+  ck_assert (chain.part[2].to_prefill == 0);
   rt_chain_release (&old);
-  rt_chain_release (&line);
+  rt_chain_release (&chain);
 }
 END_TEST
 
 START_TEST (test_chain_in_use_is_accounted_on_its_engine)
 {
   rt_target_t *a = add_engine ("a", "h", "large", 0, 80);
-  rt_chain_t line;
+  rt_chain_t chain;
 
-  ck_assert_int_eq (pipeline_pick ("h", NULL, &line), 1);
-  rt_chain_acquire (&line, NULL, 0);
+  ck_assert_int_eq (chain_pick ("h", NULL, &chain), 1);
+  rt_chain_acquire (&chain, NULL, 0);
   ck_assert_uint_eq (a->chains, 1);
   ck_assert (a->kv_held > 0);
   rt_fleet_remove (fleet, EL_STR ("a"));
-  rt_chain_release (&line);
+  rt_chain_release (&chain);
 }
 END_TEST
 
@@ -554,7 +554,7 @@
 {
   rt_order_t orders[64];
   unsigned layers = 0;
-  double least = 1e9;
+  double capacity_min = 1e9;
   size_t n;
   size_t i;
 
@@ -564,23 +564,23 @@
   for (i = 0; i < n; i++)
     {
       layers += orders[i].end - orders[i].first;
-      if (order_capacity (&orders[i]) < least)
-        least = order_capacity (&orders[i]);
+      if (order_capacity (&orders[i]) < capacity_min)
+        capacity_min = order_capacity (&orders[i]);
     }
   ck_assert_uint_ge (layers, LAYERS * 5 / 4);
   if (_i == 0)
     ck_assert_uint_le (layers, LAYERS * 3 / 2);
   else
-    ck_assert_double_ge (least, 100 * service.model.typical_tokens);
+    ck_assert_double_ge (capacity_min, 100 * service.model.typical_tokens);
 }
 END_TEST
 
-/* Pipelines use the engines with the lowest time per token and layer; slow
+/* Chains use the engines with the lowest time per token and layer; slow
    engines hold replicas, however large their memory. */
 START_TEST (test_layout_chain_uses_fast_engines)
 {
   rt_order_t orders[64];
-  rt_chain_t line;
+  rt_chain_t chain;
   size_t n;
   size_t i;
 
@@ -588,10 +588,10 @@
   add_hall ("a", 2, 4, 14);
   n = rt_layout_assign (fleet, &service, NULL, 0, orders, 64);
   orders_apply (orders, n);
-  ck_assert_int_eq (pipeline_pick ("a", NULL, &line), 1);
-  for (i = 0; i < line.n; i++)
+  ck_assert_int_eq (chain_pick ("a", NULL, &chain), 1);
+  for (i = 0; i < chain.n; i++)
     ck_assert (
-        !el_str_eq (line.part[i].target->attrs.card, EL_STR ("middle")));
+        !el_str_eq (chain.part[i].target->attrs.card, EL_STR ("middle")));
   cards[2].step_scale = 15;
 }
 END_TEST
--- a/tests/t_restart.c
+++ b/tests/t_restart.c
@@ -37,8 +37,8 @@
   reply_free (&caller.reply);
 }
 
-/* Each engine announces that it drains, ends, and restarts with the same id:
-   it counts as a new engine, gets layers, and serves streams. */
+/* Each engine announces that it is leaving, exits, and restarts with the same
+   id: it counts as a new engine, gets layers, and serves streams. */
 START_TEST (test_restarted_engines_are_used)
 {
   reply_t reply;
@@ -154,8 +154,8 @@
 Suite *
 restart_suite (void)
 {
-  Suite *suite = suite_create ("again");
-  TCase *tcase = tcase_create ("again");
+  Suite *suite = suite_create ("restart");
+  TCase *tcase = tcase_create ("restart");
 
   tcase_set_timeout (tcase, 90);
   tcase_add_checked_fixture (tcase, site_setup, site_teardown);
--- a/tests/t_restore.c
+++ b/tests/t_restore.c
@@ -3,8 +3,7 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Tests of a store that is restored from an older copy, with real
- * processes.
+ * Tests of a store that is restored from a backup, with real processes.
  */
 #include <signal.h>
 #include <stdio.h>
@@ -42,8 +41,8 @@
   reply_free (&reply);
 }
 
-/* Starts the site and has the store copy its contents. All hosts know
-   revisions after the copy. */
+/* Starts the site and has the store make a backup. All hosts know revisions
+   after the backup. */
 static void
 site_start_ahead_of_backup (void)
 {
@@ -63,9 +62,9 @@
   site_wait_metric ("elmarch_endpoints", SITE_ENGINES + SITE_WORKERS + 1);
 }
 
-/* Guards against requests to a draining endpoint by hosts that ask another
-   host for changes after a revision that the store has used again. */
-START_TEST (test_drain_under_a_reused_revision_reaches_all_hosts)
+/* Guards against requests to a leaving endpoint by hosts that ask another host
+   for changes after a revision that the store has assigned a second time. */
+START_TEST (test_leaving_under_a_reused_revision_reaches_all_hosts)
 {
   int64_t before;
   reply_t reply;
@@ -137,9 +136,10 @@
     = { restore_first_host_paused, restore_other_host_paused, restore_twice,
         restore_and_restart_hosts };
 
-/* Guards against a host that misses that an endpoint drains, as the host was
-   stopped or restarted during the restore, or saw two restores. */
-START_TEST (test_drain_reaches_hosts_after_any_restore)
+/* Guards against a host that does not learn that an endpoint is leaving, as
+   the host was stopped or restarted during the restore, or saw two restores.
+ */
+START_TEST (test_leaving_reaches_hosts_after_any_restore)
 {
   reply_t reply;
 
@@ -225,9 +225,9 @@
 }
 END_TEST
 
-/* Guards against requests that are refused, or sent to former workers, as the
-   copy has those and lacks the current ones. */
-START_TEST (test_workers_newer_than_the_copy_are_used)
+/* Guards against requests that are refused or sent to former workers, as the
+   backup has those and lacks the current ones. */
+START_TEST (test_workers_newer_than_the_backup_are_used)
 {
   char id[32];
   reply_t reply;
@@ -254,9 +254,9 @@
 }
 END_TEST
 
-/* Guards against requests to a draining endpoint from a host that starts
-   before the endpoint has announced it again, and reads the copy. */
-START_TEST (test_host_started_after_restore_knows_draining_endpoints)
+/* Guards against requests to a leaving endpoint from a host that starts before
+   the endpoint has written its state again, and reads the backup. */
+START_TEST (test_host_started_after_restore_knows_leaving_endpoints)
 {
   char id[32];
   int64_t before;
@@ -284,8 +284,8 @@
 }
 END_TEST
 
-/* Guards against a revoked key that a host accepts again, as it starts before
-   the configuration is written again, and reads the copy. */
+/* Guards against a host that accepts a revoked key, as it starts before the
+   configuration is written again, and reads the backup. */
 START_TEST (test_host_started_after_restore_refuses_revoked_key)
 {
   char id[32];
@@ -339,8 +339,8 @@
   ck_assert_uint_gt (stored_blocked_count (), 0);
 }
 
-/* Guards against a crashing request that hosts accept again after a restart,
-   as the store has lost the block. */
+/* Guards against hosts that accept a request that crashes engines after a
+   restart, as the store has lost the block. */
 START_TEST (test_block_is_stored_again_after_restore)
 {
   char id[32];
@@ -365,17 +365,17 @@
 Suite *
 restore_suite (void)
 {
-  Suite *suite = suite_create ("era");
-  TCase *tcase = tcase_create ("era");
+  Suite *suite = suite_create ("restore");
+  TCase *tcase = tcase_create ("restore");
 
   tcase_add_checked_fixture (tcase, site_setup, site_teardown);
   tcase_set_timeout (tcase, 90);
-  ADD (tcase, test_drain_under_a_reused_revision_reaches_all_hosts);
-  ADD_LOOP (tcase, test_drain_reaches_hosts_after_any_restore,
+  ADD (tcase, test_leaving_under_a_reused_revision_reaches_all_hosts);
+  ADD_LOOP (tcase, test_leaving_reaches_hosts_after_any_restore,
             sizeof restores / sizeof *restores);
   ADD (tcase, test_planner_with_lost_lease_stops_before_the_next_one);
-  ADD (tcase, test_workers_newer_than_the_copy_are_used);
-  ADD (tcase, test_host_started_after_restore_knows_draining_endpoints);
+  ADD (tcase, test_workers_newer_than_the_backup_are_used);
+  ADD (tcase, test_host_started_after_restore_knows_leaving_endpoints);
   ADD (tcase, test_host_started_after_restore_refuses_revoked_key);
   ADD (tcase, test_block_is_stored_again_after_restore);
   suite_add_tcase (suite, tcase);
--- a/tests/t_retry.c
+++ b/tests/t_retry.c
@@ -77,11 +77,11 @@
   const rt_rule_t rule = { .kind = RT_UNSAFE, .attempts = 3 };
   const rt_attempt_t lost = { .verdict = EL_MAY_HAVE_RUN };
   const rt_attempt_t refused = { .verdict = EL_NOT_RUN };
-  rt_attempts_t course = { 0, 0 };
+  rt_attempts_t state = { 0, 0 };
 
-  ck_assert_int_eq (rt_attempts_next (&course, &rule, &refused, 1, EL_SEC),
+  ck_assert_int_eq (rt_attempts_next (&state, &rule, &refused, 1, EL_SEC),
                     RT_NEXT_RETRY);
-  ck_assert_int_eq (rt_attempts_next (&course, &rule, &lost, 1, EL_SEC),
+  ck_assert_int_eq (rt_attempts_next (&state, &rule, &lost, 1, EL_SEC),
                     RT_NEXT_FAIL);
 }
 END_TEST
@@ -91,55 +91,56 @@
   const rt_rule_t rule = { .kind = RT_SAFE, .attempts = 2 };
   const rt_attempt_t lost = { .verdict = EL_MAY_HAVE_RUN };
   const rt_attempt_t refused = { .verdict = EL_NOT_RUN };
-  rt_attempts_t course = { 0, 0 };
+  rt_attempts_t state = { 0, 0 };
 
-  ck_assert_int_eq (rt_attempts_next (&course, &rule, &refused, 0, EL_SEC),
+  ck_assert_int_eq (rt_attempts_next (&state, &rule, &refused, 0, EL_SEC),
                     RT_NEXT_REFUSE);
-  course = (rt_attempts_t){ 0, 0 };
-  ck_assert_int_eq (rt_attempts_next (&course, &rule, &lost, 1, EL_SEC),
+  state = (rt_attempts_t){ 0, 0 };
+  ck_assert_int_eq (rt_attempts_next (&state, &rule, &lost, 1, EL_SEC),
                     RT_NEXT_RETRY);
-  ck_assert_int_eq (rt_attempts_next (&course, &rule, &refused, 0, EL_SEC),
+  ck_assert_int_eq (rt_attempts_next (&state, &rule, &refused, 0, EL_SEC),
                     RT_NEXT_FAIL);
 }
 END_TEST
 
-/* A caller that has part of its stream has more to lose: refusals are retried
-   more often than before the first event. */
+/* A caller that has received part of its stream loses more if the stream
+   fails: refusals are retried more often than before the first event. */
 START_TEST (test_retry_begun_stream_gets_more_sends)
 {
   const rt_rule_t rule = { .kind = RT_STREAM, .resumable = 1, .attempts = 2 };
   const rt_attempt_t lost = { .verdict = EL_MAY_HAVE_RUN, .begun = 1 };
   const rt_attempt_t refused = { .verdict = EL_NOT_RUN, .begun = 1 };
   const rt_attempt_t first = { .verdict = EL_NOT_RUN };
-  rt_attempts_t course = { 0, 0 };
+  rt_attempts_t state = { 0, 0 };
   unsigned sends;
 
   for (sends = 1; sends < 4; sends++)
-    ck_assert_int_eq (rt_attempts_next (&course, &rule, &first, 1, EL_SEC),
+    ck_assert_int_eq (rt_attempts_next (&state, &rule, &first, 1, EL_SEC),
                       RT_NEXT_RETRY);
-  ck_assert_int_eq (rt_attempts_next (&course, &rule, &first, 1, EL_SEC),
+  ck_assert_int_eq (rt_attempts_next (&state, &rule, &first, 1, EL_SEC),
                     RT_NEXT_REFUSE);
-  course = (rt_attempts_t){ 0, 0 };
-  ck_assert_int_eq (rt_attempts_next (&course, &rule, &lost, 1, EL_SEC),
+  state = (rt_attempts_t){ 0, 0 };
+  ck_assert_int_eq (rt_attempts_next (&state, &rule, &lost, 1, EL_SEC),
                     RT_NEXT_RETRY);
   for (sends = 2; sends < 8; sends++)
-    ck_assert_int_eq (rt_attempts_next (&course, &rule, &refused, 1, EL_SEC),
+    ck_assert_int_eq (rt_attempts_next (&state, &rule, &refused, 1, EL_SEC),
                       RT_NEXT_RETRY);
-  ck_assert_int_eq (rt_attempts_next (&course, &rule, &refused, 1, EL_SEC),
+  ck_assert_int_eq (rt_attempts_next (&state, &rule, &refused, 1, EL_SEC),
                     RT_NEXT_FAIL);
 }
 END_TEST
+
 START_TEST (test_retry_respects_max_attempts)
 {
   const rt_rule_t rule = { .kind = RT_SAFE, .attempts = 2 };
   const rt_attempt_t lost = { .verdict = EL_MAY_HAVE_RUN };
   const rt_attempt_t failed
       = { .verdict = EL_RAN, .answered = 1, .failed = 1 };
-  rt_attempts_t course = { 0, 0 };
+  rt_attempts_t state = { 0, 0 };
 
-  ck_assert_int_eq (rt_attempts_next (&course, &rule, &lost, 1, EL_SEC),
+  ck_assert_int_eq (rt_attempts_next (&state, &rule, &lost, 1, EL_SEC),
                     RT_NEXT_RETRY);
-  ck_assert_int_eq (rt_attempts_next (&course, &rule, &failed, 1, EL_SEC),
+  ck_assert_int_eq (rt_attempts_next (&state, &rule, &failed, 1, EL_SEC),
                     RT_NEXT_PASS);
 }
 END_TEST
@@ -148,13 +149,13 @@
 {
   rt_rule_t rule = { .kind = RT_STREAM, .attempts = 2, .resumable = 1 };
   const rt_attempt_t lost = { .verdict = EL_MAY_HAVE_RUN };
-  rt_attempts_t course = { 0, 0 };
+  rt_attempts_t state = { 0, 0 };
 
-  ck_assert_int_eq (rt_attempts_next (&course, &rule, &lost, 1, EL_SEC),
+  ck_assert_int_eq (rt_attempts_next (&state, &rule, &lost, 1, EL_SEC),
                     RT_NEXT_RETRY);
   rule.resumable = 0;
-  course = (rt_attempts_t){ 0, 0 };
-  ck_assert_int_eq (rt_attempts_next (&course, &rule, &lost, 1, EL_SEC),
+  state = (rt_attempts_t){ 0, 0 };
+  ck_assert_int_eq (rt_attempts_next (&state, &rule, &lost, 1, EL_SEC),
                     RT_NEXT_FAIL);
 }
 END_TEST
--- a/tests/t_route.c
+++ b/tests/t_route.c
@@ -462,8 +462,8 @@
 }
 END_TEST
 
-/* Both workers are ejected, and one of them works again: a request that fails
-   at the dead one is retried at the other, not at the dead one again. */
+/* Both workers are ejected, and one of them has recovered: a request that
+   fails at the other is retried at the recovered one. */
 START_TEST (test_retry_avoids_the_endpoint_that_just_failed)
 {
   uint64_t stream;
--- a/tests/t_rumor.c
+++ b/tests/t_rumor.c
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Tests of rumors, which carry news to all hosts within seconds.
+ * Tests of rumors, which spread information to all hosts within seconds.
  */
 #include "rumor_net.h"
 #include "test.h"
@@ -66,8 +66,8 @@
   (*n)++;
 }
 
-/* A rumor that is told twice is heard once, an expired one is forgotten, and
-   one too many replaces the one that expires first. */
+/* A rumor that is received twice is reported once, an expired one is removed,
+   and one over the limit replaces the one that expires first. */
 START_TEST (test_rumors_are_bounded)
 {
   unsigned heard = 0;
--- a/tests/t_site.c
+++ b/tests/t_site.c
@@ -13,7 +13,7 @@
 #include "site.h"
 #include "test.h"
 
-/* The engine that runs a stream, which is the first of its pipeline. */
+/* The engine that runs a stream, which is the first of its chain. */
 static size_t
 running_engine (void)
 {
@@ -108,7 +108,7 @@
 END_TEST
 
 /* The first engine is killed or stopped during a stream: the stream resumes on
-   another pipeline. */
+   another chain. */
 START_TEST (test_stream_resumes_after_loss_of_first_engine)
 {
   caller_t caller;
@@ -160,7 +160,7 @@
    get these layers a moment later: the stream resumes there. A host whose
    other engines had no capacity aborted such streams 8 ms after the crash
    (reason="no endpoint to go on at" events=106). The engine without the stream
-   is killed first: if the stream were sent to it just as it ends (sent_us=153
+   is killed first: if the stream were sent to it just as it exits (sent_us=153
    net=broken), two attempts might have run, which is the rule's maximum, and
    the stream would be aborted. */
 START_TEST (test_stream_waits_for_engine_to_resume_on)
@@ -193,7 +193,7 @@
   caller_t caller;
   json_t *seen;
   reply_t reply;
-  const char *line;
+  const char *chain;
   size_t first;
   size_t i;
 
@@ -202,9 +202,9 @@
   caller_wait_body (&caller, 60);
   first = running_engine ();
   seen = http_get_json (site.engines[first].address, "/seen");
-  line = json_string_value (json_object_get (seen, "path"));
+  chain = json_string_value (json_object_get (seen, "path"));
   for (i = 0; i < SITE_ENGINES; i++)
-    if (i != first && strstr (line, site.engines[i].address))
+    if (i != first && strstr (chain, site.engines[i].address))
       {
         snprintf (at, sizeof at, "{\"at\":\"%s\"}", site.engines[i].address);
         http_request ("POST", site.engines[first].address, "/stall", at, NULL,
@@ -224,8 +224,8 @@
 }
 END_TEST
 
-/* An engine is alive, but the one before it can't reach it; only the first
-   engine knows. */
+/* An engine is alive, but the engine before it in the chain can't reach it;
+   only the first engine learns of that. */
 START_TEST (test_stream_is_rerouted_around_unreachable_engine)
 {
   char at[64];
@@ -478,30 +478,30 @@
 }
 END_TEST
 
-/* No host sends new requests to a draining endpoint. */
-START_TEST (test_relay_draining_endpoint_gets_no_new_requests)
+/* No host sends new requests to a leaving endpoint. */
+START_TEST (test_relay_leaving_endpoint_gets_no_new_requests)
 {
   reply_t reply;
   int64_t runs;
   int64_t before = -1;
   size_t host;
-  int quiet = 0;
+  int nunchanged = 0;
   int i;
 
   site_start (2);
   http_request ("POST", site.workers[0].address, "/leave", "{}", NULL, &reply);
   reply_free (&reply);
-  for (i = 0; i < WAIT_STEPS_MAX && quiet < 200; i++)
+  for (i = 0; i < WAIT_STEPS_MAX && nunchanged < 200; i++)
     {
       host = (size_t)i % 2;
       send_request (host, "GET", "/look/x", "r1", &reply);
       ck_assert_int_eq (reply.status, 200);
       reply_free (&reply);
       runs = member_value (&site.workers[0], "runs");
-      quiet = runs == before ? quiet + 1 : 0;
+      nunchanged = runs == before ? nunchanged + 1 : 0;
       before = runs;
     }
-  ck_assert_int_ge (quiet, 200);
+  ck_assert_int_ge (nunchanged, 200);
 }
 END_TEST
 
@@ -615,7 +615,7 @@
   ADD (tcase, test_relay_body_over_limit_is_refused);
   ADD (tcase, test_relay_waits_for_the_first_configuration);
   ADD (tcase, test_relay_configuration_is_never_downgraded);
-  ADD (tcase, test_relay_draining_endpoint_gets_no_new_requests);
+  ADD (tcase, test_relay_leaving_endpoint_gets_no_new_requests);
   ADD (tcase, test_planner_failover);
   ADD (tcase, test_stopping_planner_releases_its_role);
   ADD (tcase, test_relay_graceful_stop_aborts_nothing);
--- a/tests/t_starts.c
+++ b/tests/t_starts.c
@@ -131,10 +131,10 @@
 END_TEST
 
 /* Adds entries with fields replaced or dropped, or with corrupted bytes, to a
-   fleet, then picks a line and plans the placement of layers: entries that are
-   accepted are complete, and the valid engine is unaffected. */
+   fleet, then picks a chain and plans the placement of layers: entries that
+   are accepted are complete, and the valid engine is unaffected. */
 static void
-run_foreign_entries (uint64_t seed)
+run_invalid_entries (uint64_t seed)
 {
   static const char *const fields[]
       = { "Service", "Address", "Zone",      "Version", "Slots", "State",
@@ -155,9 +155,9 @@
   rt_fleet_t *fleet = rt_fleet_new (seed);
   rt_order_t orders[8];
   rt_attrs_t attrs;
-  rt_chain_t line;
+  rt_chain_t chain;
   json_t *entry_json;
-  el_buf_t spoiled;
+  el_buf_t mutated;
   el_err_t err;
   char *text;
   unsigned i;
@@ -173,10 +173,10 @@
           seeds_random (8) ? other_values[seeds_random (
               sizeof other_values / sizeof *other_values)]
                            : NULL);
-      spoiled
+      mutated
           = seeds_random (2) ? seeds_mutate (text) : (el_buf_t){ NULL, 0, 0 };
       if (pf_attrs_read (seeds_random (2) ? ENTRY_KEY : EL_STR ("servers/e2"),
-                         spoiled.ptr ? el_buf_str (&spoiled) : el_str (text),
+                         mutated.ptr ? el_buf_str (&mutated) : el_str (text),
                          &attrs, &entry_json, &err))
         {
           ck_assert (attrs.service.len && attrs.hall.len && attrs.slots);
@@ -185,19 +185,19 @@
           rt_fleet_update (fleet, &attrs);
         }
       json_decref (entry_json);
-      el_buf_free (&spoiled);
+      el_buf_free (&mutated);
       free (text);
     }
-  ck_assert_int_eq (rt_chain_pick (fleet, TEST_TIME, &want, &line), 1);
+  ck_assert_int_eq (rt_chain_pick (fleet, TEST_TIME, &want, &chain), 1);
   rt_layout_assign (fleet, &service, NULL, 0, orders, 8);
   rt_layout_repair (fleet, &service, NULL, 0, orders, 8);
   ck_assert_uint_eq (rt_fleet_find (fleet, EL_STR ("sound"))->attrs.end, 16);
   rt_fleet_free (fleet);
 }
 
-START_TEST (test_invalid_entries_do_no_harm)
+START_TEST (test_invalid_entries_do_not_affect_valid_ones)
 {
-  seeds_run (run_foreign_entries);
+  seeds_run (run_invalid_entries);
 }
 END_TEST
 
@@ -249,7 +249,7 @@
 
   tcase_set_timeout (tcase, (double)seeds_env ("ELMARCH_SEEDS_S", 60));
   ADD (tcase, test_invalid_entry_is_rejected);
-  ADD (tcase, test_invalid_entries_do_no_harm);
+  ADD (tcase, test_invalid_entries_do_not_affect_valid_ones);
   ADD (tcase, test_restarted_endpoint_is_new_target);
   suite_add_tcase (suite, tcase);
   return suite;
--- a/tests/t_stop.c
+++ b/tests/t_stop.c
@@ -66,8 +66,9 @@
 }
 END_TEST
 
-/* A graceful stop hands sessions and ledger over to a successor: calls that
-   ran get the same response again, and new calls run there, through any host.
+/* A graceful stop hands sessions and ledger over to a successor: duplicates of
+   calls that ran get the same response, and new calls run there, through any
+   host.
    */
 START_TEST (test_graceful_stop_hands_sessions_over)
 {
@@ -163,7 +164,7 @@
   char session[640];
   const char *first[] = { session, "x-elmarch-sequence: 1",
                           "x-elmarch-deadline-ms: 500", NULL };
-  unsigned doubts = 0;
+  unsigned unknown_outcomes = 0;
   reply_t reply;
 
   cluster_start (&fixture, 2);
@@ -183,12 +184,12 @@
       else if (reply.status)
         {
           assert_verdict (&reply, 409, "may-have-run");
-          doubts++;
+          unknown_outcomes++;
         }
       reply_free (&reply);
     }
   while (reply.status);
-  ck_assert (_i == 1 || doubts);
+  ck_assert (_i == 1 || unknown_outcomes);
   ck_assert_int_eq (payment_runs_total ("t1"), 0);
   if (_i == 0)
     {
--- a/tests/t_store.c
+++ b/tests/t_store.c
@@ -123,27 +123,27 @@
 END_TEST
 
 static int
-answer_old_news (void *arg, pr_store_position_t after, unsigned old,
-                 pr_store_update_cb done, void *done_arg)
+answer_stale_update (void *arg, pr_store_position_t after, unsigned old,
+                     pr_store_update_cb done, void *done_arg)
 {
-  const pr_store_update_t news
+  const pr_store_update_t update
       = { .at = after, .as_of = net_clock_now (&test_clock) - 1700 * EL_MSEC };
 
   (void)arg;
   (void)old;
-  done (done_arg, &news);
+  done (done_arg, &update);
   return 1;
 }
 
 static void
-ignore_blame (void *arg)
+ignore_peer_failure (void *arg)
 {
   (void)arg;
 }
 
-/* Where the news of another host are too old for a configuration to take
-   effect in time, the store is asked instead. */
-START_TEST (test_follow_asks_store_when_news_are_stale)
+/* If the update from another host is too old for a configuration to take
+   effect in time, the follower asks the store instead. */
+START_TEST (test_follow_asks_store_when_peer_update_is_stale)
 {
   record_t record = { .wanted = 2 };
   gt_store_t store = {
@@ -154,8 +154,8 @@
                                   .wait_ms = 100,
                                   .item = record_item,
                                   .news_max_age = 1500 * EL_MSEC,
-                                  .ask_peer = answer_old_news,
-                                  .peer_failed = ignore_blame,
+                                  .ask_peer = answer_stale_update,
+                                  .peer_failed = ignore_peer_failure,
                                   .known = record_known,
                                   .arg = &record };
   gt_follow_t *follow;
@@ -178,7 +178,7 @@
 
 #define HTTP_UNAVAILABLE() "HTTP/1.1 503 Busy\r\nconnection: close\r\n\r\n"
 
-/* Another host that always answers with old news. */
+/* Another host that always answers with a stale update. */
 typedef struct stale_host
 {
   record_t record; /* first, as the callbacks take it for a record_t */
@@ -186,18 +186,19 @@
 } stale_host_t;
 
 static int
-count_and_answer_old_news (void *arg, pr_store_position_t after, unsigned old,
-                           pr_store_update_cb done, void *done_arg)
+count_and_answer_stale_update (void *arg, pr_store_position_t after,
+                               unsigned old, pr_store_update_cb done,
+                               void *done_arg)
 {
   stale_host_t *host = arg;
 
   host->nasked++;
-  return answer_old_news (&host->record, after, old, done, done_arg);
+  return answer_stale_update (&host->record, after, old, done, done_arg);
 }
 
-/* While the store is unavailable, a host goes on asking other hosts and asks
-   the store itself only rarely; else all hosts of a fleet would ask it at once
-   as long as the outage lasts. */
+/* While the store is unavailable, a host continues to ask other hosts and asks
+   the store itself only rarely; otherwise all hosts of a fleet would ask it at
+   once for as long as the outage lasts. */
 START_TEST (test_follow_rarely_asks_unavailable_store)
 {
   stale_host_t host = { .nasked = 0 };
@@ -209,8 +210,8 @@
                                   .wait_ms = 100,
                                   .item = record_item,
                                   .news_max_age = 1500 * EL_MSEC,
-                                  .ask_peer = count_and_answer_old_news,
-                                  .peer_failed = ignore_blame,
+                                  .ask_peer = count_and_answer_stale_update,
+                                  .peer_failed = ignore_peer_failure,
                                   .known = record_known,
                                   .arg = &host };
   gt_follow_t *follow;
@@ -325,7 +326,7 @@
   tcase_add_checked_fixture (tcase, loop_setup, NULL);
   ADD (tcase, test_follow_reports_key_deleted_in_lost_history);
   ADD (tcase, test_follow_reads_pages_and_ignores_older_events);
-  ADD (tcase, test_follow_asks_store_when_news_are_stale);
+  ADD (tcase, test_follow_asks_store_when_peer_update_is_stale);
   ADD (tcase, test_follow_rarely_asks_unavailable_store);
   ADD (tcase, test_store_retry_after_stops_all_calls);
   ADD (tcase, test_duty_is_requested_only_when_vacant);
