--- a/tests/blame_sim.c
+++ b/tests/blame_sim.c
@@ -176,16 +176,16 @@
 static void
 culprit_schedule_resubmission (sim_t *sim, const sim_stream_t *stream)
 {
-  sim_stream_t *again = el_alloc (sizeof *again);
+  sim_stream_t *next_run = el_alloc (sizeof *next_run);
 
-  again->digest = stream->digest;
-  again->culprit = stream->culprit;
-  again->host = el_random (&sim->rng) % sim->options.hosts;
-  again->waiting = 1;
-  again->at
+  next_run->digest = stream->digest;
+  next_run->culprit = stream->culprit;
+  next_run->host = el_random (&sim->rng) % sim->options.hosts;
+  next_run->waiting = 1;
+  next_run->at
       = sim->now
         + sim_jitter (sim, 0, (el_time_t)(2 * sim->options.repeat_s * EL_SEC));
-  DL_APPEND (sim->streams, again);
+  DL_APPEND (sim->streams, next_run);
 }
 
 static void
@@ -339,7 +339,7 @@
 }
 
 static void
-reports_deliver (sim_t *sim)
+reports_get (sim_t *sim)
 {
   sim_report_t *report;
   sim_report_t *next;
@@ -389,15 +389,15 @@
 {
   sim_stream_t *stream;
   sim_stream_t *next;
-  int again = 1;
+  int changed = 1;
 
-  while (again)
+  while (changed)
     { /* a crash of an engine changes the list */
-      again = 0;
+      changed = 0;
       DL_FOREACH_SAFE (sim->streams, stream, next)
       if (!stream->waiting && stream->ends_at <= sim->now)
         {
-          again = 1;
+          changed = 1;
           stream_complete (sim, stream);
           break;
         }
@@ -533,7 +533,7 @@
   end = sim->now + (el_time_t)(sim->options.seconds * EL_SEC);
   for (; sim->now < end; sim->now += STEP)
     {
-      reports_deliver (sim);
+      reports_get (sim);
       engines_step (sim);
       callers_step (sim);
       streams_step (sim);
--- a/tests/t_agreement.c
+++ b/tests/t_agreement.c
@@ -267,8 +267,8 @@
 }
 
 /* A removal also reaches a host that was stopped at the time, even if the only
-   host left that can tell it has started since and read the configuration
-   without the removed entry. */
+   other host left has started since and read a configuration that no longer
+   has the entry. */
 START_TEST (test_removal_reaches_a_host_that_was_stopped)
 {
   reply_t reply;
--- a/tests/t_avail.c
+++ b/tests/t_avail.c
@@ -119,8 +119,8 @@
 }
 END_TEST
 
-/* After a backoff one trial request goes first; others follow when it has been
-   answered or has taken too long. */
+/* After a backoff one trial request is sent first; others follow when it has
+   been answered or has taken too long. */
 START_TEST (test_avail_trial_request_after_a_backoff)
 {
   const el_time_t backoff_end = NOW + EL_SEC;
--- a/tests/t_backoff.c
+++ b/tests/t_backoff.c
@@ -624,7 +624,7 @@
 backoff_suite (void)
 {
   Suite *suite = suite_create ("backoff");
-  TCase *tcase = tcase_create ("relay");
+  TCase *tcase = tcase_create ("backoff");
 
   tcase_set_timeout (tcase, 90);
   tcase_add_checked_fixture (tcase, site_setup, site_teardown);
--- a/tests/t_check.c
+++ b/tests/t_check.c
@@ -20,7 +20,7 @@
   "{\"SeqNo\":0,\"pace\":2.5,\"KvUsed\":50,\"KvTotal\":200,\"stalled\":[],"   \
   "\"ActiveRequests\":40,\"QueueDepth\":20}"
 
-/* A server for health checks, and the engine that it stands for. */
+/* A server for health checks, and the engine that it represents. */
 typedef struct check_engine
 {
   net_server_t *server;
@@ -187,7 +187,7 @@
 
 /* An engine that releases its layers loads others only once no stream uses it:
    its streams are rerouted to the replica. */
-START_TEST (test_stream_is_rerouted_when_engine_releases_layers)
+START_TEST (test_stream_is_rerouted_if_engine_releases_layers)
 {
   static rt_card_t card
       = { .memory_mb = 1000, .step_scale = 1, .prefill_scale = 1 };
@@ -265,7 +265,7 @@
   ADD (tcase, test_check_silent_engine_is_detected);
   ADD (tcase, test_check_waits_longer_if_no_engine_answers);
   ADD (tcase, test_check_stream_event_proves_liveness);
-  ADD (tcase, test_stream_is_rerouted_when_engine_releases_layers);
+  ADD (tcase, test_stream_is_rerouted_if_engine_releases_layers);
   ADD (tcase, test_check_one_outstanding_per_engine);
   suite_add_tcase (suite, tcase);
   return suite;
--- a/tests/t_crash.c
+++ b/tests/t_crash.c
@@ -179,7 +179,7 @@
 }
 
 /* A host that starts learns of a blocked request before it serves. So do all
-   hosts after all were lost at once, as the store keeps the block. */
+   hosts after all were killed at once, as the block is in the store. */
 START_TEST (test_blocked_request_is_known_to_hosts_that_start)
 {
   size_t i;
--- a/tests/t_load.c
+++ b/tests/t_load.c
@@ -99,7 +99,7 @@
     rt_fleet_free (hosts[i]);
 }
 
-/* Memory beside the engine's own layers, as tokens times layers. */
+/* Memory that the engine's own layers leave, as tokens times layers. */
 static double
 engine_capacity (const sim_engine_t *engine)
 {
@@ -268,8 +268,8 @@
 }
 
 /* A hall without most of its large engines: streams take 3.6 s instead of 2.3,
-   and one of the two first engines has the faster chain. 80 streams
-   per second are 288 at a time, for 384 slots. */
+   and one of the two first engines has the faster chain. 80 streams per second
+   are 288 at a time, for 384 slots. */
 START_TEST (test_load_slots_of_all_first_engines_are_used)
 {
   unsigned at;
--- a/tests/t_net.c
+++ b/tests/t_net.c
@@ -242,21 +242,21 @@
 
 typedef struct server_record
 {
-  int gone; /* the caller has disconnected */
+  int disconnected; /* by the caller */
   int freed;
   int nrequests;
   h2o_req_t *req;
 } server_record_t;
 
 static void
-request_gone (void *arg, int freed)
+request_watch_cb (void *arg, int freed)
 {
   server_record_t *record = arg;
 
   if (freed)
     record->freed = 1;
   else
-    record->gone = 1;
+    record->disconnected = 1;
 }
 
 static void
@@ -266,7 +266,7 @@
 
   record->nrequests++;
   record->req = req;
-  net_req_watch (req, request_gone, record);
+  net_req_watch (req, request_watch_cb, record);
 }
 
 static int
@@ -307,8 +307,8 @@
   run_loop_until (&record.nrequests);
   ck_assert_int_eq (record.nrequests, 1);
   close (fd);
-  run_loop_until (&record.gone);
-  ck_assert_int_eq (record.gone, 1);
+  run_loop_until (&record.disconnected);
+  ck_assert_int_eq (record.disconnected, 1);
   net_req_reply (record.req, 503, EL_STR (""), EL_STR (""));
   run_loop_until (&record.freed);
   ck_assert_int_eq (record.freed, 1);
@@ -346,8 +346,8 @@
   send_text (fd, "POST /second HTTP/1.1\r\nhost: a\r\n"
                  "content-length: 19999\r\n\r\n");
   send_text (fd, big);
-  run_loop_until (&record.gone);
-  ck_assert_int_eq (record.gone, 0);
+  run_loop_until (&record.disconnected);
+  ck_assert_int_eq (record.disconnected, 0);
   ck_assert (el_str_eq (net_req_path (record.req), EL_STR ("/first")));
   ck_assert (
       el_str_eq (net_req_header (record.req, "x-mark"), EL_STR ("one")));
--- a/tests/t_relay.c
+++ b/tests/t_relay.c
@@ -536,7 +536,8 @@
 }
 END_TEST
 
-/* The number of tokens that fit in memory beside the layers of an order. */
+/* The number of tokens that fit in the memory left by the layers of an order.
+ */
 static double
 order_capacity (const rt_order_t *order)
 {
--- a/tests/t_retry.c
+++ b/tests/t_retry.c
@@ -203,8 +203,8 @@
 }
 END_TEST
 
-/* A restarted host takes none of the slack in its first window, as the process
-   before it may have spent its share. */
+/* A restarted host takes none of the slack in its first window, as the
+   previous process may have spent its share. */
 START_TEST (test_retry_budget_restart_grants_no_slack)
 {
   const el_time_t born = 20 * EL_SEC;
--- a/tests/t_route.c
+++ b/tests/t_route.c
@@ -290,7 +290,7 @@
 END_TEST
 
 /* Whatever the order of failures and late answers, exactly the tokens of the
-   expected calls are passed on, each once. */
+   expected calls are delivered, each once. */
 START_TEST (test_chat_any_failure_order_preserves_tokens)
 {
   unsigned seed = (unsigned)_i + 1;
--- a/tests/t_stop.c
+++ b/tests/t_stop.c
@@ -105,7 +105,7 @@
     }
   ck_assert_int_eq (proc_end (&fixture.hosts[1], SIGTERM), 0);
   send_payment (2, "t1", first, &reply); /* the last host has the sessions,
-                                            whichever hosts they passed */
+                                            whichever hosts had them before */
   assert_verdict (&reply, 200, "ran");
   reply_free (&reply);
   send_payment (2, "t2", second, &reply);
--- a/tests/t_store.c
+++ b/tests/t_store.c
@@ -181,7 +181,7 @@
 /* Another host that always answers with a stale update. */
 typedef struct stale_host
 {
-  record_t record; /* first, as the callbacks take it for a record_t */
+  record_t record; /* first, as the callbacks cast the host to a record_t */
   unsigned nasked;
 } stale_host_t;
 
