--- a/tests/blame_sim.c
+++ b/tests/blame_sim.c
@@ -23,7 +23,8 @@
 #define CRASH_DELAY_MIN (30 * EL_MSEC)
 #define CRASH_DELAY_JITTER (90 * EL_MSEC)
 #define RESTART_TIME (8 * EL_SEC)
-/* Sends of a culprit count as late from this long after this many crashes. */
+/* A send of a culprit counts as late if it follows the crash with this number
+   by more than this time. */
 #define LATE_AFTER (3 * EL_SEC)
 #define LATE_CRASHES 3
 #define REPORT_DELAY (20 * EL_MSEC)
@@ -62,7 +63,7 @@
   unsigned sends;
   unsigned retries;
   int waiting;       /* to be sent at AT */
-  int resubmitted;   /* its caller has already repeated it */
+  int resubmitted;   /* by its caller, which does so once */
   el_time_t at;      /* when it was or will be sent */
   el_time_t ends_at; /* when it completes or crashes its engine */
   struct sim_stream *prev;
@@ -103,9 +104,9 @@
 }
 
 static el_time_t
-sim_jitter (sim_t *sim, el_time_t least, el_time_t spread)
+sim_jitter (sim_t *sim, el_time_t min, el_time_t spread)
 {
-  return least + (el_time_t)(sim_random (sim) * (double)spread);
+  return min + (el_time_t)(sim_random (sim) * (double)spread);
 }
 
 static rt_blame_status_t
@@ -171,27 +172,27 @@
   free (stream);
 }
 
-/* The caller of a culprit sends it again, through any host. */
+/* The caller of a culprit resubmits it, through any host. */
 static void
-culprit_resubmit (sim_t *sim, const sim_stream_t *stream)
+culprit_schedule_resubmission (sim_t *sim, const sim_stream_t *stream)
 {
-  sim_stream_t *again = el_alloc (sizeof *again);
+  sim_stream_t *next_run = el_alloc (sizeof *next_run);
 
-  again->digest = stream->digest;
-  again->culprit = stream->culprit;
-  again->host = el_random (&sim->rng) % sim->options.hosts;
-  again->waiting = 1;
-  again->at
+  next_run->digest = stream->digest;
+  next_run->culprit = stream->culprit;
+  next_run->host = el_random (&sim->rng) % sim->options.hosts;
+  next_run->waiting = 1;
+  next_run->at
       = sim->now
         + sim_jitter (sim, 0, (el_time_t)(2 * sim->options.repeat_s * EL_SEC));
-  DL_APPEND (sim->streams, again);
+  DL_APPEND (sim->streams, next_run);
 }
 
 static void
 stream_finish (sim_t *sim, sim_stream_t *stream)
 {
   if (stream->culprit)
-    culprit_resubmit (sim, stream);
+    culprit_schedule_resubmission (sim, stream);
   stream_free (sim, stream);
 }
 
@@ -257,7 +258,7 @@
     }
 }
 
-/* An interrupted stream is sent again, or fails. */
+/* An interrupted stream is retried, or fails. */
 static void
 stream_interrupted (sim_t *sim, sim_stream_t *stream)
 {
@@ -271,7 +272,7 @@
       return;
     }
   if (!stream->culprit && !stream->resubmitted)
-    { /* its caller repeats it once */
+    { /* its caller resubmits it once */
       stream->resubmitted = 1;
       stream->attempts = 0;
       stream->sends = 0;
@@ -388,15 +389,15 @@
 {
   sim_stream_t *stream;
   sim_stream_t *next;
-  int again = 1;
+  int changed = 1;
 
-  while (again)
+  while (changed)
     { /* a crash of an engine changes the list */
-      again = 0;
+      changed = 0;
       DL_FOREACH_SAFE (sim->streams, stream, next)
       if (!stream->waiting && stream->ends_at <= sim->now)
         {
-          again = 1;
+          changed = 1;
           stream_complete (sim, stream);
           break;
         }
@@ -488,7 +489,7 @@
     {
       first.culprit = i + 1;
       first.digest = i + 1;
-      culprit_resubmit (sim, &first);
+      culprit_schedule_resubmission (sim, &first);
     }
 }
 
--- a/tests/t_route.c
+++ b/tests/t_route.c
@@ -290,7 +290,7 @@
 END_TEST
 
 /* Whatever the order of failures and late answers, exactly the tokens of the
-   expected calls are passed on, each once. */
+   expected calls are delivered, each once. */
 START_TEST (test_chat_any_failure_order_preserves_tokens)
 {
   unsigned seed = (unsigned)_i + 1;
@@ -462,8 +462,8 @@
 }
 END_TEST
 
-/* Both workers are ejected, and one of them works again: a request that fails
-   at the dead one is retried at the other, not at the dead one again. */
+/* Both workers are ejected, and one of them has recovered: a request that
+   fails at the other is retried at the recovered one. */
 START_TEST (test_retry_avoids_the_endpoint_that_just_failed)
 {
   uint64_t stream;
