--- a/bench/bench_members.c
+++ b/bench/bench_members.c
@@ -180,7 +180,7 @@
       el_time_t began = net->now;
       el_time_t last;
 
-      rumor_net_tell (net, 0, 1);
+      rumor_net_publish (net, 0, 1);
       rumor_net_run (net, began + 5 * EL_SEC);
       half += rumor_net_quantile (net, 0.5) - began;
       last = rumor_net_quantile (net, 1) - began;
--- a/tests/blame_sim.c
+++ b/tests/blame_sim.c
@@ -184,7 +184,8 @@
   next_run->waiting = 1;
   next_run->at
       = sim->now
-        + sim_jitter (sim, 0, (el_time_t)(2 * sim->options.repeat_s * EL_SEC));
+        + sim_jitter (sim, 0,
+                      (el_time_t)(2 * sim->options.resubmit_delay_s * EL_SEC));
   DL_APPEND (sim->streams, next_run);
 }
 
--- a/tests/rumor_net.c
+++ b/tests/rumor_net.c
@@ -185,7 +185,7 @@
 
 /** Publishes a rumor from a host. */
 void
-rumor_net_tell (rumor_net_t *net, size_t host, uint64_t id)
+rumor_net_publish (rumor_net_t *net, size_t host, uint64_t id)
 {
   const co_rumor_t rumor = { .id = id,
                              .at = net->now,
--- a/tests/rumor_net.h
+++ b/tests/rumor_net.h
@@ -37,7 +37,7 @@
 
 rumor_net_t *rumor_net_new (uint64_t seed, size_t hosts, double loss);
 void rumor_net_free (rumor_net_t *net);
-void rumor_net_tell (rumor_net_t *net, size_t host, uint64_t id);
+void rumor_net_publish (rumor_net_t *net, size_t host, uint64_t id);
 void rumor_net_restart_host (rumor_net_t *net, size_t host);
 void rumor_net_run (rumor_net_t *net, el_time_t until);
 size_t rumor_net_count_informed (const rumor_net_t *net, size_t rumors);
--- a/tests/t_blame.c
+++ b/tests/t_blame.c
@@ -377,7 +377,7 @@
                             .engines = 6,
                             .rate = 62,
                             .culprits = 1,
-                            .repeat_s = 0.5,
+                            .resubmit_delay_s = 0.5,
                             .delayed_share = 0.1,
                             .seconds = 30 };
   sim_result_t result = sim_run (&options);
--- a/tests/t_rumor.c
+++ b/tests/t_rumor.c
@@ -20,7 +20,7 @@
   size_t hosts = sizes[_i % 2];
   rumor_net_t *net = rumor_net_new ((uint64_t)_i + 1, hosts, 0.2);
 
-  rumor_net_tell (net, 0, 1);
+  rumor_net_publish (net, 0, 1);
   rumor_net_run (net, START_TIME + 50 * EL_MSEC);
   ck_assert_uint_ge (rumor_net_count_informed (net, 1), hosts / 2);
   rumor_net_run (net, START_TIME + 2 * EL_SEC);
@@ -38,7 +38,7 @@
 
   net->hosts[3].isolated = 1;
   for (id = 1; id <= 40; id++)
-    rumor_net_tell (net, id % 3, id);
+    rumor_net_publish (net, id % 3, id);
   rumor_net_run (net, START_TIME + 5 * EL_SEC);
   ck_assert_uint_eq (rumor_net_count_informed (net, 40), 8);
   net->hosts[3].isolated = 0;
