--- a/peer/libpeer.h
+++ b/peer/libpeer.h
@@ -11,8 +11,8 @@
 #include "map.h"
 #include "peer.h"
 
-/* When this host last announced that an endpoint is shutting down; limits how
-   often the announcement is repeated. */
+/* When this host last reported to the others that an endpoint is leaving;
+   limits how often it does so. */
 typedef struct peer_leaving_notice
 {
   char endpoint[CO_NAME_MAX + 1];
@@ -23,7 +23,7 @@
 typedef struct peer_handover peer_handover_t;
 
 /* A host whose store updates failed or were stale while the store itself
-   answered; it is not asked again before UNTIL. */
+   answered; no updates are requested from it before UNTIL. */
 typedef struct peer_failed_source
 {
   co_incarnation_t incarnation;
@@ -45,15 +45,15 @@
   el_timer_t members_timer;
   uint64_t random;      /* state of el_random */
   size_t live_reported; /* live hosts, as last passed to ops->hosts */
-  int fetching;
+  int fetching;         /* a request for configuration is pending */
   struct peer_pending_request *pending_requests;
-  co_incarnation_t last_source; /* host last asked for store updates */
+  co_incarnation_t last_source; /* host last sent a request for updates */
   peer_failed_source_t failed_sources[PEER_FAILED_SOURCES_MAX];
   unsigned next_failed_source;
   peer_leaving_notice_t *leaving_notices;
   peer_handover_t *handover;
   pr_session_home_t successor;
-  int handover_started; /* the successor may have received a session */
+  int handover_started; /* the successor may have received sessions */
 };
 
 struct pr_config
@@ -61,7 +61,7 @@
   co_config_t *config;
   int ready;               /* a configuration was received */
   uint64_t complete_since; /* all removals after this revision are known */
-  pr_peers_t *peers;       /* announce the revision seen; may be NULL */
+  pr_peers_t *peers;       /* announces the revision seen; may be NULL */
   pr_config_counts_t counts;
 };
 
--- a/peer/peer.c
+++ b/peer/peer.c
@@ -89,7 +89,7 @@
           EL_FN ("live", co_members_live_count (peers->members)));
 }
 
-/* Another host announced that an endpoint is shutting down. */
+/* Another host reported that an endpoint is leaving. */
 static void
 endpoint_leaving (void *arg, el_str_t endpoint)
 {
@@ -126,7 +126,7 @@
   peer_members_refresh (peers);
 }
 
-/* Fill in this host's own entry of the member list. */
+/* Fill in what this host announces of itself. */
 static void
 self_describe (const pr_options_t *o, co_member_t *out)
 {
@@ -219,16 +219,16 @@
   co_members_set_revision (peers->members, revision);
 }
 
-/** Whether this host is among the first MOST hosts of its hall; only these
-    poll the platform. */
+/** Whether this host is among the first MAX hosts of its hall; only these poll
+    the platform. */
 int
-pr_peers_is_selected (const pr_peers_t *peers, size_t most)
+pr_peers_is_selected (const pr_peers_t *peers, size_t max)
 {
-  return co_members_is_top_ranked (peers->members, most);
+  return co_members_is_top_ranked (peers->members, max);
 }
 
-/** Announce to the other hosts that an endpoint is shutting down, at most once
-    per half of the time for which such an announcement is valid. */
+/** Report to the other hosts that an endpoint is leaving, at most once per
+    half of the lifetime of such a report. */
 void
 pr_peers_announce_leaving (pr_peers_t *peers, el_str_t endpoint)
 {
@@ -274,8 +274,8 @@
                  && member->revision >= in_force->revision;
 }
 
-/** Number of live hosts known to have seen all configuration changes up to
-    REVISION. */
+/** Number of hosts, alive or suspect, known to have seen all configuration
+    changes up to REVISION. */
 size_t
 pr_peers_count_in_force (const pr_peers_t *peers, uint64_t revision)
 {
--- a/peer/peer.h
+++ b/peer/peer.h
@@ -45,11 +45,11 @@
 int pr_config_is_ready (const pr_config_t *config);
 const pr_config_counts_t *pr_config_counts (const pr_config_t *config);
 pr_config_update_t *pr_config_update_begin (pr_config_t *config);
-void pr_config_update_apply (pr_config_update_t *sync, co_kind_t kind,
+void pr_config_update_apply (pr_config_update_t *update, co_kind_t kind,
                              el_str_t name, uint64_t revision, json_t *spec);
-void pr_config_update_finish (pr_config_update_t *sync, uint64_t revision,
-                              int whole);
-void pr_config_update_free (pr_config_update_t *sync);
+void pr_config_update_finish (pr_config_update_t *update, uint64_t revision,
+                              int complete);
+void pr_config_update_free (pr_config_update_t *update);
 
 /* Store updates and engine reports. */
 
@@ -69,34 +69,34 @@
 {
   el_str_t key;
   el_str_t value;
-  uint64_t
-      revision; /**< of its last change, in the epoch of the list it is in */
-  int gone;     /**< the last change removed the key */
+  uint64_t revision; /**< of its last change, in the epoch of the list */
+  int gone;          /**< the last change removed the key */
 } pr_store_item_t;
 
-/** Contents of the store: the keys changed since a position, or, when WHOLE is
-    set, all keys. */
+/** Contents of the store: the keys changed since a position, or all keys. */
 typedef struct pr_store_update
 {
   pr_store_item_t *items;
   size_t n;
-  int whole;
+  int whole; /**< the list has all keys, not only the changed ones */
   pr_store_position_t at; /**< the list includes all changes up to it */
   el_time_t as_of; /**< when the list was current, by this host's clock */
 } pr_store_update_t;
 
-/** NEWS is NULL when the host did not answer or had no data itself. */
-typedef void (*pr_store_update_cb) (void *arg, const pr_store_update_t *news);
+/** UPDATE is NULL when the host did not answer or had no data itself. */
+typedef void (*pr_store_update_cb) (void *arg,
+                                    const pr_store_update_t *update);
 
 /** State of an engine, as one host reports it to another. */
 typedef struct pr_engine_report
 {
   el_str_t id;
-  uint64_t born; /**< identifies the engine's start; 0: not known */
-  double fill;   /**< share in use of the memory that the layers leave free */
-  double pace;   /**< how much slower than its kind it runs */
+  uint64_t born; /**< identifies the engine's instance; 0: unknown */
+  double fill;   /**< share in use of the memory that the layers leave free,
+                    0 to 1 */
+  double pace;   /**< slowdown relative to its accelerator type */
   double taken;  /**< requests on the engine, divided by its slots */
-  el_time_t age; /**< of the three values above */
+  el_time_t age; /**< of fill, pace and taken */
   int silent;    /**< the engine does not answer health checks */
 } pr_engine_report_t;
 
@@ -140,7 +140,7 @@
 } pr_forward_result_t;
 
 typedef void (*pr_forward_result_cb) (void *arg,
-                                      const pr_forward_result_t *called);
+                                      const pr_forward_result_t *result);
 
 typedef enum pr_home_state
 {
@@ -156,7 +156,7 @@
 {
   /** The number of live hosts changed. */
   void (*hosts) (void *arg, size_t live);
-  /** Another host announced that an endpoint is shutting down. */
+  /** Another host reported that an endpoint is leaving. */
   void (*leaving) (void *arg, el_str_t endpoint);
   /** Get the store's changes after a position. Returns 0 when this host does
       not follow the store, or has not reached that epoch. The caller frees the
@@ -164,7 +164,8 @@
   int (*news) (void *arg, pr_store_position_t after, pr_store_update_t *out);
   /** The position up to which this host has seen the store's changes. */
   pr_store_position_t (*position) (void *arg);
-  /** Another host has seen this epoch of the store. */
+  /** Another host is in this epoch of the store, which is later than the one
+      seen here. */
   void (*epoch) (void *arg, uint64_t epoch);
   /** The time up to which all changes of the store are known here; 0: no data
       yet. */
@@ -178,16 +179,16 @@
   /** Another host sent a rumor that was not known here. */
   void (*rumor) (void *arg, const co_rumor_t *rumor);
   /** Run a request forwarded by another host and reply to REQ with
-      pr_forward_reply. CALL is NULL when the request is invalid or this host
-     is not the home of its session. */
+      pr_forward_reply. REQUEST is NULL when the request is invalid or this
+      host is not the home of its session. */
   void (*call) (void *arg, net_rpc_req_t *req,
-                const pr_forward_request_t *call);
-  /** Encode an answer stored in the ledger. The message then owns all that it
-      points to except strings. */
+                const pr_forward_request_t *request);
+  /** Encode an answer stored in the ledger. OUT then owns all that it points
+      to except strings. */
   void (*encode_answer) (void *arg, const void *answer, peer_answer *out);
   /** Decode an answer to be stored in the ledger, and return its size. */
   void *(*decode_answer) (void *arg, const peer_answer *from, size_t *bytes);
-  /** A handover message of another host was processed. */
+  /** A handover message from another host was processed. */
   void (*handover_received) (void *arg);
 } pr_ops_t;
 
@@ -202,8 +203,9 @@
   co_incarnation_t incarnation; /**< of this host */
   uint64_t capacity;            /**< see co_member_t */
   uint64_t store_followers;     /**< hosts per hall that poll the store */
-  el_time_t leave_hold; /**< lifetime of a report that an endpoint leaves */
-  uint64_t seed;        /**< of the random numbers; differs between hosts */
+  el_time_t leave_hold;         /**< lifetime of a report that an endpoint is
+                                   leaving */
+  uint64_t seed; /**< of the random numbers; differs between hosts */
   pr_config_t *config;
   co_ledger_t *ledger;
   const pr_ops_t *ops;
@@ -225,14 +227,14 @@
 void pr_peers_announce_leaving (pr_peers_t *peers, el_str_t endpoint);
 
 /* Membership. */
-int pr_peers_is_selected (const pr_peers_t *peers, size_t most);
+int pr_peers_is_selected (const pr_peers_t *peers, size_t max);
 int pr_peers_is_first_in_hall (const pr_peers_t *peers);
 int pr_peers_is_preferred (const pr_peers_t *peers);
 size_t pr_peers_count_live (const pr_peers_t *peers);
 size_t pr_peers_count_hall_live (const pr_peers_t *peers);
 size_t pr_peers_count_in_force (const pr_peers_t *peers, uint64_t revision);
 void pr_peers_list_entry_hosts (const pr_peers_t *peers, json_t *hosts,
-                                size_t most, uint64_t spread);
+                                size_t max, uint64_t spread);
 void pr_peers_list_addresses (pr_peers_t *peers, el_str_t hall, json_t *list);
 json_t *pr_peers_dump (const pr_peers_t *peers);
 
@@ -240,7 +242,8 @@
 void pr_peers_reply_pending (pr_peers_t *peers);
 void pr_peers_avoid_last_source (pr_peers_t *peers);
 int pr_peers_request_update (pr_peers_t *peers, pr_store_position_t after,
-                             unsigned old, pr_store_update_cb done, void *arg);
+                             unsigned stale_replies, pr_store_update_cb done,
+                             void *arg);
 
 /* Rumors. */
 void pr_peers_publish_rumor (pr_peers_t *peers, uint64_t id, el_time_t hold,
@@ -250,11 +253,11 @@
 /* Sessions. */
 int pr_peers_find_home (pr_peers_t *peers, const co_token_t *token,
                         pr_session_home_t *out);
-void pr_peers_check_home (pr_peers_t *peers, const pr_session_home_t *where,
+void pr_peers_check_home (pr_peers_t *peers, const pr_session_home_t *home,
                           pr_home_state_cb done, void *arg);
-void pr_peers_forward (pr_peers_t *peers, const pr_forward_request_t *call,
+void pr_peers_forward (pr_peers_t *peers, const pr_forward_request_t *request,
                        pr_forward_result_cb done, void *arg);
-void pr_forward_reply (net_rpc_req_t *req, const pr_forward_result_t *called);
+void pr_forward_reply (net_rpc_req_t *req, const pr_forward_result_t *result);
 void pr_peers_hand_over (pr_peers_t *peers, pr_done_cb done, void *arg);
 void pr_peers_final_handover (pr_peers_t *peers, pr_done_cb done, void *arg);
 const pr_session_home_t *pr_peers_successor (const pr_peers_t *peers);
--- a/peer/peer_config.c
+++ b/peer/peer_config.c
@@ -18,11 +18,11 @@
   json_t *listed; /* keys received in this update */
 };
 
-/* Finds the resources that a complete configuration no longer contains. */
+/* For finding the resources that a complete configuration does not contain. */
 typedef struct prune_arg
 {
-  json_t *listed;
-  json_t *removed;
+  json_t *listed;  /* keys received */
+  json_t *removed; /* keys in force that were not received */
 } prune_arg_t;
 
 /** Wrap CONFIG so that it can be updated from, and served to, other hosts. */
@@ -53,15 +53,15 @@
 pr_config_update_t *
 pr_config_update_begin (pr_config_t *config)
 {
-  pr_config_update_t *sync = el_alloc (sizeof *sync);
+  pr_config_update_t *update = el_alloc (sizeof *update);
 
-  sync->config = config;
-  sync->listed = json_object ();
-  return sync;
+  update->config = config;
+  update->listed = json_object ();
+  return update;
 }
 
 static void
-sync_key (char *out, co_kind_t kind, el_str_t name)
+resource_key (char *out, co_kind_t kind, el_str_t name)
 {
   snprintf (out, KEY_MAX, "%s/%.*s", co_kind_name (kind), (int)name.len,
             name.ptr);
@@ -70,17 +70,17 @@
 /** Apply one change unless a newer one is in force. A NULL SPEC removes the
     resource. */
 void
-pr_config_update_apply (pr_config_update_t *sync, co_kind_t kind,
+pr_config_update_apply (pr_config_update_t *update, co_kind_t kind,
                         el_str_t name, uint64_t revision, json_t *spec)
 {
-  pr_config_t *config = sync->config;
+  pr_config_t *config = update->config;
   char key[KEY_MAX];
   co_resource_t *res;
   el_status_t status;
   el_err_t err;
 
-  sync_key (key, kind, name);
-  json_object_set_new (sync->listed, key, json_true ());
+  resource_key (key, kind, name);
+  json_object_set_new (update->listed, key, json_true ());
   if (!spec)
     status = co_config_remove (config->config, kind, name, revision, &err);
   else
@@ -107,7 +107,7 @@
   prune_arg_t *prune = arg;
   char key[KEY_MAX];
 
-  sync_key (key, res->kind, res->name);
+  resource_key (key, res->kind, res->name);
   if (!json_object_get (prune->listed, key))
     json_object_set_new (prune->removed, key, json_true ());
 }
@@ -115,40 +115,40 @@
 /* Remove the resources that a complete configuration does not contain. A
    resource with a later revision was added after it and stays. */
 static void
-sync_prune (pr_config_update_t *sync, uint64_t revision)
+update_prune (pr_config_update_t *update, uint64_t revision)
 {
-  prune_arg_t prune = { sync->listed, json_object () };
+  prune_arg_t prune = { update->listed, json_object () };
   const co_resource_t *res;
   const char *key;
   json_t *value;
   el_str_t rest;
   co_kind_t kind;
 
-  co_config_visit (sync->config->config, prune_visit, &prune);
+  co_config_visit (update->config->config, prune_visit, &prune);
   json_object_foreach (prune.removed, key, value)
   {
     rest = el_str (key);
     if (!co_kind_parse (el_str_cut (&rest, '/'), &kind))
       continue;
-    res = co_config_get (sync->config->config, kind, rest);
+    res = co_config_get (update->config->config, kind, rest);
     if (res && res->revision < revision)
-      co_config_remove (sync->config->config, kind, rest, revision, NULL);
+      co_config_remove (update->config->config, kind, rest, revision, NULL);
   }
   json_decref (prune.removed);
 }
 
-/** Finish an update that included all changes up to REVISION. WHOLE says that
-    it was a complete configuration: resources that were not in it are removed.
- */
+/** Finish an update that included all changes up to REVISION. COMPLETE says
+    that it was a complete configuration: resources that it does not contain
+    are removed. */
 void
-pr_config_update_finish (pr_config_update_t *sync, uint64_t revision,
-                         int whole)
+pr_config_update_finish (pr_config_update_t *update, uint64_t revision,
+                         int complete)
 {
-  pr_config_t *config = sync->config;
+  pr_config_t *config = update->config;
 
-  if (whole)
+  if (complete)
     {
-      sync_prune (sync, revision);
+      update_prune (update, revision);
       if (!config->ready || revision > co_config_revision (config->config))
         config->complete_since = revision;
       EL_LOG (EL_LOG_INFO, "config_whole", EL_FN ("revision", revision),
@@ -159,14 +159,14 @@
   if (config->peers)
     peer_set_config_revision (config->peers,
                               co_config_revision (config->config));
-  pr_config_update_free (sync);
+  pr_config_update_free (update);
 }
 
-/** End an update without a revision: what was applied stays, nothing is
-    concluded about other resources. */
+/** End an update that does not include all changes up to a revision: what was
+    applied stays, and no resource is removed. */
 void
-pr_config_update_free (pr_config_update_t *sync)
+pr_config_update_free (pr_config_update_t *update)
 {
-  json_decref (sync->listed);
-  free (sync);
+  json_decref (update->listed);
+  free (update);
 }
--- a/peer/peer_entry.c
+++ b/peer/peer_entry.c
@@ -19,7 +19,7 @@
 typedef struct entry_list
 {
   el_str_t hall;        /* empty: all halls */
-  co_mbr_offer_t worst; /* members beyond this value are left out */
+  co_mbr_offer_t worst; /* members with a higher value are left out */
   const co_member_t **list;
   size_t n;
 } entry_list_t;
@@ -47,17 +47,17 @@
   co_members_visit (peers->members, entry_visit, entries);
 }
 
-/** Append at most MOST of the offered hosts to HOSTS, starting at an index
+/** Append at most MAX of the offered hosts to HOSTS, starting at an index
     given by SPREAD. */
 void
-pr_peers_list_entry_hosts (const pr_peers_t *peers, json_t *hosts, size_t most,
+pr_peers_list_entry_hosts (const pr_peers_t *peers, json_t *hosts, size_t max,
                            uint64_t spread)
 {
   entry_list_t entries = { .list = NULL };
   size_t i;
 
   entries_collect (peers, &entries, (el_str_t){ NULL, 0 }, CO_MBR_OFFERED);
-  for (i = 0; i < entries.n && i < most; i++)
+  for (i = 0; i < entries.n && i < max; i++)
     {
       const co_member_t *member = entries.list[(spread + i) % entries.n];
 
--- a/peer/peer_fetch.c
+++ b/peer/peer_fetch.c
@@ -77,7 +77,7 @@
 static void
 fetch_apply (pr_peers_t *peers, const peer_fetch_res *res)
 {
-  pr_config_update_t *sync = pr_config_update_begin (peers->options.config);
+  pr_config_update_t *update = pr_config_update_begin (peers->options.config);
   u_int i;
 
   for (i = 0; i < res->changes.changes_len; i++)
@@ -89,12 +89,12 @@
       co_kind_t kind;
 
       if (co_kind_parse (PEER_BYTES_GET (change->kind, kind), &kind))
-        pr_config_update_apply (sync, kind,
+        pr_config_update_apply (update, kind,
                                 PEER_BYTES_GET (change->name, name),
                                 change->revision, spec);
       json_decref (spec);
     }
-  pr_config_update_finish (sync, res->revision, res->whole);
+  pr_config_update_finish (update, res->revision, res->whole);
 }
 
 static void
--- a/peer/peer_forward.c
+++ b/peer/peer_forward.c
@@ -11,10 +11,10 @@
 #include "libpeer.h"
 
 #define HOME_CHECK_TIMEOUT (500 * EL_MSEC)
-/* Longest chain of successors followed to find a session's home. */
+/* Maximum number of successors followed to find a session's home. */
 #define SUCCESSORS_MAX 16
 
-/* Check of whether a home is live, pending its reply. */
+/* A check of whether a home is live, pending its reply. */
 typedef struct home_check
 {
   co_incarnation_t home;
@@ -23,16 +23,16 @@
 } home_check_t;
 
 /* A forwarded request, pending the home's reply. */
-typedef struct forward_wait
+typedef struct pending_forward
 {
   pr_forward_result_cb done;
   void *arg;
-} forward_wait_t;
+} pending_forward_t;
 
 static void
 home_check_done (void *arg, int ok, int sent, el_str_t body)
 {
-  home_check_t *wait = arg;
+  home_check_t *check = arg;
   pr_home_state_t state = PR_HOME_UNKNOWN;
   co_incarnation_t there;
   peer_gossip res;
@@ -42,16 +42,16 @@
   if (ok && peer_xdr_decode ((xdrproc_t)xdr_peer_gossip, body, &res))
     {
       memcpy (there.byte, res.self.incarnation, CO_INCARNATION_BYTES);
-      state = co_incarnation_eq (&there, &wait->home) ? PR_HOME_LIVE
-                                                      : PR_HOME_GONE;
+      state = co_incarnation_eq (&there, &check->home) ? PR_HOME_LIVE
+                                                       : PR_HOME_GONE;
     }
   xdr_free ((xdrproc_t)xdr_peer_gossip, (char *)&res);
-  wait->done (wait->arg, state);
-  free (wait);
+  check->done (check->arg, state);
+  free (check);
 }
 
 /** Whether a session's home is another host, returned in OUT: the host named
-    in its token or, after handovers, the last live host of the chain of
+    in its token or, after handovers, the last live host in the sequence of its
     successors. */
 int
 pr_peers_find_home (pr_peers_t *peers, const co_token_t *token,
@@ -82,18 +82,18 @@
 /** Check whether the expected incarnation still answers at a home's address.
  */
 void
-pr_peers_check_home (pr_peers_t *peers, const pr_session_home_t *where,
+pr_peers_check_home (pr_peers_t *peers, const pr_session_home_t *home,
                      pr_home_state_cb done, void *arg)
 {
-  home_check_t *wait = el_alloc (sizeof *wait);
+  home_check_t *check = el_alloc (sizeof *check);
   el_buf_t body = { NULL, 0, 0 };
 
-  wait->home = where->incarnation;
-  wait->done = done;
-  wait->arg = arg;
-  peer_gossip_encode (peers, &where->incarnation, &body);
-  net_rpc_call (peers->rpc, where->peer, PEER_GOSSIP, el_buf_str (&body),
-                HOME_CHECK_TIMEOUT, home_check_done, wait);
+  check->home = home->incarnation;
+  check->done = done;
+  check->arg = arg;
+  peer_gossip_encode (peers, &home->incarnation, &body);
+  net_rpc_call (peers->rpc, home->peer, PEER_GOSSIP, el_buf_str (&body),
+                HOME_CHECK_TIMEOUT, home_check_done, check);
   el_buf_free (&body);
 }
 
@@ -134,8 +134,8 @@
 static void
 forward_done (void *arg, int ok, int sent, el_str_t body)
 {
-  forward_wait_t *wait = arg;
-  pr_forward_result_t called = { 0 };
+  pending_forward_t *pending = arg;
+  pr_forward_result_t result = { 0 };
   net_header_t *headers = NULL;
   peer_forward_res res;
 
@@ -145,51 +145,53 @@
     {
       headers = pr_headers_decode (res.headers.headers_val,
                                    res.headers.headers_len);
-      called.answered = 1;
-      called.verdict = (el_verdict_t)res.verdict;
-      called.status = res.status;
-      called.headers = headers;
-      called.nheaders = res.headers.headers_len;
-      called.body = (el_str_t){ res.body.body_val, res.body.body_len };
+      result.answered = 1;
+      result.verdict = (el_verdict_t)res.verdict;
+      result.status = res.status;
+      result.headers = headers;
+      result.nheaders = res.headers.headers_len;
+      result.body = (el_str_t){ res.body.body_val, res.body.body_len };
     }
-  wait->done (wait->arg, &called);
+  pending->done (pending->arg, &result);
   free (headers);
   xdr_free ((xdrproc_t)xdr_peer_forward_res, (char *)&res);
-  free (wait);
+  free (pending);
 }
 
 /** Forward a request to its session's home and return the reply. If the home
-    does not reply, it is unknown whether the request ran: an earlier copy of
-    it may have run there. */
+    does not reply, it is unknown whether the request ran: an earlier attempt
+    may have run there. */
 void
-pr_peers_forward (pr_peers_t *peers, const pr_forward_request_t *call,
+pr_peers_forward (pr_peers_t *peers, const pr_forward_request_t *request,
                   pr_forward_result_cb done, void *arg)
 {
-  forward_wait_t *wait = el_alloc (sizeof *wait);
+  pending_forward_t *pending = el_alloc (sizeof *pending);
   el_time_t now = net_clock_now (peers->options.clock);
   el_buf_t token = { NULL, 0, 0 };
   el_buf_t body = { NULL, 0, 0 };
   peer_forward_args args;
 
   memset (&args, 0, sizeof args);
-  wait->done = done;
-  wait->arg = arg;
-  co_token_write (&token, &call->token, peers->options.key);
+  pending->done = done;
+  pending->arg = arg;
+  co_token_write (&token, &request->token, peers->options.key);
   PEER_BYTES_SET (args.token, token, token);
-  args.sequence = call->sequence;
-  args.digest = call->digest;
-  args.deadline_us = call->deadline > now ? call->deadline - now : 0;
-  args.repeatable = call->repeatable;
-  args.hops = call->hops + 1;
-  PEER_BYTES_SET (args.target, target, call->target);
-  PEER_BYTES_SET (args.method, method, call->method);
-  PEER_BYTES_SET (args.path, path, call->path);
-  PEER_BYTES_SET (args.body, body, call->body);
-  args.headers.headers_val = pr_headers_encode (call->headers, call->nheaders);
-  args.headers.headers_len = (u_int)call->nheaders;
+  args.sequence = request->sequence;
+  args.digest = request->digest;
+  args.deadline_us = request->deadline > now ? request->deadline - now : 0;
+  args.repeatable = request->repeatable;
+  args.hops = request->hops + 1;
+  PEER_BYTES_SET (args.target, target, request->target);
+  PEER_BYTES_SET (args.method, method, request->method);
+  PEER_BYTES_SET (args.path, path, request->path);
+  PEER_BYTES_SET (args.body, body, request->body);
+  args.headers.headers_val
+      = pr_headers_encode (request->headers, request->nheaders);
+  args.headers.headers_len = (u_int)request->nheaders;
   peer_xdr_encode ((xdrproc_t)xdr_peer_forward_args, &args, &body);
-  net_rpc_call (peers->rpc, call->where.peer, PEER_FORWARD, el_buf_str (&body),
-                args.deadline_us + EL_SEC, forward_done, wait);
+  net_rpc_call (peers->rpc, request->where.peer, PEER_FORWARD,
+                el_buf_str (&body), args.deadline_us + EL_SEC, forward_done,
+                pending);
   free (args.headers.headers_val);
   el_buf_free (&token);
   el_buf_free (&body);
@@ -197,18 +199,18 @@
 
 /** Reply to a request that another host forwarded. */
 void
-pr_forward_reply (net_rpc_req_t *req, const pr_forward_result_t *called)
+pr_forward_reply (net_rpc_req_t *req, const pr_forward_result_t *result)
 {
   el_buf_t out = { NULL, 0, 0 };
   peer_forward_res res;
 
   memset (&res, 0, sizeof res);
-  res.verdict = called->verdict;
-  res.status = called->status;
+  res.verdict = result->verdict;
+  res.status = result->status;
   res.headers.headers_val
-      = pr_headers_encode (called->headers, called->nheaders);
-  res.headers.headers_len = (u_int)called->nheaders;
-  PEER_BYTES_SET (res.body, body, called->body);
+      = pr_headers_encode (result->headers, result->nheaders);
+  res.headers.headers_len = (u_int)result->nheaders;
+  PEER_BYTES_SET (res.body, body, result->body);
   peer_xdr_encode ((xdrproc_t)xdr_peer_forward_res, &res, &out);
   net_rpc_reply (req, el_buf_str (&out));
   free (res.headers.headers_val);
@@ -222,14 +224,14 @@
   const pr_options_t *o = &peers->options;
   net_header_t *headers = NULL;
   peer_forward_args args;
-  pr_forward_request_t call = { 0 };
+  pr_forward_request_t request = { 0 };
   el_err_t err;
 
   memset (&args, 0, sizeof args);
   if (!peer_xdr_decode ((xdrproc_t)xdr_peer_forward_args, body, &args)
       || co_token_read (PEER_BYTES_GET (args.token, token), o->key,
-                        &call.token, &err)
-      || pr_peers_find_home (peers, &call.token, &call.where))
+                        &request.token, &err)
+      || pr_peers_find_home (peers, &request.token, &request.where))
     {
       o->ops->call (o->arg, req, NULL);
       xdr_free ((xdrproc_t)xdr_peer_forward_args, (char *)&args);
@@ -237,18 +239,18 @@
     }
   headers
       = pr_headers_decode (args.headers.headers_val, args.headers.headers_len);
-  call.sequence = args.sequence;
-  call.digest = args.digest;
-  call.deadline = net_clock_now (o->clock) + args.deadline_us;
-  call.repeatable = args.repeatable;
-  call.hops = args.hops;
-  call.target = PEER_BYTES_GET (args.target, target);
-  call.method = PEER_BYTES_GET (args.method, method);
-  call.path = PEER_BYTES_GET (args.path, path);
-  call.body = PEER_BYTES_GET (args.body, body);
-  call.headers = headers;
-  call.nheaders = args.headers.headers_len;
-  o->ops->call (o->arg, req, &call);
+  request.sequence = args.sequence;
+  request.digest = args.digest;
+  request.deadline = net_clock_now (o->clock) + args.deadline_us;
+  request.repeatable = args.repeatable;
+  request.hops = args.hops;
+  request.target = PEER_BYTES_GET (args.target, target);
+  request.method = PEER_BYTES_GET (args.method, method);
+  request.path = PEER_BYTES_GET (args.path, path);
+  request.body = PEER_BYTES_GET (args.body, body);
+  request.headers = headers;
+  request.nheaders = args.headers.headers_len;
+  o->ops->call (o->arg, req, &request);
   free (headers);
   xdr_free ((xdrproc_t)xdr_peer_forward_args, (char *)&args);
 }
--- a/peer/peer_gossip.c
+++ b/peer/peer_gossip.c
@@ -12,19 +12,19 @@
 
 #define PROBE_RPC_TIMEOUT EL_SEC
 
-/* A probe of this host, pending its reply. */
-typedef struct probe_wait
+/* A probe sent by this host, pending its reply. */
+typedef struct pending_probe
 {
   pr_peers_t *peers;
   uint64_t id;
-} probe_wait_t;
+} pending_probe_t;
 
 /* A probe sent on behalf of another host, pending its reply. */
-typedef struct relay_wait
+typedef struct pending_relay
 {
   pr_peers_t *peers;
   net_rpc_req_t *req;
-} relay_wait_t;
+} pending_relay_t;
 
 /** Encode a member; its strings are not copied. */
 void
@@ -169,8 +169,8 @@
 static void
 probe_done (void *arg, int ok, int sent, el_str_t body)
 {
-  probe_wait_t *wait = arg;
-  pr_peers_t *peers = wait->peers;
+  pending_probe_t *pending = arg;
+  pr_peers_t *peers = pending->peers;
   peer_gossip message;
   co_gossip_t gossip;
 
@@ -179,11 +179,11 @@
   ok = ok && peer_xdr_decode ((xdrproc_t)xdr_peer_gossip, body, &message)
        && gossip_decode (&message, &gossip);
   co_members_probe_done (peers->members, net_clock_now (peers->options.clock),
-                         wait->id, ok, &gossip);
+                         pending->id, ok, &gossip);
   if (ok)
     gossip_received (peers, &gossip, message.rumors);
   xdr_free ((xdrproc_t)xdr_peer_gossip, (char *)&message);
-  free (wait);
+  free (pending);
 }
 
 /** Probe a host, directly or through the host VIA. */
@@ -191,17 +191,17 @@
 peer_probe (void *arg, uint64_t id, el_str_t address, el_str_t via)
 {
   pr_peers_t *peers = arg;
-  probe_wait_t *wait = el_alloc (sizeof *wait);
+  pending_probe_t *pending = el_alloc (sizeof *pending);
   el_buf_t body = { NULL, 0, 0 };
   el_buf_t relayed = { NULL, 0, 0 };
   peer_relay relay;
 
-  wait->peers = peers;
-  wait->id = id;
+  pending->peers = peers;
+  pending->id = id;
   peer_gossip_encode (peers, NULL, &body);
   if (via.len == 0)
     net_rpc_call_udp (peers->rpc, address, PEER_GOSSIP, el_buf_str (&body),
-                      PROBE_RPC_TIMEOUT, probe_done, wait);
+                      PROBE_RPC_TIMEOUT, probe_done, pending);
   else
     {
       memset (&relay, 0, sizeof relay);
@@ -211,7 +211,7 @@
         peer_xdr_encode ((xdrproc_t)xdr_peer_relay, &relay, &relayed);
       xdr_free ((xdrproc_t)xdr_peer_gossip, (char *)&relay.gossip);
       net_rpc_call_udp (peers->rpc, via, PEER_RELAY, el_buf_str (&relayed),
-                        PROBE_RPC_TIMEOUT, probe_done, wait);
+                        PROBE_RPC_TIMEOUT, probe_done, pending);
       el_buf_free (&relayed);
     }
   el_buf_free (&body);
@@ -242,22 +242,22 @@
 }
 
 /* Pass on the target's reply. If there was none, the requester ignores the
-   empty reply, and its probe times out as a direct one would. */
+   empty reply, so its probe times out as a direct one would. */
 static void
 relay_done (void *arg, int ok, int sent, el_str_t body)
 {
-  relay_wait_t *wait = arg;
+  pending_relay_t *pending = arg;
 
   (void)sent;
-  net_rpc_reply (wait->req, ok ? body : (el_str_t){ NULL, 0 });
-  free (wait);
+  net_rpc_reply (pending->req, ok ? body : (el_str_t){ NULL, 0 });
+  free (pending);
 }
 
-/** Probe another host on behalf of the one that asks. */
+/** Probe another host on behalf of the requester. */
 void
 peer_serve_relay (pr_peers_t *peers, net_rpc_req_t *req, el_str_t body)
 {
-  relay_wait_t *wait;
+  pending_relay_t *pending;
   el_buf_t out = { NULL, 0, 0 };
   peer_relay relay;
 
@@ -269,13 +269,13 @@
     }
   else
     {
-      wait = el_alloc (sizeof *wait);
-      wait->peers = peers;
-      wait->req = req;
+      pending = el_alloc (sizeof *pending);
+      pending->peers = peers;
+      pending->req = req;
       peer_xdr_encode ((xdrproc_t)xdr_peer_gossip, &relay.gossip, &out);
       net_rpc_call_udp (peers->rpc, PEER_BYTES_GET (relay.target, target),
                         PEER_GOSSIP, el_buf_str (&out), PROBE_RPC_TIMEOUT,
-                        relay_done, wait);
+                        relay_done, pending);
     }
   xdr_free ((xdrproc_t)xdr_peer_relay, (char *)&relay);
   el_buf_free (&out);
--- a/peer/peer_handover.c
+++ b/peer/peer_handover.c
@@ -137,9 +137,9 @@
   free (batch);
 }
 
-/* End the handover. WHOLE says that all batches were acknowledged. */
+/* End the handover. COMPLETE says that all batches were acknowledged. */
 static void
-handover_finish (peer_handover_t *handover, int whole)
+handover_finish (peer_handover_t *handover, int complete)
 {
   pr_peers_t *peers = handover->peers;
   batch_t *batch;
@@ -149,10 +149,11 @@
       handover->batches = batch->next;
       batch_free (batch);
     }
-  if (whole && peers->successor.peer.len)
+  if (complete && peers->successor.peer.len)
     co_members_set_successor (peers->members, &peers->successor.incarnation);
   EL_LOG (EL_LOG_INFO, "handed_over",
-          EL_FS ("successor", peers->successor.peer), EL_FN ("whole", whole));
+          EL_FS ("successor", peers->successor.peer),
+          EL_FN ("whole", complete));
   peers->handover = NULL;
   handover->done (handover->arg);
   free (handover);
@@ -173,8 +174,9 @@
   return 1;
 }
 
-/* Mark the sessions that the successor accepted as moved. Those it refused,
-   and all when nothing was sent, stay sealed on this host. */
+/* Mark the sessions that the successor accepted as moved. Those that it
+   refused, or all of them when RES is NULL as nothing was sent, stay sealed on
+   this host. */
 static void
 batch_mark_moved (peer_handover_t *handover, const batch_t *batch,
                   const peer_handover_res *res)
@@ -243,8 +245,8 @@
 }
 
 /** Hand the sessions over to another host. A second call updates the same host
-    with the requests that ended since. DONE is called once. The ledger must be
-    sealed. */
+    with the requests that have ended since. DONE is called once. The ledger
+    must be sealed. */
 void
 pr_peers_hand_over (pr_peers_t *peers, pr_done_cb done, void *arg)
 {
@@ -285,8 +287,8 @@
   free (final_handover);
 }
 
-/* Tell the successor that it is the successor; it gossips that to the other
-   hosts. */
+/* Announce the successor to the successor itself, which gossips it to the
+   other hosts. */
 static void
 final_gossip_send (void *arg)
 {
@@ -301,8 +303,9 @@
   el_buf_free (&body);
 }
 
-/** Send the successor the requests that ended since the sessions were handed
-    over, then call DONE. Called when no request runs on this host any more. */
+/** Send the successor the requests that have ended since the sessions were
+    handed over, then call DONE. Called when no request runs on this host any
+    more. */
 void
 pr_peers_final_handover (pr_peers_t *peers, pr_done_cb done, void *arg)
 {
--- a/peer/peer_members.c
+++ b/peer/peer_members.c
@@ -16,9 +16,9 @@
 /* Members collected for a reply. */
 typedef struct sync_list
 {
-  peer_member *list;
+  peer_member *list; /* alive or suspect */
   u_int len;
-  peer_member_change *others;
+  peer_member_change *others; /* dead or left */
   u_int nothers;
 } sync_list_t;
 
@@ -54,8 +54,8 @@
   peer_member_encode (member, &members->list[members->len++]);
 }
 
-/** Reply with all members that this host knows: live ones in full, the others
-    as state changes. */
+/** Reply with all members that this host knows: those alive or suspect in
+    full, the others as state changes. */
 void
 peer_serve_members (pr_peers_t *peers, net_rpc_req_t *req, el_str_t body)
 {
--- a/peer/peer_news.c
+++ b/peer/peer_news.c
@@ -4,21 +4,22 @@
  */
 /** @file
  * Store updates between the hosts of a hall: one or a few hosts poll the
- * store, the others ask the first of these. A request stays pending until the
- * host that received it has heard from the store again, so that the reply is
- * up to date.
+ * store, the others request updates from the first of these. A request stays
+ * pending until the host that received it gets the next answer of the store,
+ * so that the reply is up to date.
  */
 #include <stdlib.h>
 #include <string.h>
 
 #include "libpeer.h"
 
-/* Several times as long as a host that follows the store goes without hearing
-   from it or from the engines of its hall. */
+/* Several times the longest interval in which a host that polls the store gets
+   no answer from it or from the engines of its hall. */
 #define UPDATE_TIMEOUT (1300 * EL_MSEC)
-/* A host whose updates failed is not asked again for this long. */
+/* No updates are requested for this long from a host whose updates failed. */
 #define FAILED_SOURCE_HOLD (5 * EL_SEC)
-/* Hosts of a hall that are asked in turn while updates are stale. */
+/* Number of hosts of a hall that requests rotate through while updates are
+   stale. */
 #define SOURCES_MAX 3
 /* Data that is newer than the requester's by less than this does not trigger
    an immediate reply: both may have it from the same host. */
@@ -26,7 +27,7 @@
 #define PERMILLE 1000
 #define PERCENT 100
 
-/* A request of another host that waits for a reply. */
+/* A request of another host, pending this host's reply. */
 typedef struct peer_pending_request
 {
   net_rpc_req_t *req;
@@ -35,7 +36,7 @@
   struct peer_pending_request *next;
 } peer_pending_request_t;
 
-/* A request of this host. */
+/* A request of this host, pending its reply. */
 typedef struct peer_update_request
 {
   pr_peers_t *peers;
@@ -109,20 +110,20 @@
 }
 
 static void
-items_encode (const pr_store_update_t *news, peer_news_res *res)
+items_encode (const pr_store_update_t *update, peer_news_res *res)
 {
   size_t i;
 
-  res->items.items_val = el_alloc ((news->n + 1) * sizeof (peer_item));
-  res->items.items_len = (u_int)news->n;
-  for (i = 0; i < news->n; i++)
+  res->items.items_val = el_alloc ((update->n + 1) * sizeof (peer_item));
+  res->items.items_len = (u_int)update->n;
+  for (i = 0; i < update->n; i++)
     {
       peer_item *item = &res->items.items_val[i];
 
-      item->revision = news->items[i].revision;
-      item->gone = news->items[i].gone;
-      PEER_BYTES_SET (item->key, key, news->items[i].key);
-      PEER_BYTES_SET (item->value, value, news->items[i].value);
+      item->revision = update->items[i].revision;
+      item->gone = update->items[i].gone;
+      PEER_BYTES_SET (item->key, key, update->items[i].key);
+      PEER_BYTES_SET (item->value, value, update->items[i].value);
     }
 }
 
@@ -133,24 +134,24 @@
   pr_engine_report_t *engines;
   el_buf_t out = { NULL, 0, 0 };
   peer_news_res res;
-  pr_store_update_t news = { 0 };
+  pr_store_update_t update = { 0 };
 
   memset (&res, 0, sizeof res);
   res.ready
-      = peers->options.ops->news (peers->options.arg, pending->after, &news)
-        && news.as_of != 0;
-  res.whole = news.whole;
-  res.epoch = news.at.epoch;
-  res.revision = news.at.revision;
-  res.known_after = (int64_t)news.as_of - (int64_t)pending->received_at;
-  items_encode (&news, &res);
+      = peers->options.ops->news (peers->options.arg, pending->after, &update)
+        && update.as_of != 0;
+  res.whole = update.whole;
+  res.epoch = update.at.epoch;
+  res.revision = update.at.revision;
+  res.known_after = (int64_t)update.as_of - (int64_t)pending->received_at;
+  items_encode (&update, &res);
   engines = engines_encode (peers, &res);
   peer_xdr_encode ((xdrproc_t)xdr_peer_news_res, &res, &out);
   net_rpc_reply (pending->req, el_buf_str (&out));
   free (res.engines.engines_val);
   free (engines);
   free (res.items.items_val);
-  free (news.items);
+  free (update.items);
   el_buf_free (&out);
 }
 
@@ -195,7 +196,7 @@
   LL_PREPEND (peers->pending_requests, pending);
 }
 
-/** Reply to all pending requests; called when this host has heard from the
+/** Reply to all pending requests; called when this host got an answer of the
     store or has polled the engines. */
 void
 pr_peers_reply_pending (pr_peers_t *peers)
@@ -213,26 +214,26 @@
 static void
 update_decode (const peer_update_request_t *request, const peer_news_res *res)
 {
-  pr_store_update_t news
+  pr_store_update_t update
       = { .whole = res->whole,
           .at = { res->epoch, res->revision },
           .as_of = (el_time_t)((int64_t)request->sent + res->known_after) };
   u_int i;
 
-  news.items = el_alloc ((res->items.items_len + 1) * sizeof *news.items);
+  update.items = el_alloc ((res->items.items_len + 1) * sizeof *update.items);
   for (i = 0; i < res->items.items_len; i++)
     {
       const peer_item *item = &res->items.items_val[i];
 
-      news.items[news.n++]
+      update.items[update.n++]
           = (pr_store_item_t){ .key = PEER_BYTES_GET (item->key, key),
                                .value = PEER_BYTES_GET (item->value, value),
                                .revision = item->revision,
                                .gone = item->gone };
     }
   engines_decode (request->peers, res);
-  request->done (request->arg, &news);
-  free (news.items);
+  request->done (request->arg, &update);
+  free (update.items);
 }
 
 static void
@@ -276,8 +277,8 @@
   return 0;
 }
 
-/** Avoid the host asked last for a while: it had no usable updates although
-    the store answers. */
+/** For a while, request no updates from the host that was last sent a request:
+    it had no usable updates although the store answers. */
 void
 pr_peers_avoid_last_source (pr_peers_t *peers)
 {
@@ -301,12 +302,12 @@
                                &peers->options.incarnation);
 }
 
-/* The host of this hall to ask for updates; NULL when this host should ask the
-   store itself. The host asked need not follow the store: it passes on what it
-   receives. After OLD stale replies in a row, the next hosts are asked in
-   turn, as they may have asked the store. */
+/* The host of this hall to request updates from; NULL when this host should
+   poll the store itself. The selected host need not poll the store: it passes
+   on what it receives. After STALE_REPLIES consecutive stale replies, the next
+   hosts are selected in turn, as they may have polled the store. */
 static const co_member_t *
-source_select (pr_peers_t *peers, unsigned old)
+source_select (pr_peers_t *peers, unsigned stale_replies)
 {
   const co_member_t *self
       = co_members_find (peers->members, &peers->options.incarnation);
@@ -322,24 +323,25 @@
   if (!first || first == self)
     return NULL;
   from = first;
-  for (i = 0; from && i < old % SOURCES_MAX; i++)
+  for (i = 0; from && i < stale_replies % SOURCES_MAX; i++)
     from = co_members_next_ranked (peers->members, from, source_failed_lately,
                                    peers);
   return from && from != self ? from : first;
 }
 
-/** Request store updates from another host of this hall. OLD is the number of
-    consecutive stale replies. Returns 0 when this host should ask the store
-    itself or no other host is known. */
+/** Request store updates from another host of this hall. STALE_REPLIES is the
+    number of consecutive stale replies so far. Returns 0 when this host should
+    poll the store itself or no other host is known. */
 int
 pr_peers_request_update (pr_peers_t *peers, pr_store_position_t after,
-                         unsigned old, pr_store_update_cb done, void *arg)
+                         unsigned stale_replies, pr_store_update_cb done,
+                         void *arg)
 {
   peer_news_args args = { .epoch = after.epoch, .after = after.revision };
   el_time_t now = net_clock_now (peers->options.clock);
   el_buf_t body = { NULL, 0, 0 };
   peer_update_request_t *request;
-  const co_member_t *from = source_select (peers, old);
+  const co_member_t *from = source_select (peers, stale_replies);
 
   if (!from)
     return 0;
--- a/peer/peer_rumor.c
+++ b/peer/peer_rumor.c
@@ -13,18 +13,18 @@
 #include "libpeer.h"
 
 /* Number of hosts to which each host forwards a rumor. A host that was not
-   reached finds out by the digest in its next probe. */
+   reached notices by the digest in its next probe. */
 #define RUMOR_FANOUT 6
-/* An unacknowledged datagram is sent a second time. */
+/* A datagram that is not acknowledged in this time is sent a second time. */
 #define RUMOR_SEND_TIMEOUT (200 * EL_MSEC)
 #define RUMOR_ATTEMPTS_MAX 2
 #define RUMOR_FETCH_TIMEOUT EL_SEC
 /* Rumors that arrive within this time are forwarded in one message. */
 #define RUMOR_BATCH_DELAY (5 * EL_MSEC)
-/* Rumors kept, each of at most CO_RUMOR_BODY_MAX bytes. */
+/* Maximum number of rumors kept, each of at most CO_RUMOR_BODY_MAX bytes. */
 #define RUMORS_MAX 1024
 
-/* A datagram that may have to be sent again. */
+/* A datagram that may have to be retried. */
 typedef struct rumor_send
 {
   pr_peers_t *peers;
@@ -60,9 +60,9 @@
 }
 
 static void
-list_encode (rumor_list_t *rumors, int ask, el_buf_t *out)
+list_encode (rumor_list_t *rumors, int fetch, el_buf_t *out)
 {
-  peer_rumors message = { .ask = ask };
+  peer_rumors message = { .ask = fetch };
 
   message.rumors.rumors_val = rumors->list;
   message.rumors.rumors_len = rumors->len;
@@ -75,7 +75,7 @@
 list_merge (pr_peers_t *peers, const peer_rumors *message)
 {
   el_time_t now = net_clock_now (peers->options.clock);
-  size_t news = 0;
+  size_t added = 0;
   u_int i;
 
   for (i = 0; i < message->rumors.rumors_len; i++)
@@ -87,10 +87,10 @@
               .until = now + from->left_us,
               .body = PEER_BYTES_GET (from->body, body) };
 
-      news += (size_t)co_rumors_receive (peers->rumors, now, &rumor);
+      added += (size_t)co_rumors_receive (peers->rumors, now, &rumor);
     }
   peer_rumors_schedule (peers);
-  return news;
+  return added;
 }
 
 static void
@@ -175,7 +175,7 @@
 }
 
 /** Process rumors sent by another host, and reply with all known rumors if
-    asked for. */
+    it requests them. */
 void
 peer_serve_rumors (pr_peers_t *peers, net_rpc_req_t *req, el_str_t body)
 {
@@ -233,7 +233,7 @@
   el_buf_free (&body);
 }
 
-/** Start with an empty set of rumors. */
+/** Create this host's set of rumors, empty. */
 void
 peer_rumors_init (pr_peers_t *peers)
 {
