--- a/coord/coord.h
+++ b/coord/coord.h
@@ -19,8 +19,8 @@
 
 #define CO_INCARNATION_BYTES 16
 
-/** Random bytes, so that a new incarnation is unique without a store or a
-    clock, even when another host takes over the address of a former one. */
+/** Random bytes, so that an incarnation is unique without a store or a clock,
+    even when another host takes over the address of a former one. */
 typedef struct co_incarnation
 {
   unsigned char byte[CO_INCARNATION_BYTES];
@@ -85,9 +85,9 @@
 typedef struct co_ledger_options
 {
   size_t max_sessions; /**< maximum number of sessions */
-  size_t max_entries; /**< maximum number of requests remembered per session */
-  size_t max_bytes;   /**< maximum size of all remembered answers together */
-  el_time_t idle;     /**< a session that is unused this long is dropped */
+  size_t max_entries;  /**< maximum number of requests kept per session */
+  size_t max_bytes; /**< maximum total size of the stored answers, in bytes */
+  el_time_t idle;   /**< a session that is unused for this long is dropped */
   co_incarnation_t home; /**< incarnation of sessions opened here */
   void (*release) (void *arg, void *answer); /**< frees a dropped answer */
   void *arg;
@@ -153,15 +153,15 @@
   CO_MBR_ALIVE,
   CO_MBR_SUSPECT, /**< did not answer a probe; may still refute */
   CO_MBR_DEAD,    /**< not refuted in time, or replaced at its address */
-  CO_MBR_LEFT     /**< announced its shutdown */
+  CO_MBR_LEFT     /**< announced that it stops */
 } co_mbr_state_t;
 
-/** Whether a live host should be sent callers. */
+/** Whether callers should be directed to a live host. */
 typedef enum co_mbr_offer
 {
   CO_MBR_OFFERED,
   CO_MBR_WITHDRAWN, /**< temporarily not: it can't serve callers at present */
-  CO_MBR_DRAINING   /**< no longer: it is shutting down */
+  CO_MBR_DRAINING   /**< no longer: it is stopping */
 } co_mbr_offer_t;
 
 /** One incarnation of a host. */
@@ -183,14 +183,14 @@
                                  zero when there is none */
 } co_member_t;
 
-/** Notice that an endpoint is about to leave. */
+/** A notice that an endpoint is leaving. */
 typedef struct co_leaving_notice
 {
-  uint64_t id; /**< random, unique per notice */
+  uint64_t id; /**< random, unique for each notice */
   el_str_t endpoint;
 } co_leaving_notice_t;
 
-/** State of a member, for hosts that know the member already. */
+/** Current state of a member, for hosts that know the member already. */
 typedef struct co_member_change
 {
   co_incarnation_t incarnation;
@@ -211,7 +211,7 @@
   co_member_t self;
   uint64_t digest; /**< digest of the sender's available members */
   co_member_t members[CO_GOSSIP_MEMBERS_MAX]; /**< members that the receiver
-                                           may not know yet */
+                                                 may not know yet */
   size_t nmembers;
   co_member_change_t changes[CO_GOSSIP_CHANGES_MAX];
   size_t nchanges;
@@ -230,21 +230,22 @@
   el_time_t period;  /**< time between two probes */
   el_time_t timeout; /**< timeout of a direct probe; an indirect probe takes as
                         long again */
-  el_time_t forget;  /**< dead members are kept this long */
-  el_time_t leaving_hold; /**< a notice that an endpoint leaves is passed on
-                             this long */
+  el_time_t forget;  /**< time for which members that are dead or left are
+                        kept */
+  el_time_t leaving_hold; /**< time for which a notice that an endpoint is
+                             leaving is passed on */
   /** Probe the host at ADDRESS: send it the message that
-     co_members_write_gossip makes, and pass the outcome to
-     co_members_probe_done. With VIA set, ask the host at VIA to do the
-     probing. */
+      co_members_write_gossip makes, and pass the outcome to
+      co_members_probe_done. With VIA set, ask the host at VIA to do the
+      probing. */
   void (*probe) (void *arg, uint64_t id, el_str_t address, el_str_t via);
   /** Request the full member list from the host at ADDRESS; pass live members
       to co_members_apply_member and all others to co_members_apply_change. May
-     be NULL. */
+      be NULL. */
   void (*sync) (void *arg, el_str_t address);
   /** A member was added or has changed. */
   void (*changed) (void *arg, const co_member_t *member);
-  /** Another host reported that an endpoint leaves. */
+  /** Another host reported that an endpoint is leaving. */
   void (*leaving) (void *arg, el_str_t endpoint);
   void *arg;
 } co_members_options_t;
@@ -289,7 +290,7 @@
 const char *co_mbr_state_name (co_mbr_state_t state);
 const char *co_mbr_offer_name (co_mbr_offer_t offer);
 
-/* Rumors: short messages that are spread quickly to all hosts. */
+/* Rumors: short messages that reach all hosts quickly. */
 
 /** Maximum size of a rumor's body, and maximum number of rumors and total size
     of their bodies in one message, so that it fits a datagram. Sizes are in
@@ -303,7 +304,7 @@
 {
   uint64_t id;     /**< unique across all hosts */
   el_time_t at;    /**< time of its first publication, on this host's clock */
-  el_time_t until; /**< time until which it is kept and passed on */
+  el_time_t until; /**< time until which it is kept and forwarded */
   el_str_t body;
 } co_rumor_t;
 
@@ -355,7 +356,7 @@
 typedef enum co_role
 {
   CO_ENGINE, /**< holds layers of a model */
-  CO_WORKER  /**< a plain service */
+  CO_WORKER  /**< serves calls of a service */
 } co_role_t;
 
 typedef struct co_stage
@@ -398,14 +399,14 @@
   uint64_t role;     /**< a co_role_t */
   uint64_t capacity; /**< number of concurrent calls that it batches well */
   uint64_t checks_orders;
-  uint64_t draining; /**< an operator requested that it gets no new work */
+  uint64_t draining; /**< an operator drains it: it gets no new work */
 } co_endpoint_t;
 
 typedef struct co_service
 {
   el_str_t *endpoints;
   size_t nendpoints;
-  uint64_t repeatable; /**< calls other than GET and HEAD may be repeated */
+  uint64_t repeatable; /**< calls other than GET and HEAD may be retried */
   uint64_t timeout_ms;
 } co_service_t;
 
--- a/coord/ledger.c
+++ b/coord/ledger.c
@@ -19,7 +19,7 @@
   uint64_t digest;   /* digest of the request, to detect another request under
                         its number */
   int ended;
-  int elsewhere; /* runs at the host that handed the session over */
+  int elsewhere; /* still runs at the host that handed the session over */
   size_t bytes;  /* size of the answer, once ended */
   void *answer;
   UT_hash_handle hh;
@@ -28,12 +28,11 @@
 typedef struct led_session
 {
   co_session_t key;
-  int moved; /* handed over or being handed over: requests may run at the other
-                host */
+  int moved; /* handed over, or may be: requests may run at the other host */
   el_str_t customer;
   uint64_t floor;
   el_time_t last_used;
-  size_t running;
+  size_t running; /* requests that run on this host */
   led_entry_t *entries;
   UT_hash_handle hh;
 } led_session_t;
@@ -213,9 +212,9 @@
 }
 
 /** Handle the arrival of a request. On CO_LED_RUN the ledger stores NEW_ANSWER
-   as its answer; on CO_LED_JOIN and CO_LED_ANSWER, *ANSWER is the answer of
-   the first arrival. DIGEST distinguishes different requests that a caller
-   sent with the same sequence. */
+    as its answer; on CO_LED_JOIN and CO_LED_ANSWER, *ANSWER is the answer of
+    the first arrival. DIGEST distinguishes different requests that a caller
+    sent with the same sequence. */
 co_led_result_t
 co_ledger_begin_request (co_ledger_t *ledger, el_time_t now,
                          const co_session_t *key, uint64_t sequence,
@@ -267,7 +266,7 @@
 }
 
 /** Record the end of a request. One that is proved not to have run is removed,
-    so that the caller may send it again. Any other is kept with an answer of
+    so that the caller may retry it. Any other is kept with an answer of
     BYTES for as long as all answers fit within max_bytes. */
 void
 co_ledger_end_request (co_ledger_t *ledger, el_time_t now,
@@ -300,7 +299,8 @@
   return session_find (ledger, key) != NULL;
 }
 
-/** Run no new requests from now on; running ones continue. */
+/** Run no new requests and open no sessions from now on; running requests
+    continue. */
 void
 co_ledger_seal (co_ledger_t *ledger)
 {
@@ -336,7 +336,7 @@
   return ledger->nentries;
 }
 
-/** Return the total size of the remembered answers, in bytes. */
+/** Return the total size of the stored answers, in bytes. */
 size_t
 co_ledger_bytes (const co_ledger_t *ledger)
 {
@@ -396,9 +396,9 @@
 }
 
 /** Import a session, or the requests that ended since it was first imported.
-    Takes ownership of the answers in any case. Importing the same data again
-    has no effect. EL_LIMIT when there is no room or this host is itself
-    stopping; nothing is imported then. */
+    Takes ownership of the answers in any case. Importing the same data a
+    second time has no effect. EL_LIMIT when there is no room or this host is
+    itself stopping; nothing is imported then. */
 el_status_t
 co_ledger_import (co_ledger_t *ledger, el_time_t now,
                   const co_led_session_t *from)
--- a/coord/libcoord.h
+++ b/coord/libcoord.h
@@ -12,7 +12,7 @@
 #include "map.h"
 
 /* Upper bound of the number of times that an update is sent, for any number of
-   members: see update_transmit_limit in mbr_update.c. */
+   members; see update_transmit_limit in mbr_update.c. */
 #define MBR_TRANSMITS_MAX 64
 
 /* An update that is queued for sending. */
@@ -31,6 +31,7 @@
   mbr_update_t *sent[MBR_TRANSMITS_MAX];
 } mbr_queue_t;
 
+/* An entry of the member table. */
 typedef struct mbr_entry
 {
   co_members_t *members;
@@ -42,6 +43,7 @@
   UT_hash_handle hh;
 } mbr_entry_t;
 
+/* A notice that an endpoint is leaving, and how often it was sent. */
 typedef struct mbr_leaving
 {
   co_members_t *members;
@@ -51,6 +53,7 @@
   UT_hash_handle hh;
 } mbr_leaving_t;
 
+/* A probe that was not answered yet. */
 typedef struct mbr_probe
 {
   uint64_t id;
@@ -69,10 +72,10 @@
   uint64_t rng;
   co_member_t self;
   mbr_entry_t *entries;
-  mbr_entry_t **order; /* in probing order */
+  mbr_entry_t **order; /* all entries, in probing order */
   size_t norder;
-  size_t cursor;
-  size_t live; /* number of other members that are alive or suspect */
+  size_t cursor; /* next index in order to probe */
+  size_t live;   /* number of other members that are alive or suspect */
   el_str_t seeds;
   size_t seed_offset;
   mbr_probe_t *probes;
--- a/coord/mbr_members.c
+++ b/coord/mbr_members.c
@@ -12,6 +12,8 @@
 
 #include "libcoord.h"
 
+/* A suspect has this many probe periods, times half the logarithm of the
+   number of hosts, to refute. */
 #define SUSPECT_PERIODS 4
 #define HANDOVER_FORGET_FACTOR 6
 
@@ -190,7 +192,7 @@
   members->self.counter = change->counter + 1;
 }
 
-/** Apply an update of a member. The higher counter, which only the member
+/** Apply an update about a member. The higher counter, which only the member
     itself raises, takes precedence; at equal counters the worse state does. */
 void
 mbr_change_apply (co_members_t *members, el_time_t now,
@@ -215,8 +217,8 @@
   mbr_entry_set_state (members, now, entry, change->state);
 }
 
-/* Store MEMBER's successor; returns whether it is new, so that all hosts must
-   learn it. */
+/* Store MEMBER's successor; returns whether it is new and must be passed on to
+   all hosts. */
 static int
 successor_apply (mbr_entry_t *entry, const co_member_t *member)
 {
@@ -275,8 +277,8 @@
   members->self.counter++;
 }
 
-/** Set whether this host should temporarily be sent no callers. Has no effect
-    on a draining host. */
+/** Set whether callers should temporarily not be directed to this host. Has no
+    effect on a draining host. */
 void
 co_members_set_withdrawn (co_members_t *members, int withdrawn)
 {
@@ -414,8 +416,9 @@
 
 /** Return whether A precedes B in the order by which one host is chosen to act
     for several: by higher capacity, then by lower incarnation. Whether a host
-    is withdrawn is not considered: otherwise, when all hosts are withdrawn and
-    are offered again one by one, no host would know which one to ask. */
+    is withdrawn is not considered: otherwise, while all hosts are withdrawn
+    and are offered again one by one, no host would know which one comes first.
+ */
 int
 co_member_ranks_before (const co_member_t *a, const co_member_t *b)
 {
--- a/coord/mbr_probe.c
+++ b/coord/mbr_probe.c
@@ -11,8 +11,8 @@
 #include "libcoord.h"
 
 #define INDIRECT_PROBES 3
-/* A tick that is this many periods late shows that the process was paused:
-   answers that are missing then say nothing about other hosts. */
+/* A tick that is this many periods late shows that the process was paused: a
+   missing answer is then no evidence against another host. */
 #define PAUSED_PERIODS 3
 /* For this many periods after its start, a host sends probes STARTUP_SPEEDUP
    times as often: hosts that all start at once know each other within a
@@ -74,8 +74,8 @@
   return el_str_eq (address, members->self.peer);
 }
 
-/* Probe the next seed at whose address no live member is known, to join, and
-   to find the others again after a network partition. */
+/* Probe the next seed, unless a live member is known at its address: to join,
+   and to rejoin after a network partition. */
 static void
 probe_seed (co_members_t *members, el_time_t now)
 {
@@ -198,7 +198,8 @@
   while (members->seed_offset);
 }
 
-/* Request a full member list from time to time just after the start. */
+/* Request a full member list along with some of the probes just after the
+   start. */
 static void
 startup_sync (co_members_t *members, const mbr_entry_t *other)
 {
--- a/coord/mbr_update.c
+++ b/coord/mbr_update.c
@@ -12,8 +12,8 @@
 
 #include "libcoord.h"
 
-/* An update is sent TRANSMIT_MIN times plus this many times the logarithm of
-   the number of members. */
+/* An update is sent TRANSMIT_MIN times, plus TRANSMIT_FACTOR times the
+   logarithm of the number of members. */
 #define TRANSMIT_FACTOR 3
 #define TRANSMIT_MIN 4
 /* Number of changes in a message that are reserved for members that may get
@@ -25,11 +25,12 @@
 /* After this many consecutive messages with a different digest than its own, a
    host concludes that it missed updates. */
 #define MISMATCHES_MAX 6
-/* Digests differ for a short time after each change. */
+/* A differing digest is ignored for this many periods after a change, while
+   the change spreads. */
 #define DIGEST_SETTLE_PERIODS 2
-/* Minimum time between two requests for a full member list. */
+/* Minimum time between two requests for a full member list, in periods. */
 #define SYNC_GAP_PERIODS 8
-/* A host that received no message for this long has missed updates. It
+/* A host that received no message for this many periods has missed updates. It
    requests the member list from several hosts, as the first one may have
    missed them, too. */
 #define ISOLATED_PERIODS 4
@@ -155,7 +156,7 @@
   size_t n;
   size_t i;
 
-  /* A host that is not considered alive here is told so, to let it refute. */
+  /* Tell a receiver that is not considered alive here so, to let it refute. */
   if (entry && entry->m.state != CO_MBR_ALIVE)
     change_write (entry, out);
   n = queue_take (&members->unavailable, sends, list, 0,
@@ -271,7 +272,7 @@
   members->options.leaving (members->options.arg, leaving->endpoint);
 }
 
-/** Free all notices that endpoints leave. */
+/** Free all notices that endpoints are leaving. */
 void
 mbr_leaving_free (co_members_t *members)
 {
@@ -282,7 +283,7 @@
   leaving_expired (notice, 0);
 }
 
-/** Record that this host noticed that ENDPOINT leaves, and tell the others. */
+/** Report to the other hosts that ENDPOINT is leaving. */
 void
 co_members_report_leaving (co_members_t *members, el_time_t now,
                            el_str_t endpoint)
--- a/coord/rumor.c
+++ b/coord/rumor.c
@@ -3,21 +3,22 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Rumors: short messages that spread to all hosts faster than membership
- * updates do. Each host forwards a rumor that is new to it once, to a few
- * others chosen at random. A host that missed one notices a different digest
- * on a probe and requests all rumors. The number of rumors is bounded: the one
- * that expires first is evicted.
+ * Rumors: short messages that reach all hosts sooner than membership updates
+ * do. Each host forwards a rumor that is new to it once, to a few others
+ * chosen at random. A host that missed one notices a different digest on a
+ * probe and requests all rumors. The number of rumors is bounded: the one that
+ * expires first is evicted.
  */
 #include <string.h>
 
 #include "coord.h"
 #include "map.h"
 
-/* Digests differ for a short time while a rumor spreads. */
+/* A differing digest is ignored for this long after a new rumor, while the
+   rumor spreads. */
 #define DIGEST_SETTLE (300 * EL_MSEC)
-/* Time between requests for all rumors: reset after an answer with new rumors,
-   doubled after each answer without any. */
+/* Delay between requests for all rumors: reset after an answer with new rumors
+   or when the digests agree, doubled at each further request. */
 #define SYNC_RETRY_MIN (500 * EL_MSEC)
 #define SYNC_RETRY_MAX (32 * EL_SEC)
 
@@ -36,10 +37,10 @@
   rumor_t *by_id;
   rumor_t *list; /* in order of arrival */
   uint64_t digest;
-  el_time_t changed;
-  el_time_t due; /* time to send new ones, or EL_TIME_NEVER */
-  el_time_t sync_due;
-  el_time_t sync_backoff;
+  el_time_t last_change; /* time when a rumor was last added */
+  el_time_t due;         /* time to send new rumors, or EL_TIME_NEVER */
+  el_time_t sync_due;    /* no request for all rumors before this time */
+  el_time_t sync_delay;
 };
 
 static uint64_t
@@ -83,15 +84,15 @@
 static void
 evict_if_full (co_rumors_t *rumors)
 {
-  rumor_t *first = rumors->list;
+  rumor_t *earliest = rumors->list;
   rumor_t *rumor;
 
   if (HASH_COUNT (rumors->by_id) < rumors->options.max_rumors)
     return;
   DL_FOREACH (rumors->list, rumor)
-  if (rumor->r.until < first->r.until)
-    first = rumor;
-  rumor_drop (rumors, first);
+  if (rumor->r.until < earliest->r.until)
+    earliest = rumor;
+  rumor_drop (rumors, earliest);
 }
 
 /* Add a rumor; NULL when it is known, expired or too long. */
@@ -111,13 +112,13 @@
   HASH_ADD (hh, rumors->by_id, r.id, sizeof rumor->r.id, rumor);
   DL_APPEND (rumors->list, rumor);
   rumors->digest ^= rumor_hash (from->id);
-  rumors->changed = now;
+  rumors->last_change = now;
   if (rumors->due == EL_TIME_NEVER)
     rumors->due = now + rumors->options.batch_delay;
   return rumor;
 }
 
-/** Spread RUMOR to all hosts; it is copied. */
+/** Publish RUMOR to all hosts; it is copied. */
 void
 co_rumors_publish (co_rumors_t *rumors, el_time_t now, const co_rumor_t *rumor)
 {
@@ -202,16 +203,16 @@
 {
   if (digest == rumors->digest)
     {
-      rumors->sync_backoff = 0;
+      rumors->sync_delay = 0;
       return 0;
     }
-  if (now < rumors->changed + DIGEST_SETTLE || now < rumors->sync_due)
+  if (now < rumors->last_change + DIGEST_SETTLE || now < rumors->sync_due)
     return 0;
-  rumors->sync_backoff
-      = rumors->sync_backoff ? 2 * rumors->sync_backoff : SYNC_RETRY_MIN;
-  if (rumors->sync_backoff > SYNC_RETRY_MAX)
-    rumors->sync_backoff = SYNC_RETRY_MAX;
-  rumors->sync_due = now + rumors->sync_backoff;
+  rumors->sync_delay
+      = rumors->sync_delay ? 2 * rumors->sync_delay : SYNC_RETRY_MIN;
+  if (rumors->sync_delay > SYNC_RETRY_MAX)
+    rumors->sync_delay = SYNC_RETRY_MAX;
+  rumors->sync_due = now + rumors->sync_delay;
   return 1;
 }
 
@@ -220,7 +221,7 @@
 co_rumors_sync_done (co_rumors_t *rumors, size_t added)
 {
   if (added)
-    rumors->sync_backoff = 0;
+    rumors->sync_delay = 0;
 }
 
 /** Visit all rumors in order of arrival. */
--- a/coord/token.c
+++ b/coord/token.c
@@ -116,7 +116,7 @@
 co_token_read (el_str_t text, el_str_t key, co_token_t *out, el_err_t *err)
 {
   unsigned char mac[CO_MAC_BYTES];
-  unsigned char want[CO_MAC_BYTES];
+  unsigned char expected[CO_MAC_BYTES];
   el_str_t rest = text;
   el_str_t signed_part;
 
@@ -125,8 +125,8 @@
   signed_part = (el_str_t){ text.ptr, text.len - MAC_HEX };
   if (!hex_read (el_str_after (text, signed_part.len), mac, CO_MAC_BYTES))
     return el_err_set (err, EL_INVALID, "session token: no code at its end");
-  co_mac (key, signed_part, want);
-  if (!co_mac_eq (mac, want))
+  co_mac (key, signed_part, expected);
+  if (!co_mac_eq (mac, expected))
     return el_err_set (err, EL_DENIED, "session token: not issued here");
   if (!el_str_eq (el_str_cut (&rest, TOKEN_SEP), TOKEN_VERSION))
     return el_err_set (err, EL_INVALID, "session token: unknown version");
--- a/net/clock.c
+++ b/net/clock.c
@@ -6,14 +6,15 @@
  * The process's clock, and parsing of ip:port addresses.
  *
  * All times that are compared come from the clock since boot, which advances
- * while the host is suspended and never goes backward. Time limits also bind
- * other hosts, which are not suspended with this one: leases of duties, the
- * age of the rules and of keys, callers' deadlines, news of endpoints and of
- * hosts, evidence about requests and how long they are blocked. libuv's
- * monotonic clock stops during a suspension: a lease of 2 s that was held for
- * 1 s before a suspension of 5 s would be considered valid for 1 s more. The
- * wall clock jumps and is used in logs only. Times that endpoints report of
- * themselves (born) are only compared with other times of the same endpoint.
+ * while the host is suspended and never goes backward. This matters as time
+ * limits also bind other hosts, which are not suspended with this one: leases,
+ * the age of the rules and of keys, callers' deadlines, reports about
+ * endpoints and hosts, evidence about requests and how long they are blocked.
+ * libuv's monotonic clock stops during a suspension: a lease of 2 s that was
+ * held for 1 s before a suspension of 5 s would be considered valid for 1 s
+ * more. The wall clock jumps and is used in logs only. Start times that
+ * endpoints report of themselves (born) are only compared with others of the
+ * same endpoint.
  */
 #include <arpa/inet.h>
 #include <string.h>
@@ -23,9 +24,9 @@
 
 #define NSEC_PER_USEC 1000
 #define USEC_PER_MSEC 1000
-/* libuv's timer runs on its monotonic clock and is set again whenever a timer
-   here is. A longer wait is cut to this, so that a timer fires at most this
-   late after a suspension. */
+/* libuv's timer runs on its monotonic clock and is set whenever a timer here
+   is. A longer wait is reduced to this, so that after a suspension a timer
+   fires at most this late. */
 #define DRIVER_MAX_MS 1000
 
 static void
--- a/net/http_client.c
+++ b/net/http_client.c
@@ -4,9 +4,9 @@
  */
 /** @file
  * Requests of the HTTP/1.1 client. Each is sent once, on an idle or a new
- * connection, and ends with one result. The client never resends a request,
+ * connection, and ends with one result. The client never retries a request,
  * and it distinguishes a connection that was not established from one that
- * broke and from one that was closed cleanly.
+ * was lost and from one that was closed cleanly.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -121,7 +121,7 @@
 }
 
 /** Fail an exchange with NET_CONNECT_FAILED, after net_client_send has
- * returned. */
+    returned. */
 void
 net_exchange_fail_connect (net_exchange_t *ex)
 {
@@ -153,13 +153,13 @@
 /* Take the most recently used idle connection, unless it was idle too long for
    this request. */
 static net_conn_t *
-pool_take (net_pool_t *pool, const net_request_t *send, el_time_t now)
+pool_take (net_pool_t *pool, const net_request_t *request, el_time_t now)
 {
   net_conn_t *conn = pool->idle;
 
-  if (!conn || send->new_connection)
+  if (!conn || request->new_connection)
     return NULL;
-  if (send->max_idle && now - conn->idle_since > send->max_idle)
+  if (request->max_idle && now - conn->idle_since > request->max_idle)
     return NULL;
   DL_DELETE (pool->idle, conn);
   conn->pooled = 0;
@@ -168,47 +168,48 @@
 }
 
 static void
-request_write (el_buf_t *out, const net_request_t *send)
+request_write (el_buf_t *out, const net_request_t *request)
 {
   size_t i;
 
-  el_buf_add (out, send->method);
+  el_buf_add (out, request->method);
   el_buf_add (out, EL_STR (" "));
-  el_buf_add (out, send->path);
+  el_buf_add (out, request->path);
   el_buf_add (out, EL_STR (" HTTP/1.1\r\nhost: "));
-  el_buf_add (out, send->host.len ? send->host : send->address);
-  for (i = 0; i < send->nheaders; i++)
+  el_buf_add (out, request->host.len ? request->host : request->address);
+  for (i = 0; i < request->nheaders; i++)
     {
       el_buf_add (out, EL_STR ("\r\n"));
-      el_buf_add (out, send->headers[i].name);
+      el_buf_add (out, request->headers[i].name);
       el_buf_add (out, EL_STR (": "));
-      el_buf_add (out, send->headers[i].value);
+      el_buf_add (out, request->headers[i].value);
     }
-  if (send->body.len || !el_str_eq (send->method, EL_STR ("GET")))
-    el_buf_printf (out, "\r\ncontent-length: %zu", send->body.len);
+  if (request->body.len || !el_str_eq (request->method, EL_STR ("GET")))
+    el_buf_printf (out, "\r\ncontent-length: %zu", request->body.len);
   el_buf_add (out, EL_STR ("\r\n\r\n"));
-  el_buf_add (out, send->body);
+  el_buf_add (out, request->body);
 }
 
-/** Send a request. */
+/** Send a request. Its result is passed to its done callback. */
 net_exchange_t *
-net_client_send (net_client_t *client, const net_request_t *send)
+net_client_send (net_client_t *client, const net_request_t *request)
 {
   net_exchange_t *ex = el_alloc (sizeof *ex);
-  net_pool_t *pool = pool_get (client, send->address);
+  net_pool_t *pool = pool_get (client, request->address);
   net_conn_t *conn;
 
   ex->client = client;
   DL_PREPEND (client->open, ex);
-  ex->done = send->done;
-  ex->allow = send->allow;
-  ex->head = send->head;
-  ex->body_part = send->body_part;
-  ex->on_cancel = send->on_cancel;
-  ex->arg = send->arg;
-  ex->max_answer = send->max_answer ? send->max_answer : RESPONSE_MAX_DEFAULT;
-  ex->is_head = el_str_eq (send->method, EL_STR ("HEAD"));
-  request_write (&ex->request, send);
+  ex->done = request->done;
+  ex->allow = request->allow;
+  ex->head = request->head;
+  ex->body_part = request->body_part;
+  ex->on_cancel = request->on_cancel;
+  ex->arg = request->arg;
+  ex->max_answer
+      = request->max_answer ? request->max_answer : RESPONSE_MAX_DEFAULT;
+  ex->is_head = el_str_eq (request->method, EL_STR ("HEAD"));
+  request_write (&ex->request, request);
   ex->timer.arg = ex;
   ex->timer.cb = exchange_timeout;
   client->counts.requests++;
@@ -217,9 +218,9 @@
       net_exchange_fail_connect (ex);
       return ex;
     }
-  if (send->timeout)
-    net_clock_set (client->clock, &ex->timer, send->timeout);
-  conn = pool_take (pool, send, net_clock_now (client->clock));
+  if (request->timeout)
+    net_clock_set (client->clock, &ex->timer, request->timeout);
+  conn = pool_take (pool, request, net_clock_now (client->clock));
   if (conn)
     net_conn_begin (conn, ex);
   else
@@ -227,8 +228,8 @@
   return ex;
 }
 
-/** Cancel an exchange and close its connection. Only its drop callback is
-    called. */
+/** Cancel an exchange and close its connection. Of its callbacks, only
+    on_cancel is called. */
 void
 net_client_cancel (net_exchange_t *ex)
 {
--- a/net/http_conn.c
+++ b/net/http_conn.c
@@ -3,8 +3,9 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Connections of the HTTP/1.1 client: connected, written to, parsed with
- * http_parser, and kept for as long as the endpoint allows, less a margin.
+ * Connections of the HTTP/1.1 client: connecting, writing, parsing of
+ * responses with http_parser, and keeping idle connections open for as long as
+ * the endpoint allows, less a margin.
  */
 #include <netinet/in.h>
 #include <netinet/tcp.h>
@@ -12,12 +13,12 @@
 
 #include "libnet.h"
 
-/* Timeout for connecting: an address that no longer exists does not answer. */
+/* Connect timeout: an address that is no longer in use does not answer. */
 #define CONNECT_TIMEOUT (1 * EL_SEC)
 /* TCP_USER_TIMEOUT: how long the peer may leave sent data unacknowledged. */
 #define USER_TIMEOUT_MS 2000
-/* Idle time when the endpoint does not specify one. An endpoint that names no
-   whole number of seconds may close the connection at any moment. */
+/* Idle time when the endpoint does not specify a whole number of seconds: it
+   may close the connection at any moment. */
 #define IDLE_DEFAULT (500 * EL_MSEC)
 #define IDLE_MAX (20 * EL_SEC)
 /* A connection is closed this long before the endpoint would close it. */
@@ -160,8 +161,8 @@
   return 0;
 }
 
-/* Read how long the endpoint keeps an idle connection from
-   "timeout=SECONDS". */
+/* Parse a Keep-Alive header. Returns for how long to keep an idle connection:
+   the endpoint's "timeout=SECONDS" less the margin. */
 static el_time_t
 keep_alive_parse (el_str_t value)
 {
--- a/net/http_server.c
+++ b/net/http_server.c
@@ -27,11 +27,11 @@
 };
 
 /* Detects that the caller disconnects while its request is being processed.
-   Lives in the request's pool; the socket points to it. */
+   Allocated from the request's pool; the socket points to it. */
 typedef struct server_watch
 {
   h2o_socket_t *sock;
-  net_req_watch_cb gone;
+  net_req_watch_cb on_gone;
   void *arg;
 } server_watch_t;
 
@@ -233,7 +233,7 @@
 
   if (watch->sock)
     watch->sock->on_close.data = NULL;
-  watch->gone (watch->arg, 1);
+  watch->on_gone (watch->arg, 1);
 }
 
 static void
@@ -245,19 +245,19 @@
     return;
   h2o_socket_read_stop (sock);
   if (watch)
-    watch->gone (watch->arg, 0);
+    watch->on_gone (watch->arg, 0);
 }
 
-/** Call GONE when the caller disconnects before the response to REQ is sent
+/** Call ON_GONE when the caller disconnects before the response to REQ is sent
     (HTTP/1.1 only), and in any case once when REQ is about to be freed (FREED
-    is 1 then). The request's strings are not moved any more after this. */
+    is 1 then). The request's strings do not move after this. */
 void
-net_req_watch (h2o_req_t *req, net_req_watch_cb gone, void *arg)
+net_req_watch (h2o_req_t *req, net_req_watch_cb on_gone, void *arg)
 {
   server_watch_t *watch
       = h2o_mem_alloc_shared (&req->pool, sizeof *watch, watch_dispose);
 
-  *watch = (server_watch_t){ NULL, gone, arg };
+  *watch = (server_watch_t){ NULL, on_gone, arg };
   req_copy_strings (req);
   if (req->version >= HTTP2_VERSION)
     return;
--- a/net/libnet.h
+++ b/net/libnet.h
@@ -16,7 +16,7 @@
 #include "map.h"
 #include "net.h"
 
-/** Room for "255.255.255.255:65535" and its NUL. */
+/** Size of an ip:port address with its NUL; the longest takes 22 bytes. */
 #define NET_ADDRESS_MAX 32
 #define NET_READ_BYTES 65536
 
@@ -40,11 +40,11 @@
   net_pool_t *pool;
   net_exchange_t *exchange;
   http_parser parser;
-  el_timer_t idle;
+  el_timer_t idle; /**< idle timeout; while connecting, connect timeout */
   el_time_t idle_since;
-  el_time_t keep; /**< idle time that the endpoint allows */
-  unsigned writing;
-  int pooled; /**< in the pool's list of idle connections */
+  el_time_t keep;   /**< idle time that the endpoint allows */
+  unsigned writing; /**< number of pending writes */
+  int pooled;       /**< in the pool's list of idle connections */
   int closing;
   net_conn_t *prev;
   net_conn_t *next;
@@ -54,7 +54,7 @@
 {
   net_clock_t *clock;
   net_pool_t *pools;
-  net_exchange_t *open;
+  net_exchange_t *open; /**< exchanges that have not ended */
   net_client_counts_t counts;
   char read[NET_READ_BYTES];
 };
@@ -74,7 +74,7 @@
   int sent;
   int head_received; /**< the response's header was passed on */
   int complete;
-  int stalled; /**< it timed out while the process was stalled */
+  int stalled; /**< its timeout was extended as the process was stalled */
   int status;
   el_buf_t request;
   net_header_t *headers;
--- a/net/net.h
+++ b/net/net.h
@@ -19,8 +19,10 @@
   uv_loop_t *loop;
   el_timers_t timers;
   uv_timer_t driver;
-  /** Returns a due time in addition to those of the timers; may be NULL. */
+  /** Returns the due time of events that are not timers; may be NULL. */
   el_time_t (*next) (void *arg);
+  /** Called each time that the driver fires, after the timers; may be
+      NULL. */
   void (*fire) (void *arg, el_time_t now);
   void *arg;
 } net_clock_t;
@@ -57,7 +59,7 @@
 void net_server_set_idle_timeout (net_server_t *server, uint64_t ms);
 
 typedef void (*net_req_watch_cb) (void *arg, int freed);
-void net_req_watch (h2o_req_t *req, net_req_watch_cb gone, void *arg);
+void net_req_watch (h2o_req_t *req, net_req_watch_cb on_gone, void *arg);
 void net_req_abort (h2o_req_t *req);
 const char *net_status_reason (int status);
 
@@ -82,9 +84,9 @@
   NET_CONNECT_REFUSED, /**< connection refused: nothing was sent */
   NET_CONNECTION_LOST, /**< connection lost: may have been sent, no complete
                           response */
-  NET_TIMEOUT,         /**< as NET_CONNECTION_LOST, on timeout */
+  NET_TIMEOUT,         /**< timed out: as NET_CONNECTION_LOST */
   NET_WITHHELD,        /**< withheld by the caller: nothing was sent */
-  NET_TOO_BIG          /**< the response exceeds the size limit */
+  NET_TOO_BIG          /**< the response's body exceeds max_answer */
 } net_outcome_t;
 
 typedef struct net_header
@@ -118,19 +120,20 @@
   size_t nheaders;
   el_str_t body;
   int new_connection; /**< use a new connection, do not reuse one */
-  el_time_t max_idle; /**< longest idle time of a reused one; 0 is any */
+  el_time_t max_idle; /**< longest idle time of a reused connection; 0 is
+                         any */
   el_time_t timeout;  /**< in microseconds; 0 is none */
-  size_t max_answer;  /**< maximum size of the body in bytes; 0 is the client's
-                         default */
+  size_t max_answer;  /**< maximum size of the response's body in bytes; 0 is
+                         the client's default */
   int (*allow) (void *arg); /**< called before sending on a new connection; 0
-                             withholds the request; may be NULL */
+                               withholds the request; may be NULL */
   net_head_cb head;         /**< called with status and headers; may be NULL */
   net_body_part_cb body_part; /**< called with each part of the body, which is
-                         not collected then; may be NULL */
+                                 not collected then; may be NULL */
   net_result_cb done; /**< called once unless the exchange is cancelled, and
                          never before net_client_send has returned */
   void (*on_cancel) (void *arg); /**< called instead of done when the exchange
-                               is cancelled; may be NULL */
+                                    is cancelled; may be NULL */
   void *arg;
 } net_request_t;
 
@@ -138,14 +141,14 @@
 typedef struct net_client_counts
 {
   uint64_t requests;
-  uint64_t opened;  /**< connections */
+  uint64_t opened;  /**< connections opened */
   uint64_t surplus; /**< connections closed because of bytes that belong to no
                        request */
 } net_client_counts_t;
 
 net_client_t *net_client_new (net_clock_t *clock);
 net_exchange_t *net_client_send (net_client_t *client,
-                                 const net_request_t *send);
+                                 const net_request_t *request);
 const net_client_counts_t *net_client_counts (const net_client_t *client);
 void net_client_cancel (net_exchange_t *exchange);
 int net_header_is (const net_header_t *header, el_str_t name);
--- a/net/rpc.c
+++ b/net/rpc.c
@@ -119,7 +119,7 @@
   free (call);
 }
 
-/* Close a connection; its calls fail without an answer. */
+/* Close a connection; its calls fail without a reply. */
 static void
 conn_close (rpc_conn_t *conn)
 {
@@ -583,7 +583,7 @@
   datagram_write (rpc, &to, &record);
 }
 
-/** Send the answer to a call and free REQ. */
+/** Send the reply to a call and free REQ. */
 void
 net_rpc_reply (net_rpc_req_t *req, el_str_t body)
 {
@@ -612,8 +612,8 @@
   free (req);
 }
 
-/** Stop listening and close all connections; outstanding calls fail without an
-    answer. */
+/** Stop listening and close all connections; outstanding calls fail without a
+    reply. */
 void
 net_rpc_stop (net_rpc_t *rpc)
 {
--- a/net/rpc.h
+++ b/net/rpc.h
@@ -20,7 +20,7 @@
 typedef void (*net_rpc_serve_fn) (void *arg, net_rpc_req_t *req, uint32_t proc,
                                   el_str_t body);
 
-/** Outcome of a call. OK is 0 when there is no answer; SENT tells whether the
+/** Outcome of a call. OK is 0 when there is no reply; SENT tells whether the
     call may have reached the other host. */
 typedef void (*net_rpc_done_fn) (void *arg, int ok, int sent, el_str_t body);
 
@@ -32,8 +32,8 @@
   net_rpc_serve_fn serve;
   void *arg;
   uint64_t *refused; /**< counts messages that are not from one of our hosts */
-  uint64_t *messages;
-  uint64_t *bytes;
+  uint64_t *messages; /**< counts messages sent */
+  uint64_t *bytes;    /**< counts bytes sent */
 } net_rpc_options_t;
 
 net_rpc_t *net_rpc_new (const net_rpc_options_t *options, el_err_t *err);
--- a/net/rpc_wire.c
+++ b/net/rpc_wire.c
@@ -13,7 +13,8 @@
 
 #include "rpc_wire.h"
 
-/* Room for a message's header and the length fields of its body. */
+/* Space for a message's header, authentication code and length fields, in
+   bytes. */
 #define HEAD_ROOM 512
 
 static void
--- a/net/rpc_wire.h
+++ b/net/rpc_wire.h
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Encoding of our ONC RPC messages.
+ * Encoding of the ONC RPC messages between hosts.
  */
 #ifndef ELMARCH_RPC_WIRE_H
 #define ELMARCH_RPC_WIRE_H
