--- a/base/base.h
+++ b/base/base.h
@@ -121,7 +121,7 @@
   size_t heap_index; /**< index in the heap plus one; 0 when not set */
 };
 
-/** A heap of timers; it has no clock of its own. */
+/** A set of timers; it has no clock of its own. */
 typedef struct el_timers
 {
   el_timer_t **heap;
@@ -228,13 +228,14 @@
   const char *name; /**< name of the flag without dashes; the name of the
                        environment variable is derived from it */
   el_setting_kind_t kind;
-  size_t offset; /**< offset of the field in the program's struct */
-  const char *def;
-  uint64_t min;
-  uint64_t max;
-  int required;
-  const char *arg;
-  const char *help;
+  size_t offset;   /**< offset of the field in the program's struct */
+  const char *def; /**< default, as text; NULL: none */
+  uint64_t min;    /**< lowest value, or shortest length of a string */
+  uint64_t max; /**< highest value, or longest length of a string; 0: a string
+                   of any length */
+  int required; /**< a string that has no default and must be set */
+  const char *arg;  /**< name of the value in the help text */
+  const char *help; /**< description in the help text */
 } el_setting_t;
 
 typedef struct el_settings_options
--- a/base/counter.c
+++ b/base/counter.c
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Counters, gauges and log-linear histograms, and their text format for
- * scraping.
+ * Counters, gauges and log-linear histograms, and their output in the
+ * Prometheus text format.
  */
 #include <inttypes.h>
 #include <stdlib.h>
@@ -63,7 +63,8 @@
   hist->sum += value;
 }
 
-/** Return the upper bound of the bucket that holds quantile Q (0 to 1). */
+/** Return the upper bound of the bucket that holds quantile Q (0 to 1), or 0
+    for an empty histogram. */
 uint64_t
 el_hist_quantile (const el_hist_t *hist, double q)
 {
@@ -95,7 +96,7 @@
                  hist->sum, m->name, hist->count);
 }
 
-/** Write all metrics in the Prometheus text format. */
+/** Append all metrics to OUT. */
 void
 el_metrics_print (const el_metrics_t *metrics, el_buf_t *out)
 {
--- a/base/log.c
+++ b/base/log.c
@@ -52,12 +52,12 @@
 static log4c_category_t *category;
 static const char *program_name;
 
-/* State of standard output, of which the process has only one. */
+/* State of standard output; global, as a process has only one. */
 static struct
 {
-  long second; /* second for which lines are counted */
-  unsigned lines;
-  int partial; /* the last line was written in part */
+  long second;    /* second for which lines are counted */
+  unsigned lines; /* lines in that second */
+  int partial;    /* the last line was written in part */
   uint64_t dropped;
 } output;
 
--- a/base/random.c
+++ b/base/random.c
@@ -8,7 +8,7 @@
  */
 #include "base.h"
 
-/** Return the next number after STATE, which must not be 0 (xorshift64 by
+/** Return the next number and update STATE, which must not be 0 (xorshift64 by
     George Marsaglia). */
 uint64_t
 el_random (uint64_t *state)
--- a/base/settings.c
+++ b/base/settings.c
@@ -56,7 +56,7 @@
 }
 
 static el_status_t
-set_number (const el_setting_t *setting, const char *text, double *field,
+set_double (const el_setting_t *setting, const char *text, double *field,
             el_err_t *err)
 {
   char *end;
@@ -82,7 +82,7 @@
   if (setting->kind == EL_SETTING_STRING)
     return set_string (setting, text, field, err);
   if (setting->kind == EL_SETTING_DOUBLE)
-    return set_number (setting, text, field, err);
+    return set_double (setting, text, field, err);
   if (!el_str_to_u64 (el_str (text), &number) || number < setting->min
       || number > setting->max)
     return el_err_set (err, EL_INVALID,
@@ -186,7 +186,7 @@
 
 /** Parse flags and environment variables into OUT, a zeroed struct that the
     table describes. Release it with el_settings_free, also after a failure.
-   REST, unless NULL, receives the remaining arguments, terminated by NULL. */
+    REST, unless NULL, receives the remaining arguments, terminated by NULL. */
 el_settings_result_t
 el_settings_parse (const el_settings_options_t *options, int argc,
                    const char **argv, void *out, const char ***rest,
--- a/elmarchctl/main.c
+++ b/elmarchctl/main.c
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * elmarchctl: the command-line client for operators. Most commands send one
+ * elmarchctl, the command-line client for operators. Most commands send one
  * HTTP request to a host; apply, watch and drain send several.
  */
 #include <inttypes.h>
@@ -105,15 +105,15 @@
 {
   el_buf_t bearer = { NULL, 0, 0 };
   net_header_t header = { EL_STR ("authorization"), { NULL, 0 } };
-  net_request_t send = { .address = el_str (ctl->set.host),
-                         .method = el_str (method),
-                         .path = path,
-                         .headers = &header,
-                         .nheaders = 1,
-                         .body = body,
-                         .timeout = REQUEST_TIMEOUT,
-                         .done = response_received,
-                         .arg = ctl };
+  net_request_t request = { .address = el_str (ctl->set.host),
+                            .method = el_str (method),
+                            .path = path,
+                            .headers = &header,
+                            .nheaders = 1,
+                            .body = body,
+                            .timeout = REQUEST_TIMEOUT,
+                            .done = response_received,
+                            .arg = ctl };
 
   el_buf_printf (&bearer, "Bearer %s", ctl->set.operator_key);
   header.value = el_buf_str (&bearer);
@@ -122,7 +122,7 @@
   ctl->status = 0;
   ctl->response_done = 0;
   el_buf_reset (&ctl->text);
-  net_client_send (ctl->client, &send);
+  net_client_send (ctl->client, &request);
   while (!ctl->response_done)
     uv_run (&ctl->loop, UV_RUN_ONCE);
   el_buf_free (&bearer);
@@ -139,13 +139,13 @@
 ctl_print_error (const ctl_t *ctl)
 {
   const json_t *error = json_object_get (ctl->json, "error");
-  const json_t *own = json_object_get (ctl->json, "elmarch");
+  const json_t *details = json_object_get (ctl->json, "elmarch");
 
   if (ctl->status)
     fprintf (stderr, "elmarchctl: %d %s: %s (verdict %s)\n", ctl->status,
              json_string_value (json_object_get (error, "code")),
              json_string_value (json_object_get (error, "message")),
-             json_string_value (json_object_get (own, "verdict")));
+             json_string_value (json_object_get (details, "verdict")));
   return EXIT_FAILURE;
 }
 
@@ -356,8 +356,8 @@
   return rc;
 }
 
-/* Ask that an endpoint gets no new work, by setting draining in its spec. The
-   update names the version that was read, so it fails if the endpoint was
+/* Drain an endpoint: set draining in its spec, so that it gets no new work.
+   The update names the version that was read, so it fails if the endpoint was
    changed in between. */
 static int
 ctl_drain (ctl_t *ctl, const char **args)
--- a/elmarchd/frontend.c
+++ b/elmarchd/frontend.c
@@ -14,9 +14,9 @@
 #define DEFAULT_BODY_MAX ((size_t)4 << 20)
 /* Longest wait of a watch, as a share of --keys-limit-ms (if set) and of
    --change-limit-ms. The rules are current as of the time when the last
-   answered watch was sent, and the next answer may take as long again. So
-   after the store is lost at least three fifths of the keys limit remain in
-   which to serve. */
+   answered watch was sent: that watch may have waited this long, and the next
+   one as well. So when the store is lost, at least three fifths of the keys
+   limit remain in which to serve. */
 #define WATCH_KEYS_SHARE 0.2
 #define WATCH_CHANGE_SHARE 0.35
 /* Updates of another host are stale after this share of --change-limit-ms; the
@@ -26,13 +26,13 @@
    maximum age of updates by more than this. */
 #define STALE_SLACK (1500 * EL_MSEC)
 #define CHECK_INTERVAL (200 * EL_MSEC)
-/* Check interval until the host has heard from the others and serves. */
+/* Check interval until frontend_await_peers has ended. */
 #define STARTUP_CHECK_INTERVAL (10 * EL_MSEC)
-/* A host that got no answer from another host for this long serves with the
-   data of the store alone. */
+/* A host that got no answer from another host for this long after its start
+   serves with the data of the store alone. */
 #define PEERS_WAIT_MAX (110 * EL_MSEC)
-/* Delay to collect changes, as many keys change together at a start and when
-   many endpoints are replaced. */
+/* Delay to collect changes, as many keys change together when many endpoints
+   start or are replaced. */
 #define STORE_BATCH_DELAY (300 * EL_MSEC)
 /* Random delay that keeps the halls from writing the same key at once. */
 #define STORE_WRITE_JITTER (500 * EL_MSEC)
@@ -51,7 +51,7 @@
   gt_duty_t *duty;
   gt_planner_t *planner;
   gt_follow_t *follow;
-  gt_store_listener_t part;
+  gt_store_listener_t store_listener;
   int endpoints_known;
   int planner_held; /* some host is known to hold the planner lease */
   uint64_t gauge_endpoints;
@@ -84,7 +84,7 @@
 rules_item_received (void *arg, const pr_store_item_t *item)
 {
   frontend_t *frontend = arg;
-  const rt_rules_t *now = gt_relays_rules_in_force (frontend->relays);
+  const rt_rules_t *current = gt_relays_rules_in_force (frontend->relays);
   rt_rules_t *rules;
   el_err_t err;
 
@@ -94,10 +94,10 @@
   if (!rules)
     EL_LOG (EL_LOG_ERROR, "config_refused", EL_FC ("reason", err.msg),
             EL_FN ("revision", item->revision));
-  else if (now && rules->version < now->version)
+  else if (current && rules->version < current->version)
     {
       EL_LOG (EL_LOG_WARN, "config_older", EL_FN ("version", rules->version),
-              EL_FN ("in_force", now->version));
+              EL_FN ("in_force", current->version));
       rt_rules_unref (rules);
       return 0;
     }
@@ -110,13 +110,13 @@
    at level info. Every host logs that an endpoint is leaving, as the time
    until it stops using the endpoint is limited for each host. */
 static void
-endpoint_log (frontend_t *frontend, const rt_attrs_t *attrs, const char *what,
+endpoint_log (frontend_t *frontend, const rt_attrs_t *attrs, const char *event,
               uint64_t revision)
 {
   int notable = attrs->leaving || gt_gate_is_hall_leader (frontend->gate);
   el_time_t now = net_clock_now (gt_gate_clock (frontend->gate));
 
-  EL_LOG (notable ? EL_LOG_INFO : EL_LOG_DEBUG, what,
+  EL_LOG (notable ? EL_LOG_INFO : EL_LOG_DEBUG, event,
           EL_FS ("endpoint", attrs->id), EL_FS ("service", attrs->service),
           EL_FS ("address", attrs->address), EL_FS ("hall", attrs->hall),
           EL_FS ("card", attrs->card), EL_FN ("leaving", attrs->leaving),
@@ -128,14 +128,14 @@
 /* Remove the endpoint listed under the entry's key. */
 static void
 endpoint_removed (frontend_t *frontend, const pr_store_item_t *item,
-                  const char *what)
+                  const char *event)
 {
   rt_target_t *target
       = rt_fleet_find (frontend->fleet, pf_endpoint_id (item->key));
 
   if (!target)
     return;
-  endpoint_log (frontend, &target->attrs, what, item->revision);
+  endpoint_log (frontend, &target->attrs, event, item->revision);
   gt_relays_engine_gone (frontend->relays, target);
   rt_fleet_remove (frontend->fleet, pf_endpoint_id (item->key));
 }
@@ -148,7 +148,7 @@
   frontend_t *frontend = arg;
   rt_target_t *target;
   rt_attrs_t attrs;
-  json_t *keep;
+  json_t *entry; /* owns the strings of attrs */
   el_err_t err;
 
   if (item->gone)
@@ -156,7 +156,7 @@
       endpoint_removed (frontend, item, "endpoint_gone");
       return;
     }
-  if (pf_attrs_read (item->key, item->value, &attrs, &keep, &err))
+  if (pf_attrs_read (item->key, item->value, &attrs, &entry, &err))
     {
       target = rt_fleet_find (frontend->fleet, attrs.id);
       if (target && !rt_target_same_start (target, &attrs))
@@ -173,7 +173,7 @@
               EL_FC ("reason", err.msg), EL_FN ("revision", item->revision));
       endpoint_removed (frontend, item, "endpoint_gone");
     }
-  json_decref (keep);
+  json_decref (entry);
 }
 
 /* Longest wait of a watch, in milliseconds. */
@@ -181,10 +181,10 @@
 frontend_watch_wait_ms (const frontend_t *frontend)
 {
   double wait = (double)frontend->options.change_limit * WATCH_CHANGE_SHARE;
-  double most = (double)frontend->options.keys_limit * WATCH_KEYS_SHARE;
+  double max = (double)frontend->options.keys_limit * WATCH_KEYS_SHARE;
 
-  if (most > 0 && most < wait)
-    wait = most;
+  if (max > 0 && max < wait)
+    wait = max;
   return (uint64_t)wait / EL_MSEC;
 }
 
@@ -299,8 +299,8 @@
   frontend->planner_held = !item->gone;
 }
 
-/* A blocked request, which another host stored for hosts that start when no
-   other host is left to inform them. */
+/* A blocked request, which another host stored for hosts that start while no
+   other host is live to inform them. */
 static void
 blocked_item_received (void *arg, const pr_store_item_t *item)
 {
@@ -352,12 +352,14 @@
 }
 
 static int
-frontend_request_update (void *arg, pr_store_position_t after, unsigned old,
-                         pr_store_update_cb done, void *done_arg)
+frontend_request_update (void *arg, pr_store_position_t after,
+                         unsigned stale_replies, pr_store_update_cb done,
+                         void *done_arg)
 {
   frontend_t *frontend = arg;
 
-  return gt_gate_request_news (frontend->gate, after, old, done, done_arg);
+  return gt_gate_request_news (frontend->gate, after, stale_replies, done,
+                               done_arg);
 }
 
 static void
@@ -378,11 +380,11 @@
   gt_relays_persist_blocked (frontend->relays);
 }
 
-/* Use one watch for all keys, as each call to the store has a cost. */
+/* Follow all keys with one watch, as each call to the store has a cost. */
 static void
 frontend_follow_store (frontend_t *frontend)
 {
-  gt_follow_options_t all
+  gt_follow_options_t options
       = { .store = &frontend->store,
           .prefix = PF_ALL_PREFIX,
           .wait_ms = frontend_watch_wait_ms (frontend),
@@ -394,10 +396,10 @@
           .known = frontend_store_read,
           .arg = frontend };
 
-  frontend->part.epoch = frontend_epoch_began;
-  frontend->part.arg = frontend;
-  gt_store_join (&frontend->store, &frontend->part);
-  frontend->follow = gt_follow_new (&all);
+  frontend->store_listener.epoch = frontend_epoch_began;
+  frontend->store_listener.arg = frontend;
+  gt_store_join (&frontend->store, &frontend->store_listener);
+  frontend->follow = gt_follow_new (&options);
   gt_gate_set_follower (frontend->gate, frontend->follow);
 }
 
@@ -458,11 +460,12 @@
 }
 
 static void
-frontend_receive_reports (void *arg, const pr_engine_report_t *news, size_t n)
+frontend_receive_reports (void *arg, const pr_engine_report_t *reports,
+                          size_t n)
 {
   frontend_t *frontend = arg;
 
-  gt_relays_receive_reports (frontend->relays, news, n);
+  gt_relays_receive_reports (frontend->relays, reports, n);
 }
 
 static void
@@ -515,14 +518,14 @@
   gt_gate_publish_rumor (frontend->gate, id, hold, body);
 }
 
-/* Record a blocked request in the store, in case all hosts are lost at once.
-   Only the first host of each hall does so; it takes two calls. */
+/* Record a blocked request in the store, in case all hosts fail at once. Only
+   the first host of each hall does so, as it takes two calls. */
 static void
 frontend_store_blocked (void *arg, rt_digest_t digest, unsigned holds,
-                        el_time_t left)
+                        el_time_t time_left)
 {
   frontend_t *frontend = arg;
-  el_time_t hold = left / EL_MSEC;
+  el_time_t ttl_ms = time_left / EL_MSEC;
   el_buf_t key = { NULL, 0, 0 };
 
   if (!gt_gate_is_hall_leader (frontend->gate))
@@ -530,7 +533,7 @@
   pf_blocked_key (digest, holds, &key);
   gt_store_put_leased (
       &frontend->store, el_buf_str (&key), frontend->options.name,
-      hold < PF_LEASE_TTL_MAX_MS ? hold : PF_LEASE_TTL_MAX_MS,
+      ttl_ms < PF_LEASE_TTL_MAX_MS ? ttl_ms : PF_LEASE_TTL_MAX_MS,
       el_random (&frontend->store.random) % STORE_WRITE_JITTER);
   el_buf_free (&key);
 }
@@ -610,7 +613,7 @@
 }
 
 /** Start to serve relayed requests. Returns NULL with the reason in ERR when
-   an address can't be bound. */
+    an address can't be bound. */
 frontend_t *
 frontend_new (gt_gate_t *gate, const frontend_options_t *options,
               el_err_t *err)
@@ -623,13 +626,13 @@
                                .ready = frontend_is_ready,
                                .addresses = frontend_addresses,
                                .arg = frontend };
-  gt_relay_hooks_t talk = { .list_engines = frontend_engine_reports,
-                            .engines_received = frontend_receive_reports,
-                            .rumor = frontend_receive_rumor,
-                            .suspects = frontend_suspects,
-                            .closed = frontend_closed_endpoints,
-                            .unblock = frontend_unblock,
-                            .arg = frontend };
+  gt_relay_hooks_t hooks = { .list_engines = frontend_engine_reports,
+                             .engines_received = frontend_receive_reports,
+                             .rumor = frontend_receive_rumor,
+                             .suspects = frontend_suspects,
+                             .closed = frontend_closed_endpoints,
+                             .unblock = frontend_unblock,
+                             .arg = frontend };
 
   frontend->gate = gate;
   frontend->options = *options;
@@ -643,7 +646,7 @@
   frontend->relays = frontend_new_relays (frontend, err);
   if (!frontend->relays || !pf_entry_new (&entry, err))
     return NULL;
-  gt_gate_set_relay_hooks (gate, &talk);
+  gt_gate_set_relay_hooks (gate, &hooks);
   gt_relays_metrics (frontend->relays, gt_gate_metrics (gate));
   frontend_metrics (frontend);
   frontend_follow_store (frontend);
@@ -658,12 +661,12 @@
 stop_check (void *arg, el_time_t now)
 {
   frontend_t *frontend = arg;
-  el_time_t ran = now - frontend->stop_started_at;
+  el_time_t elapsed = now - frontend->stop_started_at;
 
-  if (ran >= frontend->options.stop_least)
+  if (elapsed >= frontend->options.stop_min)
     gt_relays_stop (frontend->relays);
-  if (ran < frontend->options.stop_most
-      && (ran < frontend->options.stop_least
+  if (elapsed < frontend->options.stop_max
+      && (elapsed < frontend->options.stop_min
           || gt_relays_running (frontend->relays)))
     {
       net_clock_set (gt_gate_clock (frontend->gate), &frontend->stop_timer,
@@ -676,8 +679,8 @@
 }
 
 /** Stop serving relayed requests. The host is removed from look-ups and
-   reports not ready at once; it still serves new requests for at least
-   stop_least. DONE is called when no request is running, or after stop_most.
+    reports not ready at once; it still serves new requests for at least
+    stop_min. DONE is called when no request is running, or after stop_max.
  */
 void
 frontend_stop (frontend_t *frontend, gt_drained_cb done, void *arg)
--- a/elmarchd/frontend.h
+++ b/elmarchd/frontend.h
@@ -14,22 +14,23 @@
 {
   el_str_t entry;     /**< listens for callers, ip:port; empty: disabled */
   el_str_t ready;     /**< listens for readiness checks, ip:port */
-  el_str_t directory; /**< listens for look-ups of entry addresses, ip:port */
+  el_str_t directory; /**< listens for look-ups of entry addresses, ip:port;
+                         empty: disabled */
   el_str_t store;     /**< address of the platform's store, ip:port */
   el_str_t name;      /**< of this host */
   el_str_t hall;
-  el_str_t key; /**< shared by all hosts */
-  uint64_t entry_ttl_s;
-  double repeat_ratio;
-  double repeat_slack;
-  el_time_t repeat_window;
-  el_time_t keys_limit;
-  el_time_t change_limit; /**< time within which a change of the rules must
-                               be in force */
-  uint64_t lease_ms;      /**< time to live of the planner lease */
-  el_time_t stop_least;   /**< shortest duration of a stop; callers learn of
-                               the stop by their next look-up */
-  el_time_t stop_most;    /**< longest duration of a stop */
+  el_str_t key;            /**< shared by all hosts */
+  uint64_t entry_ttl_s;    /**< time for which callers cache entry addresses */
+  double repeat_ratio;     /**< retries allowed per request, over all hosts */
+  double repeat_slack;     /**< further retries allowed per window */
+  el_time_t repeat_window; /**< window in which retries are counted */
+  el_time_t keys_limit;    /**< keys are refused when the rules are older */
+  el_time_t change_limit;  /**< time within which a change of the rules must
+                              be in force */
+  uint64_t lease_ms;       /**< time to live of the planner lease */
+  el_time_t stop_min;      /**< shortest duration of a stop; callers learn of
+                              the stop by their next look-up */
+  el_time_t stop_max;      /**< longest duration of a stop */
   uint64_t seed;
 } frontend_options_t;
 
--- a/elmarchd/main.c
+++ b/elmarchd/main.c
@@ -106,11 +106,11 @@
   { "entry-ttl-s", EL_SETTING_U64, AT (entry_ttl_s), "2", 1, 3600, 0, "S",
     "time for which callers cache entry addresses" },
   { "repeat-ratio", EL_SETTING_DOUBLE, AT (repeat_ratio), "0.2", 0, 1000, 0,
-    "RATIO", "repeats allowed per relayed request, over all hosts" },
+    "RATIO", "retries allowed per relayed request, over all hosts" },
   { "repeat-slack", EL_SETTING_DOUBLE, AT (repeat_slack), "20", 0, 1000000, 0,
-    "N", "additional repeats allowed per window, over all hosts" },
+    "N", "additional retries allowed per window, over all hosts" },
   { "repeat-window-s", EL_SETTING_DOUBLE, AT (repeat_window_s), "10", 1, 3600,
-    0, "S", "window in which repeats are counted" },
+    0, "S", "window in which retries are counted" },
   { "keys-limit-ms", EL_SETTING_DOUBLE, AT (keys_limit_ms), "5000", 0, 3600000,
     0, "MS", "refuse keys when the rules are older than this" },
   { "change-limit-ms", EL_SETTING_DOUBLE, AT (change_limit_ms), "2000", 100,
@@ -198,7 +198,7 @@
 }
 
 static void
-settings_gate (const daemon_settings_t *set, gt_options_t *out)
+gate_options_fill (const daemon_settings_t *set, gt_options_t *out)
 {
   *out = (gt_options_t){
     .listen = el_str (set->listen),
@@ -228,7 +228,7 @@
 }
 
 static void
-settings_frontend (const daemon_settings_t *set, frontend_options_t *out)
+frontend_options_fill (const daemon_settings_t *set, frontend_options_t *out)
 {
   *out = (frontend_options_t){
     .entry = el_str (set->entry),
@@ -245,15 +245,15 @@
     .keys_limit = (el_time_t)(set->keys_limit_ms * EL_MSEC),
     .change_limit = (el_time_t)(set->change_limit_ms * EL_MSEC),
     .lease_ms = set->lease_ms,
-    .stop_least = set->stop_least_ms * EL_MSEC,
-    .stop_most = set->stop_most_ms * EL_MSEC,
+    .stop_min = set->stop_least_ms * EL_MSEC,
+    .stop_max = set->stop_most_ms * EL_MSEC,
   };
 }
 
-/* One component has stopped. The signal handlers stay installed, so that a
+/* A component has stopped. The signal handlers stay installed, so that a
    second SIGTERM does not interrupt the last steps. */
 static void
-part_stopped (void *arg)
+component_stopped (void *arg)
 {
   daemon_process_t *process = arg;
 
@@ -271,8 +271,8 @@
     return;
   process->stopping = process->frontend ? 2 : 1;
   if (process->frontend)
-    frontend_stop (process->frontend, part_stopped, process);
-  gt_gate_drain (process->gate, part_stopped, process);
+    frontend_stop (process->frontend, component_stopped, process);
+  gt_gate_drain (process->gate, component_stopped, process);
 }
 
 /* Settings come from options and the environment, which a running process
@@ -374,8 +374,8 @@
     printf ("elmarchd: settings are valid\n");
   else if (result == EL_SETTINGS_OK && el_log_open ("elmarchd", level) == 0)
     {
-      settings_gate (&set, &gate);
-      settings_frontend (&set, &frontend);
+      gate_options_fill (&set, &gate);
+      frontend_options_fill (&set, &frontend);
       rc = daemon_run (&gate, &frontend);
       el_log_close ();
     }
--- a/examples/members.c
+++ b/examples/members.c
@@ -3,9 +3,9 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Example of embedding the coordination library. Two members discover each
- * other, one fails and is detected as dead, and a request that arrives twice
- * runs once. The application provides the clock and the network.
+ * Example of embedding the coordination library. Two hosts discover each
+ * other, one is disconnected and detected as dead, and a request that arrives
+ * twice runs once. The application provides the clock and the network.
  */
 #include <coord.h>
 #include <stdio.h>
