--- a/net/http_client.c
+++ b/net/http_client.c
@@ -206,8 +206,8 @@
   ex->body_part = request->body_part;
   ex->on_cancel = request->on_cancel;
   ex->arg = request->arg;
-  ex->max_answer
-      = request->max_answer ? request->max_answer : RESPONSE_MAX_DEFAULT;
+  ex->max_response
+      = request->max_response ? request->max_response : RESPONSE_MAX_DEFAULT;
   ex->is_head = el_str_eq (request->method, EL_STR ("HEAD"));
   request_write (&ex->request, request);
   ex->timer.arg = ex;
--- a/net/http_conn.c
+++ b/net/http_conn.c
@@ -221,7 +221,7 @@
       ex->body_part (ex->arg, (el_str_t){ at, len });
       return conn->exchange == ex ? 0 : -1;
     }
-  if (ex->body.len + len > ex->max_answer)
+  if (ex->body.len + len > ex->max_response)
     {
       net_exchange_fail (ex, NET_TOO_BIG);
       return -1;
--- a/net/libnet.h
+++ b/net/libnet.h
@@ -69,7 +69,7 @@
   net_body_part_cb body_part;
   void (*on_cancel) (void *arg);
   void *arg;
-  size_t max_answer;
+  size_t max_response;
   int is_head;
   int sent;
   int head_received; /**< the response's header was passed on */
--- a/net/net.h
+++ b/net/net.h
@@ -86,7 +86,7 @@
                           response */
   NET_TIMEOUT,         /**< timed out: as NET_CONNECTION_LOST */
   NET_WITHHELD,        /**< withheld by the caller: nothing was sent */
-  NET_TOO_BIG          /**< the response's body exceeds max_answer */
+  NET_TOO_BIG          /**< the response's body exceeds max_response */
 } net_outcome_t;
 
 typedef struct net_header
@@ -119,12 +119,12 @@
   const net_header_t *headers;
   size_t nheaders;
   el_str_t body;
-  int new_connection; /**< use a new connection, do not reuse one */
-  el_time_t max_idle; /**< longest idle time of a reused connection; 0 is
-                         any */
-  el_time_t timeout;  /**< in microseconds; 0 is none */
-  size_t max_answer;  /**< maximum size of the response's body in bytes; 0 is
-                         the client's default */
+  int new_connection;  /**< use a new connection, do not reuse one */
+  el_time_t max_idle;  /**< longest idle time of a reused connection; 0 is
+                          any */
+  el_time_t timeout;   /**< in microseconds; 0 is none */
+  size_t max_response; /**< maximum size of the response's body in bytes; 0 is
+                          the client's default */
   int (*allow) (void *arg); /**< called before sending on a new connection; 0
                                withholds the request; may be NULL */
   net_head_cb head;         /**< called with status and headers; may be NULL */
