--- a/net/net.h
+++ b/net/net.h
@@ -98,7 +98,7 @@
 /** The result of an exchange; strings are valid during the callback only. */
 typedef struct net_result
 {
-  net_outcome_t net;
+  net_outcome_t net;    /**< outcome on the network, apart from the status */
   el_verdict_t verdict; /**< for this exchange only */
   int status;
   const net_header_t *headers;
