--- a/elmarchd/frontend.c
+++ b/elmarchd/frontend.c
@@ -26,7 +26,7 @@
    maximum age of updates by more than this. */
 #define STALE_SLACK (1500 * EL_MSEC)
 #define CHECK_INTERVAL (200 * EL_MSEC)
-/* Check interval until frontend_await_peers has ended. */
+/* Check interval until the host no longer waits for another host's rumors. */
 #define STARTUP_CHECK_INTERVAL (10 * EL_MSEC)
 /* A host that got no answer from another host for this long after its start
    serves with the data of the store alone. */
--- a/peer/peer.h
+++ b/peer/peer.h
@@ -91,11 +91,10 @@
 typedef struct pr_engine_report
 {
   el_str_t id;
-  uint64_t born; /**< identifies the engine's instance; 0: unknown */
-  double fill;   /**< share in use of the memory that the layers leave free,
-                    0 to 1 */
+  uint64_t born; /**< start time of its instance; 0: unknown */
+  double fill;   /**< fraction of its KV memory in use */
   double pace;   /**< slowdown relative to its accelerator type */
-  double taken;  /**< requests on the engine, divided by its slots */
+  double taken;  /**< running and queued requests, per slot */
   el_time_t age; /**< of fill, pace and taken */
   int silent;    /**< the engine does not answer health checks */
 } pr_engine_report_t;
