--- a/coord/libcoord.h
+++ b/coord/libcoord.h
@@ -88,9 +88,9 @@
   unsigned mismatches; /* consecutive messages whose digest differed from this
                           host's */
   unsigned syncs_left; /* full member lists that are still to be requested */
-  el_time_t last_change; /* time of the last change of a member */
-  el_time_t last_heard;  /* time of the last message from another host */
-  el_time_t last_sync;   /* time of the last request for a full member list */
+  el_time_t last_change;   /* time of the last change of a member */
+  el_time_t last_received; /* time of the last message from another host */
+  el_time_t last_sync; /* time of the last request for a full member list */
   el_timers_t timers;
   el_time_t next_period;
   el_time_t last_tick;
--- a/coord/mbr_members.c
+++ b/coord/mbr_members.c
@@ -438,8 +438,8 @@
 }
 
 /** Return whether this host is among the first MAX of its hall, which perform
-    the tasks that only a few hosts should perform. Every host works this out
-    from its own view. While views differ, a few hosts more or fewer may
+    the tasks that only a few hosts should perform. Every host determines
+    this from its own view. While views differ, a few hosts more or fewer may
     perform them, which is harmless. */
 int
 co_members_is_top_ranked (const co_members_t *members, size_t max)
--- a/coord/mbr_update.c
+++ b/coord/mbr_update.c
@@ -156,7 +156,8 @@
   size_t n;
   size_t i;
 
-  /* Tell a receiver that is not considered alive here so, to let it refute. */
+  /* A receiver that is not considered alive here is sent that state, so that
+     it can refute it. */
   if (entry && entry->m.state != CO_MBR_ALIVE)
     change_write (entry, out);
   n = queue_take (&members->unavailable, sends, list, 0,
@@ -310,8 +311,8 @@
 static int
 was_isolated (const co_members_t *members, el_time_t now)
 {
-  return members->last_heard
-         && now > members->last_heard
+  return members->last_received
+         && now > members->last_received
                       + ISOLATED_PERIODS * members->options.period;
 }
 
@@ -327,7 +328,7 @@
 
   if (was_isolated (members, now))
     members->syncs_left = ISOLATED_SYNCS;
-  members->last_heard = now;
+  members->last_received = now;
   if (gossip->digest == own)
     members->mismatches = 0;
   else if (now > members->last_change + DIGEST_SETTLE_PERIODS * period)
--- a/net/net.h
+++ b/net/net.h
@@ -82,8 +82,8 @@
   NET_OK,              /**< a complete response arrived */
   NET_CONNECT_FAILED,  /**< connecting failed: nothing was sent */
   NET_CONNECT_REFUSED, /**< connection refused: nothing was sent */
-  NET_CONNECTION_LOST, /**< connection lost: may have been sent, no complete
-                          response */
+  NET_CONNECTION_LOST, /**< connection lost: the request may have been sent,
+                          but there is no complete response */
   NET_TIMEOUT,         /**< timed out: as NET_CONNECTION_LOST */
   NET_WITHHELD,        /**< withheld by the caller: nothing was sent */
   NET_TOO_BIG          /**< the response's body exceeds max_response */
--- a/peer/libpeer.h
+++ b/peer/libpeer.h
@@ -47,7 +47,7 @@
   size_t live_reported; /* live hosts, as last passed to ops->hosts */
   int fetching;         /* a request for configuration is pending */
   struct peer_pending_request *pending_requests;
-  co_incarnation_t last_source; /* host last sent a request for updates */
+  co_incarnation_t last_source; /* receiver of the last update request */
   peer_failed_source_t failed_sources[PEER_FAILED_SOURCES_MAX];
   unsigned next_failed_source;
   peer_leaving_notice_t *leaving_notices;
--- a/peer/peer_news.c
+++ b/peer/peer_news.c
@@ -277,8 +277,8 @@
   return 0;
 }
 
-/** For a while, request no updates from the host that was last sent a request:
-    it had no usable updates although the store answers. */
+/** For a while, request no updates from the receiver of the last request: it
+    had no usable updates although the store answers. */
 void
 pr_peers_avoid_last_source (pr_peers_t *peers)
 {
