--- a/Makefile
+++ b/Makefile
@@ -14,7 +14,7 @@
 B = build
 BIN = $(B)/bin
 
-BASE = base/str.c base/err.c base/timer.c base/random.c base/counter.c base/log.c \
+BASE = base/str.c base/err.c base/timer.c base/random.c base/metrics.c base/log.c \
        base/settings.c
 COORD = coord/mbr_members.c coord/mbr_update.c coord/mbr_probe.c coord/rumor.c coord/token.c coord/ledger.c coord/cfg_schema.c coord/cfg_apply.c
 ROUTE = route/avail.c route/router.c route/table.c route/path.c route/pick.c route/health.c \
--- a/coord/coord.h
+++ b/coord/coord.h
@@ -270,7 +270,7 @@
                                const co_incarnation_t *successor);
 const co_member_t *co_members_find (const co_members_t *members,
                                     const co_incarnation_t *incarnation);
-const co_member_t *co_members_pick (co_members_t *members);
+const co_member_t *co_members_pick_available (co_members_t *members);
 size_t co_members_sample (co_members_t *members, const co_member_t **out,
                           size_t max);
 void co_members_set_revision (co_members_t *members, uint64_t revision);
@@ -317,7 +317,7 @@
   /** Send rumors to a few other hosts. */
   void (*send) (void *arg, const co_rumor_t *list, size_t n);
   /** A rumor that was not known here arrived from another host. */
-  void (*heard) (void *arg, const co_rumor_t *rumor);
+  void (*received) (void *arg, const co_rumor_t *rumor);
   void *arg;
 } co_rumors_options_t;
 
--- a/coord/mbr_members.c
+++ b/coord/mbr_members.c
@@ -315,7 +315,7 @@
 /** Return another host that is alive and offered to callers, preferably in
     this hall, starting at random; NULL when there is none. */
 const co_member_t *
-co_members_pick (co_members_t *members)
+co_members_pick_available (co_members_t *members)
 {
   mbr_entry_t *best = NULL;
   mbr_entry_t *entry;
--- a/coord/rumor.c
+++ b/coord/rumor.c
@@ -132,7 +132,7 @@
   const rumor_t *added = rumor_add (rumors, now, rumor);
 
   if (added)
-    rumors->options.heard (rumors->options.arg, &added->r);
+    rumors->options.received (rumors->options.arg, &added->r);
   return added != NULL;
 }
 
--- a/gate/platform.c
+++ b/gate/platform.c
@@ -143,7 +143,7 @@
 {
   gt_gate_t *gate = platform->gate;
 
-  if (pr_peers_is_selected (gate->peers, WATCHERS_PER_HALL))
+  if (pr_peers_is_top_ranked (gate->peers, WATCHERS_PER_HALL))
     return 1;
   return !pr_config_is_ready (gate->sync)
          && net_clock_now (&gate->clock)
@@ -223,7 +223,7 @@
   el_buf_t path = { NULL, 0, 0 };
 
   (void)now;
-  if (!pr_peers_is_selected (platform->gate->peers, WATCHERS_PER_HALL))
+  if (!pr_peers_is_top_ranked (platform->gate->peers, WATCHERS_PER_HALL))
     {
       net_clock_set (&platform->gate->clock, &platform->hosts_timer,
                      HOSTS_INTERVAL);
--- a/gate/session_peer.c
+++ b/gate/session_peer.c
@@ -43,10 +43,10 @@
 static const pr_ops_t ops = {
   .hosts = ops_hosts,
   .leaving = ops_leaving,
-  .news = ops_changes_since,
-  .position = ops_position,
+  .store_update = ops_changes_since,
+  .store_position = ops_position,
   .epoch = ops_epoch,
-  .known = ops_known,
+  .store_known_until = ops_known,
   .engines = ops_engines,
   .receive_engine_reports = ops_engine_reports,
   .rumor = ops_rumor,
--- a/peer/peer.c
+++ b/peer/peer.c
@@ -222,7 +222,7 @@
 /** Whether this host is among the first MAX hosts of its hall; only these poll
     the platform. */
 int
-pr_peers_is_selected (const pr_peers_t *peers, size_t max)
+pr_peers_is_top_ranked (const pr_peers_t *peers, size_t max)
 {
   return co_members_is_top_ranked (peers->members, max);
 }
--- a/peer/peer.h
+++ b/peer/peer.h
@@ -160,15 +160,16 @@
   /** Get the store's changes after a position. Returns 0 when this host does
       not follow the store, or has not reached that epoch. The caller frees the
       list but not the strings. */
-  int (*news) (void *arg, pr_store_position_t after, pr_store_update_t *out);
+  int (*store_update) (void *arg, pr_store_position_t after,
+                       pr_store_update_t *out);
   /** The position up to which this host has seen the store's changes. */
-  pr_store_position_t (*position) (void *arg);
+  pr_store_position_t (*store_position) (void *arg);
   /** Another host is in this epoch of the store, which is later than the one
       seen here. */
   void (*epoch) (void *arg, uint64_t epoch);
   /** The time up to which all changes of the store are known here; 0: no data
       yet. */
-  el_time_t (*known) (void *arg);
+  el_time_t (*store_known_until) (void *arg);
   /** Get the engine reports of this host. The caller frees the list but not
       the strings. */
   size_t (*engines) (void *arg, pr_engine_report_t **out);
@@ -226,7 +227,7 @@
 void pr_peers_announce_leaving (pr_peers_t *peers, el_str_t endpoint);
 
 /* Membership. */
-int pr_peers_is_selected (const pr_peers_t *peers, size_t max);
+int pr_peers_is_top_ranked (const pr_peers_t *peers, size_t max);
 int pr_peers_is_first_in_hall (const pr_peers_t *peers);
 int pr_peers_is_preferred (const pr_peers_t *peers);
 size_t pr_peers_count_live (const pr_peers_t *peers);
--- a/peer/peer_handover.c
+++ b/peer/peer_handover.c
@@ -162,7 +162,7 @@
 static int
 successor_select (pr_peers_t *peers)
 {
-  const co_member_t *member = co_members_pick (peers->members);
+  const co_member_t *member = co_members_pick_available (peers->members);
 
   el_str_free (&peers->successor.peer);
   el_str_free (&peers->successor.http);
--- a/peer/peer_news.c
+++ b/peer/peer_news.c
@@ -137,9 +137,9 @@
   pr_store_update_t update = { 0 };
 
   memset (&res, 0, sizeof res);
-  res.ready
-      = peers->options.ops->news (peers->options.arg, pending->after, &update)
-        && update.as_of != 0;
+  res.ready = peers->options.ops->store_update (peers->options.arg,
+                                                pending->after, &update)
+              && update.as_of != 0;
   res.whole = update.whole;
   res.epoch = update.at.epoch;
   res.revision = update.at.revision;
@@ -162,12 +162,12 @@
                   uint64_t known_ago)
 {
   const pr_ops_t *ops = peers->options.ops;
-  uint64_t epoch = ops->position (peers->options.arg).epoch;
+  uint64_t epoch = ops->store_position (peers->options.arg).epoch;
 
   if (pending->after.epoch > epoch)
     ops->epoch (peers->options.arg, pending->after.epoch);
   return pending->after.epoch != epoch
-         || ops->known (peers->options.arg) + known_ago
+         || ops->store_known_until (peers->options.arg) + known_ago
                 > pending->received_at + NEWER_MIN;
 }
 
@@ -349,7 +349,8 @@
   request = el_alloc (sizeof *request);
   request->peers = peers;
   request->sent = now;
-  args.known_ago = now - peers->options.ops->known (peers->options.arg);
+  args.known_ago
+      = now - peers->options.ops->store_known_until (peers->options.arg);
   request->done = done;
   request->arg = arg;
   peer_xdr_encode ((xdrproc_t)xdr_peer_news_args, &args, &body);
--- a/peer/peer_rumor.c
+++ b/peer/peer_rumor.c
@@ -240,7 +240,7 @@
   const co_rumors_options_t options = { .max_rumors = RUMORS_MAX,
                                         .batch_delay = RUMOR_BATCH_DELAY,
                                         .send = rumors_send,
-                                        .heard = rumor_received,
+                                        .received = rumor_received,
                                         .arg = peers };
 
   peers->rumors = co_rumors_new (&options);
--- a/tests/blame_sim.h
+++ b/tests/blame_sim.h
@@ -24,12 +24,12 @@
   int isolation;
   int free_retries; /* attempts that end in a crash don't count as attempts */
   size_t hosts;
-  size_t engines;          /* first engines, to which streams are sent */
-  double rate;             /* streams per second */
-  size_t culprits;         /* distinct culprits: requests that crash engines */
-  double resubmit_delay_s; /* mean delay in seconds after which a culprit's
-                     caller resubmits it */
-  double crash_rate;       /* unrelated crashes per engine and second */
+  size_t engines;  /* first engines, to which streams are sent */
+  double rate;     /* streams per second */
+  size_t culprits; /* distinct culprits: requests that crash engines */
+  /* mean delay in seconds after which a culprit's caller resubmits it */
+  double resubmit_delay_s;
+  double crash_rate;    /* unrelated crashes per engine and second */
   size_t rack_size;     /* engines that crash within one second, every 20 s */
   double delayed_share; /* share of reports that arrive a second late */
   /* streams per second of one frequent innocent request */
--- a/tests/rumor_net.c
+++ b/tests/rumor_net.c
@@ -140,7 +140,7 @@
   const co_rumors_options_t options = { .max_rumors = 1024,
                                         .batch_delay = 5 * EL_MSEC,
                                         .send = host_send,
-                                        .heard = host_heard,
+                                        .received = host_heard,
                                         .arg = host };
 
   host->net = net;
--- a/tests/t_rumor.c
+++ b/tests/t_rumor.c
@@ -70,10 +70,11 @@
    and one over the limit replaces the one that expires first. */
 START_TEST (test_rumors_are_bounded)
 {
-  unsigned heard = 0;
-  const co_rumors_options_t options = {
-    .max_rumors = 10, .send = send_nothing, .heard = count_heard, .arg = &heard
-  };
+  unsigned received = 0;
+  const co_rumors_options_t options = { .max_rumors = 10,
+                                        .send = send_nothing,
+                                        .received = count_heard,
+                                        .arg = &received };
   co_rumors_t *rumors = co_rumors_new (&options);
   co_rumor_t rumor = { .body = EL_STR ("x") };
   uint64_t digest;
@@ -84,15 +85,15 @@
       ck_assert_int_eq (co_rumors_receive (rumors, START_TIME, &rumor), 1);
       ck_assert_int_eq (co_rumors_receive (rumors, START_TIME, &rumor), 0);
     }
-  ck_assert_uint_eq (heard, 20);
-  heard = 0;
-  co_rumors_visit (rumors, count_heard, &heard);
-  ck_assert_uint_eq (heard, 10);
+  ck_assert_uint_eq (received, 20);
+  received = 0;
+  co_rumors_visit (rumors, count_heard, &received);
+  ck_assert_uint_eq (received, 10);
   digest = co_rumors_digest (rumors);
   co_rumors_tick (rumors, START_TIME + 80 * EL_SEC);
-  heard = 0;
-  co_rumors_visit (rumors, count_heard, &heard);
-  ck_assert_uint_eq (heard, 1); /* the first, which expires last */
+  received = 0;
+  co_rumors_visit (rumors, count_heard, &received);
+  ck_assert_uint_eq (received, 1); /* the first, which expires last */
   ck_assert_uint_ne (digest, co_rumors_digest (rumors));
   co_rumors_free (rumors);
 }
