--- a/route/attempts.c
+++ b/route/attempts.c
@@ -10,15 +10,16 @@
 
 #include "relay.h"
 
-/* Most attempts per request, including those that provably did not run. */
-#define SENDS_MAX 4
-/* The same once the caller has received a part of the stream: more is lost if
-   it fails, and the attempts are spaced out, over 1.2 s in all. */
-#define SENDS_STARTED_MAX 8
-/* No retry with less time than this left: nobody would wait for its answer. */
+/* Maximum attempts per request, including those that provably did not run. */
+#define ATTEMPTS_MAX 4
+/* The same once the caller has received a part of the stream: a failure then
+   costs more, and the attempts are spaced out, over 1.2 s in all. */
+#define ATTEMPTS_BEGUN_MAX 8
+/* Minimum time left for a retry; the caller would not wait for a later
+   answer. */
 #define RETRY_TIME_MIN (30 * EL_MSEC)
-/* Fraction of the shared budget that the hosts use; the rest is a margin, as
-   their windows are not aligned. */
+/* Fraction of the shared budget that the hosts use. The remainder is a margin,
+   as their windows are not aligned. */
 #define BUDGET_SHARE 0.85
 
 static int
@@ -27,8 +28,8 @@
   return rule->kind == RT_SAFE || (rule->kind == RT_STREAM && rule->resumable);
 }
 
-/** Decides what follows an attempt. LEFT is the time that the request has
-    left, BUDGET whether the shared budget allows a retry. */
+/** Decides what follows an attempt. BUDGET tells whether the shared budget
+    allows a retry; LEFT is the time until the request's deadline. */
 rt_next_t
 rt_attempts_next (rt_attempts_t *state, const rt_rule_t *rule,
                   const rt_attempt_t *attempt, int budget, el_time_t left)
@@ -42,7 +43,7 @@
   if (attempt->answered && !not_run && !attempt->failed)
     return RT_NEXT_PASS;
   retry = budget && left > RETRY_TIME_MIN
-          && state->sent < (attempt->begun ? SENDS_STARTED_MAX : SENDS_MAX)
+          && state->sent < (attempt->begun ? ATTEMPTS_BEGUN_MAX : ATTEMPTS_MAX)
           && (not_run || may_retry (rule)) && state->may_run < rule->attempts;
   if (retry)
     return RT_NEXT_RETRY;
@@ -52,8 +53,8 @@
 }
 
 /** Initializes a budget for all hosts together: RATIO retries per request plus
-    SLACK retries in any WINDOW. A process that started at BORN uses no slack
-    in its first window. */
+    SLACK retries in any WINDOW. A host that started at BORN uses no slack in
+    its first window. */
 void
 rt_shared_budget_init (rt_shared_budget_t *pool, double ratio, double slack,
                        el_time_t window, el_time_t born)
@@ -89,17 +90,17 @@
   pool->requests[pool->at % RT_WINDOW_SLOTS]++;
 }
 
-/** Whether this host's portion of the budget has a retry left. The portion
-    grows only a window after other hosts died, as what they spent still
-    counts. */
+/** Whether this host's portion of the budget has a retry left. After other
+    hosts failed, the portion grows only when a window has passed, as the
+    retries that they spent still count until then. */
 int
 rt_shared_budget_available (rt_shared_budget_t *pool, el_time_t now,
                             size_t hosts)
 {
-  uint64_t asked = 0;
-  uint64_t spent = 0;
-  size_t most_hosts = 1;
-  double most;
+  uint64_t nrequests = 0;
+  uint64_t nretries = 0;
+  size_t max_hosts = 1;
+  double max_retries;
   size_t i;
 
   budget_advance (pool, now);
@@ -107,15 +108,15 @@
     pool->hosts[pool->at % RT_WINDOW_SLOTS] = hosts;
   for (i = 0; i < RT_WINDOW_SLOTS; i++)
     {
-      asked += pool->requests[i];
-      spent += pool->retries[i];
-      if (pool->hosts[i] > most_hosts)
-        most_hosts = pool->hosts[i];
+      nrequests += pool->requests[i];
+      nretries += pool->retries[i];
+      if (pool->hosts[i] > max_hosts)
+        max_hosts = pool->hosts[i];
     }
-  most = pool->ratio * (double)asked;
+  max_retries = pool->ratio * (double)nrequests;
   if (now >= pool->born + pool->slot * (RT_WINDOW_SLOTS - 1))
-    most += pool->slack / (double)most_hosts;
-  return (double)(spent + 1) <= BUDGET_SHARE * most;
+    max_retries += pool->slack / (double)max_hosts;
+  return (double)(nretries + 1) <= BUDGET_SHARE * max_retries;
 }
 
 /** Takes a retry from this host's portion. Returns 0 if none is left. */
--- a/route/avail.c
+++ b/route/avail.c
@@ -7,21 +7,22 @@
  */
 #include "avail.h"
 
-/* After a rest one trial request is sent first. The others follow when it was
-   answered, or after this time. */
+/* After a backoff a single trial request is sent first. The others follow when
+   it has been answered, or after this time. */
 #define TRIAL_TIMEOUT (500 * EL_MSEC)
-/* Each host extends a rest by a random time of up to this part of it, as an
-   endpoint requests the rest from all hosts at about the same moment. */
+/* Each host extends a backoff by a random time of up to this fraction (one
+   part in so many) of it, as an endpoint requests the backoff from all hosts
+   at about the same moment. */
 #define JITTER_DIVISOR 10
 #define JITTER_STEPS 1000
 
 static const struct
 {
   const char *name;
-  rt_avail_level_t open;
+  rt_avail_level_t level;
 } reasons[RT_UNAVAIL_COUNT] = {
   [RT_UNAVAIL_NOTHING] = { "nothing", RT_AVAIL_FULL },
-  [RT_UNAVAIL_PROOF] = { "proof", RT_AVAIL_DOUBTFUL },
+  [RT_UNAVAIL_SUSPECT] = { "proof", RT_AVAIL_DOUBTFUL },
   [RT_UNAVAIL_TRIAL] = { "trial", RT_AVAIL_LAST_RESORT },
   [RT_UNAVAIL_BUSY] = { "busy", RT_AVAIL_LAST_RESORT },
   [RT_UNAVAIL_CHANGED] = { "changed", RT_AVAIL_LAST_RESORT },
@@ -52,14 +53,14 @@
     return RT_UNAVAIL_BUSY;
   if (avail->trial && now < avail->trial_until)
     return RT_UNAVAIL_TRIAL;
-  return now < avail->suspect_until ? RT_UNAVAIL_PROOF : RT_UNAVAIL_NOTHING;
+  return now < avail->suspect_until ? RT_UNAVAIL_SUSPECT : RT_UNAVAIL_NOTHING;
 }
 
 /** The availability level at NOW. */
 rt_avail_level_t
 rt_avail_level_at (const rt_avail_t *avail, el_time_t now)
 {
-  return reasons[rt_avail_reason_at (avail, now)].open;
+  return reasons[rt_avail_reason_at (avail, now)].level;
 }
 
 const char *
@@ -68,23 +69,24 @@
   return reasons[why].name;
 }
 
-/** Whether it is draining at NOW. */
+/** Whether the endpoint is leaving at NOW. */
 int
 rt_avail_is_leaving (const rt_avail_t *avail, el_time_t now)
 {
   return now < avail->leaving_until;
 }
 
-/** Time left of its rest; 0 if it does not rest. */
+/** The remaining time of the endpoint's backoff; 0 if there is none. */
 el_time_t
 rt_avail_backoff_left (const rt_avail_t *avail, el_time_t now)
 {
   return now < avail->backoff_until ? avail->backoff_until - now : 0;
 }
 
-/** The endpoint requested at NOW a rest of DURATION. A rest in progress that
-    ends later is kept, as the endpoint has not withdrawn it. DRAW is a random
-    number. Returns 1 if a rest begins. */
+/** Records that the endpoint requested a backoff of DURATION at NOW. A backoff
+    in progress that ends later is kept, as the endpoint has not withdrawn it.
+    DRAW is a random number. Returns 1 if a backoff begins, 0 if one is
+    extended or nothing changes. */
 int
 rt_avail_backoff (rt_avail_t *avail, el_time_t now, el_time_t duration,
                   uint64_t draw)
@@ -103,7 +105,7 @@
   return begins;
 }
 
-/** A request is sent there. */
+/** Records that a request is sent to the endpoint. */
 void
 rt_avail_sent (rt_avail_t *avail, el_time_t now)
 {
@@ -111,8 +113,8 @@
     avail->trial_until = now + TRIAL_TIMEOUT;
 }
 
-/** It began to answer a request that it accepted. An answer to a request from
-    before its rest does not end the trial. */
+/** Records that the endpoint began to answer a request that it accepted. An
+    answer to a request from before its backoff does not end the trial. */
 void
 rt_avail_answered (rt_avail_t *avail)
 {
@@ -120,7 +122,7 @@
     avail->trial = 0;
 }
 
-/** It refused a request for lack of capacity. */
+/** Records that the endpoint refused a request for lack of capacity. */
 void
 rt_avail_busy (rt_avail_t *avail, el_time_t now, el_time_t wait)
 {
@@ -128,7 +130,7 @@
     avail->busy_until = now + wait;
 }
 
-/** Its listed attributes are out of date. */
+/** Records that the endpoint's listed attributes are out of date. */
 void
 rt_avail_changed (rt_avail_t *avail, el_time_t now, el_time_t wait)
 {
@@ -136,15 +138,15 @@
     avail->stale_until = now + wait;
 }
 
-/** A suspect request is sent there. */
+/** Records that a suspect request is sent to the endpoint. */
 void
 rt_avail_suspect_sent (rt_avail_t *avail, el_time_t now, el_time_t wait)
 {
   avail->suspect_until = now + wait;
 }
 
-/** A request failed there. Returns 1 if it is set aside now. With IMMEDIATE
-    one failure is enough. */
+/** Records a failed request. Returns 1 if the endpoint is ejected now. With
+    IMMEDIATE a single failure is enough. */
 int
 rt_avail_failed (rt_avail_t *avail, el_time_t now,
                  const rt_ejection_t *ejection, int immediate)
@@ -165,7 +167,8 @@
   return 1;
 }
 
-/** It answered successfully: clears its failures, and no other reason. */
+/** Records a successful answer: clears the endpoint's failures, but no other
+    reason to avoid it. */
 void
 rt_avail_succeeded (rt_avail_t *avail)
 {
--- a/route/avail.h
+++ b/route/avail.h
@@ -13,9 +13,9 @@
 
 #include "base.h"
 
-/** Longest rest: the back-off that an endpoint may request. A longer one is
-    capped: an endpoint that must stay out of use longer gets replaced, and one
-    wrong number must not disable it for good. */
+/** Longest backoff that an endpoint may request with Retry-After. A longer one
+    is capped: an endpoint that must stay out of use for longer gets replaced,
+    and one wrong number must not disable it for good. */
 #define RT_BACKOFF_MAX (600 * EL_SEC)
 
 /** Availability levels, in order of preference. */
@@ -24,50 +24,51 @@
   RT_AVAIL_FULL,        /**< no reason to avoid it */
   RT_AVAIL_DOUBTFUL,    /**< a suspect request may crash it: only without an
                            RT_AVAIL_FULL one */
-  RT_AVAIL_LAST_RESORT, /**< set aside: only without an RT_AVAIL_DOUBTFUL one
-                         */
+  RT_AVAIL_LAST_RESORT, /**< avoided: only without an RT_AVAIL_DOUBTFUL one */
   RT_AVAIL_NONE,        /**< takes no new requests */
 } rt_avail_level_t;
 
-/** Reasons to avoid an endpoint, the strongest last. */
+/** Reasons to avoid an endpoint, in ascending order of strength. */
 typedef enum rt_unavail
 {
   RT_UNAVAIL_NOTHING,
-  RT_UNAVAIL_PROOF,   /**< a suspect request may crash it */
-  RT_UNAVAIL_TRIAL,   /**< its rest is over; the first request since is
-                         unanswered */
+  RT_UNAVAIL_SUSPECT, /**< a suspect request may crash it */
+  RT_UNAVAIL_TRIAL,   /**< its backoff is over; the first request since
+                         then is unanswered */
   RT_UNAVAIL_BUSY,    /**< it refused a request: no capacity */
   RT_UNAVAIL_CHANGED, /**< its listed attributes are out of date */
   RT_UNAVAIL_FAILED,  /**< consecutive failures */
   RT_UNAVAIL_SILENT,  /**< it did not answer a health check */
-  RT_UNAVAIL_BACKOFF, /**< it requested a back-off */
-  RT_UNAVAIL_LEAVING, /**< it is draining */
+  RT_UNAVAIL_BACKOFF, /**< it requested a backoff */
+  RT_UNAVAIL_LEAVING, /**< it gave notice that it will stop */
   RT_UNAVAIL_GONE,    /**< it is no longer listed */
   RT_UNAVAIL_COUNT
 } rt_unavail_t;
 
-/** How long a failing endpoint is set aside: for FIRST after AFTER consecutive
-    failures, twice as long with each further one, at most MOST. */
+/** How long a failing endpoint is ejected, that is, avoided after consecutive
+    failures. Each further failure doubles the time. */
 typedef struct rt_ejection
 {
-  unsigned after;
-  el_time_t first;
-  unsigned doublings; /**< most doublings of FIRST */
-  el_time_t most;
+  unsigned after;     /**< consecutive failures that eject an endpoint */
+  el_time_t first;    /**< duration after that many failures */
+  unsigned doublings; /**< maximum number of doublings */
+  el_time_t most;     /**< maximum duration */
 } rt_ejection_t;
 
 /** Reasons to avoid an endpoint and when each expires. */
 typedef struct rt_avail
 {
-  int gone;
-  int silent;
+  int gone;                /**< no longer listed */
+  int silent;              /**< did not answer a health check */
   el_time_t leaving_until; /**< EL_TIME_NEVER: until it exits */
   el_time_t backoff_since;
   el_time_t backoff_until;
-  int trial; /**< no request was answered since its rest; one goes first */
-  el_time_t trial_until; /**< others wait until then for the trial request */
+  int trial; /**< no request was answered since its backoff: a single trial
+                request is sent first */
+  el_time_t trial_until; /**< until then, other requests wait for the answer
+                            to the trial request */
   el_time_t ejected_until;
-  el_time_t stale_until;
+  el_time_t stale_until; /**< its listed attributes are out of date */
   el_time_t busy_until;
   el_time_t suspect_until;
   unsigned failures; /**< consecutive */
--- a/route/blame.c
+++ b/route/blame.c
@@ -17,7 +17,7 @@
    nothing about that request ten minutes later. A culprit that pauses for this
    long crashes two endpoints in ten minutes and is not blocked; without pauses
    it crashed ten in a minute. */
-#define FACT_LIFETIME (600 * EL_SEC)
+#define REPORT_LIFETIME (600 * EL_SEC)
 /* Duration of a request's first block. It doubles each time the request
    crashes another endpoint after a block has ended, so that waiting out the
    blocks costs one endpoint per block. */
@@ -112,8 +112,8 @@
 {
   while (crash->runs)
     run_free (crash->runs);
-  DL_DELETE (blame->by_time, crash);
-  HASH_DEL (blame->crash_by_key, crash);
+  DL_DELETE (blame->crashes_by_time, crash);
+  HASH_DEL (blame->crashes_by_key, crash);
   free (crash);
 }
 
@@ -124,8 +124,8 @@
   blame_request_t *request;
   blame_request_t *next;
 
-  while (blame->by_time)
-    crash_free (blame, blame->by_time);
+  while (blame->crashes_by_time)
+    crash_free (blame, blame->crashes_by_time);
   HASH_ITER (hh, blame->requests, request, next)
   request_free (blame, request);
   free (blame);
@@ -157,7 +157,7 @@
   if (request->customer == owner
       && (!victim || request->holds < victim->holds
           || (request->holds == victim->holds
-              && request->last_fact < victim->last_fact)))
+              && request->last_report_at < victim->last_report_at)))
     victim = request;
   if (victim)
     request_free (blame, victim);
@@ -199,14 +199,15 @@
 static void
 crash_insert_by_time (rt_blame_t *blame, blame_crash_t *crash)
 {
-  blame_crash_t *after = blame->by_time ? blame->by_time->prev : NULL;
+  blame_crash_t *after
+      = blame->crashes_by_time ? blame->crashes_by_time->prev : NULL;
 
   while (after && after->at > crash->at)
-    after = after == blame->by_time ? NULL : after->prev;
+    after = after == blame->crashes_by_time ? NULL : after->prev;
   if (after)
-    DL_APPEND_ELEM (blame->by_time, after, crash);
+    DL_APPEND_ELEM (blame->crashes_by_time, after, crash);
   else
-    DL_PREPEND (blame->by_time, crash);
+    DL_PREPEND (blame->crashes_by_time, crash);
 }
 
 static blame_crash_t *
@@ -215,17 +216,17 @@
   uint64_t key = rt_instance_key (&report->instance);
   blame_crash_t *crash;
 
-  HASH_FIND (hh, blame->crash_by_key, &key, sizeof key, crash);
+  HASH_FIND (hh, blame->crashes_by_key, &key, sizeof key, crash);
   if (crash)
     return crash;
-  if (HASH_COUNT (blame->crash_by_key) >= CRASHES_MAX)
-    crash_free (blame, blame->by_time);
+  if (HASH_COUNT (blame->crashes_by_key) >= CRASHES_MAX)
+    crash_free (blame, blame->crashes_by_time);
   crash = el_alloc (sizeof *crash);
   crash->key = key;
   crash->instance = report->instance;
   crash->at = report->at;
   crash->detected_at = EL_TIME_NEVER;
-  HASH_ADD (hh, blame->crash_by_key, key, sizeof crash->key, crash);
+  HASH_ADD (hh, blame->crashes_by_key, key, sizeof crash->key, crash);
   crash_insert_by_time (blame, crash);
   return crash;
 }
@@ -309,8 +310,8 @@
   run->began_at = report->at - report->ran;
   run->ran = report->ran;
   run->first = report->first;
-  if (request->last_fact < crash->at)
-    request->last_fact = crash->at;
+  if (request->last_report_at < crash->at)
+    request->last_report_at = crash->at;
   DL_APPEND2 (crash->runs, run, crash_prev, crash_next);
   DL_APPEND (request->runs, run);
   crash->nruns++;
@@ -341,7 +342,7 @@
   blame_run_t *run;
   int changed;
 
-  if (report->at + FACT_LIFETIME < now)
+  if (report->at + REPORT_LIFETIME < now)
     return 0;
   crash = crash_get (blame, report);
   changed = crash_add_witness (crash, report->host);
@@ -364,7 +365,7 @@
   uint64_t key = rt_instance_key (instance);
   const blame_crash_t *crash;
 
-  HASH_FIND (hh, blame->crash_by_key, &key, sizeof key, crash);
+  HASH_FIND (hh, blame->crashes_by_key, &key, sizeof key, crash);
   return crash && !blame_crash_confirmed (crash)
          && (!crash->nwitnesses || crash->witnesses[0] != host);
 }
@@ -441,8 +442,8 @@
     return 0;
   request->holds = holds;
   request->blocked_until = at + rt_blame_block_time (holds);
-  if (request->last_fact < at)
-    request->last_fact = at;
+  if (request->last_report_at < at)
+    request->last_report_at = at;
   return 1;
 }
 
@@ -470,7 +471,7 @@
   return (!request->blocked_until
           || request->blocked_until + rt_blame_block_time (request->holds)
                  < now)
-         && request->cleared_at + FACT_LIFETIME < now;
+         && request->cleared_at + REPORT_LIFETIME < now;
 }
 
 /* Drop expired crashes and requests. */
@@ -480,8 +481,9 @@
   blame_request_t *request;
   blame_request_t *next;
 
-  while (blame->by_time && blame->by_time->at + FACT_LIFETIME < now)
-    crash_free (blame, blame->by_time);
+  while (blame->crashes_by_time
+         && blame->crashes_by_time->at + REPORT_LIFETIME < now)
+    crash_free (blame, blame->crashes_by_time);
   HASH_ITER (hh, blame->requests, request, next)
   if (!request->runs && request_expired (request, now))
     request_free (blame, request);
--- a/route/blame_rule.c
+++ b/route/blame_rule.c
@@ -89,12 +89,12 @@
 static void
 window_sum_unexplained (rt_blame_t *blame, size_t w)
 {
-  blame_crash_t *from = blame->by_time;
-  blame_crash_t *to = blame->by_time;
+  blame_crash_t *from = blame->crashes_by_time;
+  blame_crash_t *to = blame->crashes_by_time;
   blame_crash_t *crash;
   double sum = 0;
 
-  DL_FOREACH (blame->by_time, crash)
+  DL_FOREACH (blame->crashes_by_time, crash)
   {
     for (;
          to
@@ -198,11 +198,11 @@
   blame_crash_t *crash;
   size_t w;
 
-  DL_FOREACH (blame->by_time, crash)
+  DL_FOREACH (blame->crashes_by_time, crash)
   crash_update (crash);
   for (w = 0; w < BLAME_RATE_WINDOWS; w++)
     window_sum_unexplained (blame, w);
-  DL_FOREACH (blame->by_time, crash)
+  DL_FOREACH (blame->crashes_by_time, crash)
   DL_FOREACH2 (crash->runs, run, crash_next)
   run->llr = run_llr (run, endpoints);
   HASH_ITER (hh, blame->requests, request, next)
--- a/route/chain.c
+++ b/route/chain.c
@@ -17,29 +17,30 @@
 #define HALLS_MAX 32
 #define CANDIDATES_MAX 512
 /* Cost of leaving the hall, in milliseconds of token latency, beyond the
-   network latency. Holds while the link between the halls could carry every
-   stream once, and rises in proportion when it could not, as all streams share
-   it. */
+   network latency. It applies while the link between the halls has capacity
+   for every stream to cross it once, and rises in proportion beyond that, as
+   all streams share the link. */
 #define CROSSING_MS 4.0
-/* Most jitter in the cost, so that hosts do not all choose the same
-   engines. */
+/* Maximum jitter of the cost, as a fraction, so that hosts do not all choose
+   the same engines. */
 #define COST_JITTER 0.15
 /* Cost factor of a part that already has the stream's KV cache. */
 #define KEPT_PART_FACTOR 0.3
-/* Weight of a millisecond of prefill queue against one of token latency. A
-   delayed first event is a cost that occurs once, but a stream is prefilled in
-   only one of its chain's ten or so parts at a time. */
+/* Weight of a millisecond in the prefill queue relative to one of token
+   latency. The delay of the first event occurs only once, and a stream is
+   prefilled in only one of its chain's ten or so parts at a time. */
 #define PREFILL_WAIT_WEIGHT 0.01
-/* A live engine answers a health check within this time. One that has not is
-   avoided if there is another. */
+/* A live engine answers a health check within this time. One that has not
+   answered is avoided if there is another. */
 #define CHECK_GRACE (10 * EL_MSEC)
 
+/* The cheapest path to a layer that ends in a hall. */
 typedef struct chain_node
 {
   double cost;
-  const struct chain_candidate *candidate; /* of the part up to here */
-  unsigned from;
-  unsigned from_hall;
+  const struct chain_candidate *candidate; /* runs the last part of the path */
+  unsigned from;                           /* first layer of that part */
+  unsigned from_hall; /* hall in which the path reached that layer */
 } chain_node_t;
 
 typedef struct chain_candidate
@@ -51,20 +52,22 @@
 } chain_candidate_t;
 
 /* Which engines a search may use. */
-typedef enum chain_trust
+typedef enum chain_level
 {
-  TRUST_HEALTHY, /* no reason to avoid them */
-  TRUST_USABLE,  /* also those with an overdue health check, and those that a
+  LEVEL_HEALTHY, /* no reason to avoid them */
+  LEVEL_USABLE,  /* also those with an overdue health check, and those that a
                     suspect request may crash */
-  TRUST_ANY      /* also those that are set aside */
-} chain_trust_t;
+  LEVEL_ANY      /* also those that are a last resort */
+} chain_level_t;
 
 typedef struct chain_search
 {
-  const rt_chain_t *old;    /* chain to reroute: its parts are cheaper */
-  const rt_target_t *first; /* engine of the first part; runs no other part */
-  const rt_target_t *begin; /* required first engine; NULL: any */
-  chain_trust_t trust;
+  /* Chain to reroute, whose parts cost less; NULL: none. */
+  const rt_chain_t *old;
+  /* Engine of the first part if that part is kept; it runs no other part. */
+  const rt_target_t *kept_engine;
+  const rt_target_t *required_first; /* engine of the first part; NULL: any */
+  chain_level_t level;
   el_time_t now;
   double tokens;      /* expected length of the stream */
   double crossing_ms; /* cost of leaving a hall */
@@ -73,13 +76,13 @@
   unsigned nhalls;
   chain_candidate_t candidates[CANDIDATES_MAX];
   size_t ncandidates;
-  unsigned char boundary[LAYERS_MAX + 1]; /* layers at which a part may end */
+  unsigned char boundary[LAYERS_MAX + 1]; /* whether a part may end there */
   chain_node_t node[LAYERS_MAX + 1][HALLS_MAX];
 } chain_search_t;
 
-/* Whether the engine of part I also runs an earlier part. */
+/* Whether the engine of part I also runs an earlier part of the chain. */
 static int
-part_before (const rt_chain_t *chain, size_t i)
+chain_engine_used_before (const rt_chain_t *chain, size_t i)
 {
   size_t k;
 
@@ -101,7 +104,7 @@
     {
       const rt_attrs_t *attrs = &chain->part[i].target->attrs;
 
-      if (part_before (chain, i) || chain->part[i].from != at
+      if (chain_engine_used_before (chain, i) || chain->part[i].from != at
           || chain->part[i].to <= at || chain->part[i].from < attrs->first
           || chain->part[i].to > attrs->end)
         return 0;
@@ -134,8 +137,9 @@
 }
 
 static void
-search_add (chain_search_t *search, const rt_fleet_t *fleet,
-            const rt_model_t *model, rt_target_t *target, uint64_t draw)
+search_add_candidate (chain_search_t *search, const rt_fleet_t *fleet,
+                      const rt_model_t *model, rt_target_t *target,
+                      uint64_t draw)
 {
   const rt_card_t *card = rt_model_card (model, target->attrs.card);
   chain_candidate_t *c;
@@ -153,29 +157,30 @@
   search->boundary[target->attrs.end] = 1;
 }
 
-/* Cost of leaving a hall. The token rate is known a few seconds after the
-   start; until then the link is assumed to carry all streams. */
+/* Cost of leaving a hall. The token rate is known only a few seconds after the
+   start; until then the link is assumed to have capacity for all streams. */
 static double
 crossing_ms (const rt_model_t *model, const rt_fleet_t *fleet, el_time_t now)
 {
-  double wanted = rt_fleet_token_rate (fleet, now) * model->link_ms
-                  * (double)EL_MSEC / (double)EL_SEC;
+  double link_load = rt_fleet_token_rate (fleet, now) * model->link_ms
+                     * (double)EL_MSEC / (double)EL_SEC;
 
-  return model->inter_hall_ms + CROSSING_MS * (wanted > 1 ? wanted : 1);
+  return model->inter_hall_ms + CROSSING_MS * (link_load > 1 ? link_load : 1);
 }
 
 static int
 search_admits (const chain_search_t *search, const rt_target_t *target)
 {
-  rt_avail_level_t open = rt_avail_level_at (&target->avail, search->now);
+  rt_avail_level_t avail_level
+      = rt_avail_level_at (&target->avail, search->now);
 
-  if (search->trust == TRUST_ANY)
-    return open != RT_AVAIL_NONE;
-  if (open > RT_AVAIL_DOUBTFUL)
+  if (search->level == LEVEL_ANY)
+    return avail_level != RT_AVAIL_NONE;
+  if (avail_level > RT_AVAIL_DOUBTFUL)
     return 0;
-  if (open == RT_AVAIL_DOUBTFUL && target != search->begin)
-    return search->trust == TRUST_USABLE;
-  return search->trust == TRUST_USABLE || !target->asked
+  if (avail_level == RT_AVAIL_DOUBTFUL && target != search->required_first)
+    return search->level == LEVEL_USABLE;
+  return search->level == LEVEL_USABLE || !target->asked
          || search->now < target->asked + CHECK_GRACE;
 }
 
@@ -196,7 +201,7 @@
         && target->attrs.end > target->attrs.first
         && target->attrs.end <= model->layers && search_admits (search, target)
         && !rt_tried_has (tried, target))
-      search_add (search, fleet, model, target, now);
+      search_add_candidate (search, fleet, model, target, now);
   for (at = 0; at <= search->layers; at++)
     for (h = 0; h < search->nhalls; h++)
       search->node[at][h].cost = DBL_MAX;
@@ -220,17 +225,17 @@
                unsigned hall)
 {
   const rt_attrs_t *attrs = &c->target->attrs;
-  double before = search->node[at][hall].cost + RT_HOP_MS;
+  double base_cost = search->node[at][hall].cost + RT_HOP_MS;
   unsigned to;
 
   if (c->hall != hall)
-    before += search->crossing_ms;
+    base_cost += search->crossing_ms;
   if (at == 0)
-    before += c->estimate.slot_wait_ms;
+    base_cost += c->estimate.slot_wait_ms;
   for (to = at + 1; to <= attrs->end; to++)
     {
       chain_node_t *node = &search->node[to][c->hall];
-      double cost = before + part_cost (search, c, at, to);
+      double cost = base_cost + part_cost (search, c, at, to);
 
       if (!search->boundary[to] || cost >= node->cost)
         continue;
@@ -240,15 +245,16 @@
     }
 }
 
-/* Whether TARGET runs the layers just before AT, or the kept first part: an
-   engine runs one part. */
+/* Whether TARGET runs the layers just before AT, or the kept first part. It is
+   then not used at AT, as an engine runs only one part. */
 static int
-search_ended_by (const chain_search_t *search, unsigned at, unsigned hall,
-                 const rt_target_t *target)
+search_engine_in_use (const chain_search_t *search, unsigned at, unsigned hall,
+                      const rt_target_t *target)
 {
   const chain_candidate_t *candidate = search->node[at][hall].candidate;
 
-  return target == search->first || (candidate && candidate->target == target);
+  return target == search->kept_engine
+         || (candidate && candidate->target == target);
 }
 
 static void
@@ -268,20 +274,21 @@
             const chain_candidate_t *c = &search->candidates[i];
 
             if (c->target->attrs.first <= at && at < c->target->attrs.end
-                && (at || !search->begin || c->target == search->begin)
-                && !search_ended_by (search, at, h, c->target))
+                && (at || !search->required_first
+                    || c->target == search->required_first)
+                && !search_engine_in_use (search, at, h, c->target))
               search_extend (search, c, at, h);
           }
       }
 }
 
-/* Collects the parts from the last layer back to BEGIN. Returns 0 if there is
-   no path. */
+/* Appends the parts of the cheapest path from layer BEGIN to OUT. Returns 0 if
+   there is no path or it has too many parts. */
 static int
 search_backtrack (const chain_search_t *search, unsigned begin,
                   rt_chain_t *out)
 {
-  struct rt_chain_part back[RT_CHAIN_MAX];
+  struct rt_chain_part reversed[RT_CHAIN_MAX];
   unsigned at = search->layers;
   unsigned best = 0;
   unsigned h;
@@ -300,16 +307,16 @@
         return 0;
       if (node->candidate->estimate.fill > out->fill)
         out->fill = node->candidate->estimate.fill;
-      back[n++] = (struct rt_chain_part){ .target = node->candidate->target,
-                                          .from = node->from,
-                                          .to = at };
+      reversed[n++] = (struct rt_chain_part){
+        .target = node->candidate->target, .from = node->from, .to = at
+      };
       at = node->from;
       best = node->from_hall;
     }
   if (out->n + n > RT_CHAIN_MAX)
     return 0;
   while (n)
-    out->part[out->n++] = back[--n];
+    out->part[out->n++] = reversed[--n];
   return 1;
 }
 
@@ -348,49 +355,49 @@
   return 0;
 }
 
-/* Searches a chain for a new stream. */
+/* Searches for a chain for a new stream. */
 static int
 chain_search (chain_search_t *search, rt_fleet_t *fleet, el_time_t now,
-              const rt_chain_query_t *want, rt_chain_t *out)
+              const rt_chain_query_t *query, rt_chain_t *out)
 {
-  unsigned start = search_hall (search, want->hall);
+  unsigned start = search_hall (search, query->hall);
 
-  search_init (search, fleet, now, want->service, want->tried);
+  search_init (search, fleet, now, query->service, query->tried);
   search->node[0][start].cost = 0;
   search_run (search, 0);
   return search_result (search, 0, out);
 }
 
-/* Searches a chain over the engines that TRUST admits. */
+/* Searches for a chain of engines that LEVEL admits. */
 static int
-chain_pick (rt_fleet_t *fleet, el_time_t now, const rt_chain_query_t *want,
-            chain_trust_t trust, rt_chain_t *out)
+chain_pick (rt_fleet_t *fleet, el_time_t now, const rt_chain_query_t *query,
+            chain_level_t level, rt_chain_t *out)
 {
   chain_search_t *search = el_alloc (sizeof *search);
   int found;
 
   memset (out, 0, sizeof *out);
-  out->tokens = want->tokens;
-  search->tokens = want->tokens;
-  search->begin = want->first;
-  search->trust = trust;
-  found = chain_search (search, fleet, now, want, out);
+  out->tokens = query->tokens;
+  search->tokens = query->tokens;
+  search->required_first = query->first;
+  search->level = level;
+  found = chain_search (search, fleet, now, query, out);
   free (search);
   return found;
 }
 
 /** Selects a chain for a new stream. Returns 0 if the engines do not hold all
-    layers. Engines that are set aside are used only if there is no chain
-    without them. */
+    layers. Engines to be avoided are used only if there is no chain without
+    them. */
 int
-rt_chain_pick (rt_fleet_t *fleet, el_time_t now, const rt_chain_query_t *want,
+rt_chain_pick (rt_fleet_t *fleet, el_time_t now, const rt_chain_query_t *query,
                rt_chain_t *out)
 {
-  chain_trust_t trust;
+  chain_level_t level;
   int found = 0;
 
-  for (trust = TRUST_HEALTHY; trust <= TRUST_ANY && !found; trust++)
-    found = chain_pick (fleet, now, want, trust, out);
+  for (level = LEVEL_HEALTHY; level <= LEVEL_ANY && !found; level++)
+    found = chain_pick (fleet, now, query, level, out);
   return found;
 }
 
@@ -403,11 +410,11 @@
   return (x > y) - (x < y);
 }
 
-/* Lists the times at which rests of the service's engines end, in ascending
+/* Lists the times at which backoffs of the service's engines end, in ascending
    order. */
 static size_t
-rest_ends (const rt_fleet_t *fleet, el_time_t now, el_str_t service,
-           el_time_t **out)
+backoff_ends (const rt_fleet_t *fleet, el_time_t now, el_str_t service,
+              el_time_t **out)
 {
   const rt_target_t *target;
   size_t n = 0;
@@ -421,40 +428,40 @@
   return n;
 }
 
-/** The time at which enough rests have ended for a chain to exist; 0 if there
-    is one now, or if there is none even after all rests. Each rest that ends
-    only adds engines, so binary search finds the time: 11 searches for 1,900
-    resting engines. */
+/** The time at which enough backoffs have ended for a chain to exist; 0 if
+    there is one now, or if there is none even after all of them. Each backoff
+    that ends only adds engines, so that binary search finds the time: 11
+    searches for 1,900 engines in backoff. */
 el_time_t
 rt_chain_available_at (rt_fleet_t *fleet, el_time_t now,
-                       const rt_chain_query_t *want)
+                       const rt_chain_query_t *query)
 {
   rt_chain_t chain;
   el_time_t *ends;
-  el_time_t opens = 0;
-  size_t n = rest_ends (fleet, now, want->service->name, &ends);
+  el_time_t available_at = 0;
+  size_t n = backoff_ends (fleet, now, query->service->name, &ends);
   size_t from = 0;
   size_t to = n;
 
-  if (n && !chain_pick (fleet, now, want, TRUST_ANY, &chain)
-      && chain_pick (fleet, ends[n - 1], want, TRUST_ANY, &chain))
+  if (n && !chain_pick (fleet, now, query, LEVEL_ANY, &chain)
+      && chain_pick (fleet, ends[n - 1], query, LEVEL_ANY, &chain))
     {
       while (from + 1 < to)
         {
-          size_t half = (from + to) / 2;
+          size_t middle = (from + to) / 2;
 
-          if (chain_pick (fleet, ends[half - 1], want, TRUST_ANY, &chain))
-            to = half;
+          if (chain_pick (fleet, ends[middle - 1], query, LEVEL_ANY, &chain))
+            to = middle;
           else
-            from = half;
+            from = middle;
         }
-      opens = ends[to - 1];
+      available_at = ends[to - 1];
     }
   free (ends);
-  return opens;
+  return available_at;
 }
 
-/* Searches a chain that keeps the first part of SEARCH's old one. */
+/* Searches for a chain that keeps the first part of the old one. */
 static int
 chain_search_around (chain_search_t *search, rt_fleet_t *fleet, el_time_t now,
                      const rt_service_t *service, const rt_tried_t *tried,
@@ -467,7 +474,7 @@
 
   memset (out, 0, sizeof *out);
   out->tokens = old->tokens;
-  search->first = first->target;
+  search->kept_engine = first->target;
   search->tokens = old->tokens;
   start = search_hall (search, first->target->attrs.hall);
   search_init (search, fleet, now, service, tried);
@@ -489,17 +496,17 @@
                   const rt_tried_t *tried, rt_chain_t *out)
 {
   chain_search_t *search;
-  chain_trust_t trust;
+  chain_level_t level;
   int found = 0;
 
   out->n = 0;
   if (old->n < 2 || rt_tried_has (tried, old->part[0].target))
     return 0;
-  for (trust = TRUST_HEALTHY; trust <= TRUST_USABLE && !found; trust++)
+  for (level = LEVEL_HEALTHY; level <= LEVEL_USABLE && !found; level++)
     {
       search = el_alloc (sizeof *search);
       search->old = old;
-      search->trust = trust;
+      search->level = level;
       found = chain_search_around (search, fleet, now, service, tried, out);
       free (search);
     }
--- a/route/chain_use.c
+++ b/route/chain_use.c
@@ -46,7 +46,7 @@
   return NULL;
 }
 
-/** Whether CHAIN includes an engine outside the hall of its first one. */
+/** Whether CHAIN includes an engine outside the hall of its first engine. */
 int
 rt_chain_crosses_halls (const rt_chain_t *chain)
 {
@@ -65,9 +65,9 @@
   return part->to - part->from;
 }
 
-/** Puts CHAIN into use: takes references to its engines and adds its load to
-    them. Each part has the given number of tokens to prefill, except the parts
-    that OLD has too, which keep their progress. OLD may be NULL. */
+/** Begins the use of CHAIN: takes references to its engines and adds its load
+    to them. Each part has TO_PREFILL tokens to prefill, except the parts that
+    OLD has too, which keep their progress. OLD may be NULL. */
 void
 rt_chain_acquire (rt_chain_t *chain, const rt_chain_t *old, double to_prefill)
 {
@@ -103,8 +103,8 @@
   chain->prefilling = 0;
 }
 
-/** An event of the stream arrived at NOW: all engines are alive and have
-    completed their prefill. */
+/** Records that an event of the stream arrived at NOW: all engines are alive
+    and have completed their prefill. */
 void
 rt_chain_progress (rt_chain_t *chain, el_time_t now)
 {
@@ -115,8 +115,8 @@
     chain->part[i].target->last_event_at = now;
 }
 
-/** The engine of CHAIN, outside OLD, that holds the most KV cache of this
-    host's streams; NULL if there is none. */
+/** Of the engines of CHAIN that OLD does not include, the one with the most KV
+    cache of this host's streams; NULL if there is none. */
 rt_target_t *
 rt_chain_fullest (const rt_chain_t *chain, const rt_chain_t *old)
 {
--- a/route/digest.c
+++ b/route/digest.c
@@ -3,9 +3,9 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Identifies a repeated request by its content, as each repetition has a new
- * id. The digest is SHA-256 with a prefixed key that only the hosts know, so
- * that no caller can forge the digest of another caller's request.
+ * Recognizes the retries of a request by their content, as each retry has a
+ * new id. The digest is SHA-256 with a prefixed key that only the hosts know,
+ * so that no caller can forge the digest of another caller's request.
  */
 #include <string.h>
 
--- a/route/estimate.c
+++ b/route/estimate.c
@@ -10,28 +10,29 @@
  */
 #include "relay.h"
 
-/* Slowdown in proportion to memory use: FILL_PENALTY at full memory. Past
-   FILL_KNEE a steeper term is added, which soon costs more than another hall,
-   since an engine that runs out of memory preempts its newest streams. */
+/* Slowdown in proportion to memory use, FILL_PENALTY at full memory. Above
+   FILL_KNEE a steeper term is added, which soon exceeds the cost of another
+   hall, since an engine that runs out of memory preempts its newest
+   streams. */
 #define FILL_PENALTY 0.5
 #define FILL_KNEE 0.75
 #define FILL_KNEE_SLOPE 40.0
-/* How long a load report is used. */
+/* How long a load report is valid. */
 #define REPORT_TTL (4 * EL_SEC)
 /* Duration of a decode step under typical load, relative to that with one
    stream. */
 #define LOADED_STEP_FACTOR 1.5
-/* Guards against this load pattern: some engines of a hall fail, streams on
-   the others take longer, and the engines with the first layers run out of
-   slots while all engines use half their memory and time. An engine costs more
-   as the first one past SLOTS_KNEE of its slots; with all slots taken it costs
-   as much as leaving the hall. */
+/* As the first of a chain, an engine costs more above SLOTS_KNEE of its slots;
+   with all slots taken it costs as much as leaving the hall. The load pattern
+   that this guards against: some engines of a hall fail, streams on the others
+   take longer, and the engines with the first layers run out of slots while
+   all engines use half of their memory and time. */
 #define SLOTS_KNEE 0.85
 #define SLOTS_PENALTY_MS 100.0
 
-/* Change since the engine's load report, when this host's own number was
-   AT_REPORT; now it is NOW. All hosts of the hall are assumed to have added as
-   much. Without a FRESH report the whole of NOW counts. */
+/* Extrapolates this host's load to all hosts that use the engine, which are
+   assumed to cause as much: the change from AT_REPORT, at the engine's load
+   report, to NOW, or all of NOW if the report is not FRESH. */
 static double
 extrapolate (const rt_fleet_t *fleet, int fresh, double at_report, double now)
 {
@@ -44,29 +45,29 @@
            double tokens)
 {
   double layers = target->attrs.end - target->attrs.first;
-  double room = (card->memory_mb - layers * model->layer_mb)
-                / model->token_kv_mb * (double)model->layers;
+  double kv_capacity = (card->memory_mb - layers * model->layer_mb)
+                       / model->token_kv_mb * (double)model->layers;
   double fill;
 
-  if (room <= 0)
+  if (kv_capacity <= 0)
     return 1;
   fill = extrapolate (fleet, fresh, target->held_at_report, target->kv_held)
-         / room;
+         / kv_capacity;
   if (fresh)
     fill += target->fill;
-  return (fill > 0 ? fill : 0) + tokens * layers / room;
+  return (fill > 0 ? fill : 0) + tokens * layers / kv_capacity;
 }
 
 static double
 fill_factor (double fill)
 {
-  double over = fill > FILL_KNEE ? fill - FILL_KNEE : 0;
+  double excess = fill > FILL_KNEE ? fill - FILL_KNEE : 0;
 
-  return 1 + FILL_PENALTY * fill + FILL_KNEE_SLOPE * over;
+  return 1 + FILL_PENALTY * fill + FILL_KNEE_SLOPE * excess;
 }
 
-/* Prefill time per token and layer, with decode steps of other streams in
-   between. */
+/* Prefill time per token and layer, including the decode steps of other
+   streams in between. */
 static double
 prefill_ms (const rt_model_t *model, const rt_card_t *card)
 {
--- a/route/fleet.c
+++ b/route/fleet.c
@@ -10,28 +10,30 @@
 
 #include "relay.h"
 
-/* A failing endpoint is set aside. A single failure may be coincidence. */
+/* A single failure may be coincidence and does not eject an endpoint. */
 static const rt_ejection_t ejection = {
   .after = 2, .first = 200 * EL_MSEC, .doublings = 4, .most = 3200 * EL_MSEC
 };
-/* How long an engine without capacity is set aside; streams end all the
-   time. */
-#define BUSY_HOLD (100 * EL_MSEC)
-/* Updates of an endpoint's entry take about a second to arrive. */
-#define CHANGED_HOLD (1000 * EL_MSEC)
+/* How long an endpoint without capacity is avoided. It is short, as streams
+   end all the time. */
+#define BUSY_DURATION (100 * EL_MSEC)
+/* How long an endpoint with outdated attributes is avoided: updates of its
+   entry take about a second to arrive. */
+#define STALE_DURATION (1000 * EL_MSEC)
 /* Weight of the newest answer in the moving average of response times. */
 #define LATENCY_WEIGHT 0.2
-/* An endpoint in another hall costs this fraction more. */
+/* Fraction by which an endpoint in another hall costs more. */
 #define REMOTE_HALL_PENALTY 0.25
 
-/* Averaging time of the token rate, about as long as a stream takes. */
+/* Averaging time of the token rate, about the duration of a stream. */
 #define TOKEN_RATE_WINDOW (2 * EL_SEC)
-/* Most unlisted endpoints whose state is kept, at 160 bytes each: enough for a
-   day on which each of 1,900 is replaced twice. The oldest are evicted. */
+/* Maximum number of unlisted instances whose state is kept, at 160 bytes each:
+   enough for a day on which each of 1,900 endpoints is replaced twice. The
+   oldest are evicted. */
 #define UNLISTED_MAX 4096
 
-/* State of an endpoint process that is not listed. Entries expire while the
-   store is unreachable, and return. */
+/* State of an endpoint instance that is not listed. While the store is
+   unreachable, entries expire and later return. */
 typedef struct unlisted
 {
   el_str_t id;
@@ -45,8 +47,8 @@
   rt_target_t *by_id;
   unlisted_t *unlisted;
   uint64_t random;
-  size_t hosts;      /* sending to the same engines */
-  size_t all_hosts;  /* hosts of all halls */
+  size_t hosts;      /* number of hosts that send to the same engines */
+  size_t all_hosts;  /* number of hosts in all halls */
   double token_rate; /* tokens per second of this host's streams, a moving
                         average as of RATE_UPDATED */
   el_time_t rate_updated;
@@ -127,8 +129,8 @@
   free (target);
 }
 
-/** Whether listed attributes and TARGET are of the same process, as far as
-    start times are known. */
+/** Whether ATTRS and TARGET describe the same instance, as far as start times
+    are known. */
 int
 rt_target_same_start (const rt_target_t *target, const rt_attrs_t *attrs)
 {
@@ -145,8 +147,8 @@
   return entry;
 }
 
-/* Keeps the drain and rest state of the process BORN of the unlisted endpoint
-   ID. */
+/* Keeps the leaving and backoff state of an unlisted instance: that of
+   endpoint ID which started at BORN. */
 static void
 unlisted_add (rt_fleet_t *fleet, el_str_t id, uint64_t born,
               const rt_avail_t *avail)
@@ -168,9 +170,9 @@
                    entry);
 }
 
-/* Applies the state that TARGET's process had before it was listed. */
+/* Applies the state that was kept while TARGET's instance was not listed. */
 static void
-unlisted_take (rt_fleet_t *fleet, rt_target_t *target)
+unlisted_apply (rt_fleet_t *fleet, rt_target_t *target)
 {
   unlisted_t *entry = unlisted_find (fleet, target->attrs.id);
 
@@ -188,15 +190,15 @@
 
   target->refs = 1;
   attrs_copy (&target->attrs, attrs);
-  unlisted_take (fleet, target);
+  unlisted_apply (fleet, target);
   HASH_ADD_KEYPTR (hh, fleet->by_id, target->attrs.id.ptr,
                    (unsigned)target->attrs.id.len, target);
   return target;
 }
 
-/** Adds or updates a listed endpoint. One that is draining stays so. A process
-    with another start time under the same id is a new endpoint: it inherits no
-    layers, no drain state and no rest. */
+/** Adds or updates a listed endpoint. One that is leaving remains so. Another
+    instance with the same id is a new endpoint: it inherits no layers, no
+    leaving state and no backoff. */
 rt_target_t *
 rt_fleet_update (rt_fleet_t *fleet, const rt_attrs_t *attrs)
 {
@@ -234,19 +236,19 @@
   rt_target_unref (target);
 }
 
-/** Records that the process BORN of endpoint ID is draining. Returns the
-    endpoint if that is new; NULL if it was known, or if that process is not
-    listed. The state of an unlisted endpoint is kept. */
+/** Records that the instance of endpoint ID that started at BORN is leaving.
+    Returns the endpoint if that is new; NULL if it was known, or if that
+    instance is not listed. The state of an unlisted instance is kept. */
 rt_target_t *
 rt_fleet_mark_leaving (rt_fleet_t *fleet, el_str_t id, uint64_t born)
 {
-  const rt_avail_t leaves = { .leaving_until = EL_TIME_NEVER };
+  const rt_avail_t leaving = { .leaving_until = EL_TIME_NEVER };
   rt_target_t *target = rt_fleet_find (fleet, id);
   const rt_attrs_t attrs = { .born = born };
 
   if (!target)
     {
-      unlisted_add (fleet, id, born, &leaves);
+      unlisted_add (fleet, id, born, &leaving);
       return NULL;
     }
   if (!rt_target_same_start (target, &attrs) || rt_target_is_leaving (target))
@@ -261,37 +263,38 @@
   return entry->avail.leaving_until == EL_TIME_NEVER;
 }
 
-/** Calls LEFT for each draining process: those listed, and those among the
-    MOST newest unlisted entries. */
+/** Calls VISIT for each leaving instance: those listed, and those among the
+    MAX_UNLISTED newest unlisted ones. */
 void
-rt_fleet_visit_leaving (const rt_fleet_t *fleet, size_t most,
-                        rt_leaving_cb left, void *arg)
+rt_fleet_visit_leaving (const rt_fleet_t *fleet, size_t max_unlisted,
+                        rt_leaving_cb visit, void *arg)
 {
   const rt_target_t *target;
   const unlisted_t *entry = NULL;
 
   for (target = fleet->by_id; target; target = target->hh.next)
     if (rt_target_is_leaving (target))
-      left (arg, target->attrs.id, target->attrs.born);
+      visit (arg, target->attrs.id, target->attrs.born);
   if (fleet->unlisted)
     entry = ELMT_FROM_HH (fleet->unlisted->hh.tbl,
                           fleet->unlisted->hh.tbl->tail);
-  for (; entry && most; entry = entry->hh.prev, most--)
+  for (; entry && max_unlisted; entry = entry->hh.prev, max_unlisted--)
     if (unlisted_is_leaving (entry))
-      left (arg, entry->id, entry->born);
+      visit (arg, entry->id, entry->born);
 }
 
-/** TARGET requested at NOW a rest of ASKED. Returns 1 if a rest begins. */
+/** Records that TARGET requested a backoff of REQUESTED at NOW. Returns 1 if a
+    backoff begins. */
 int
 rt_fleet_backoff (rt_fleet_t *fleet, rt_target_t *target, el_time_t now,
-                  el_time_t asked)
+                  el_time_t requested)
 {
-  return rt_avail_backoff (&target->avail, now, asked,
+  return rt_avail_backoff (&target->avail, now, requested,
                            el_random (&fleet->random));
 }
 
-/** The earliest time at which a rest of an endpoint of SERVICE ends; 0 if an
-    endpoint may be used at NOW, or if none rests. */
+/** The earliest time at which the backoff of an endpoint of SERVICE ends; 0 if
+    an endpoint may be used at NOW, or if none is in backoff. */
 el_time_t
 rt_fleet_available_at (const rt_fleet_t *fleet, el_time_t now,
                        el_str_t service)
@@ -332,8 +335,8 @@
   return fleet->by_id;
 }
 
-/** Sets the number of hosts: HOSTS in this hall, which includes this one and
-    which share the engines about equally, and ALL_HOSTS in all halls. */
+/** Sets the number of hosts, this one included: HOSTS in this hall, which use
+    its engines about equally, and ALL_HOSTS in all halls. */
 void
 rt_fleet_set_hosts (rt_fleet_t *fleet, size_t hosts, size_t all_hosts)
 {
@@ -345,12 +348,14 @@
 static double
 token_rate_decay (const rt_fleet_t *fleet, el_time_t now)
 {
-  el_time_t past = now > fleet->rate_updated ? now - fleet->rate_updated : 0;
+  el_time_t elapsed
+      = now > fleet->rate_updated ? now - fleet->rate_updated : 0;
 
-  return (double)TOKEN_RATE_WINDOW / (double)(TOKEN_RATE_WINDOW + past);
+  return (double)TOKEN_RATE_WINDOW / (double)(TOKEN_RATE_WINDOW + elapsed);
 }
 
-/** Counts a stream of TOKENS that this host sends to engines. */
+/** Adds a stream of TOKENS that this host sends to engines to the token
+    rate. */
 void
 rt_fleet_stream_sent (rt_fleet_t *fleet, el_time_t now, double tokens)
 {
@@ -383,22 +388,22 @@
   return HASH_COUNT (fleet->by_id);
 }
 
-/** Whether TARGET may be sent new requests at NOW without being a last resort;
-    a suspect request may be about to crash it. */
+/** Whether TARGET may be sent new requests at NOW without being a last resort.
+    A suspect request may be about to crash it. */
 int
 rt_target_usable (const rt_target_t *target, el_time_t now)
 {
   return rt_avail_level_at (&target->avail, now) <= RT_AVAIL_DOUBTFUL;
 }
 
-/** Whether TARGET is draining until it exits. */
+/** Whether TARGET is leaving. */
 int
 rt_target_is_leaving (const rt_target_t *target)
 {
   return target->avail.leaving_until == EL_TIME_NEVER;
 }
 
-/** Marks TARGET as draining, for the lifetime of its process. */
+/** Marks TARGET as leaving until its instance exits. */
 void
 rt_target_mark_leaving (rt_target_t *target)
 {
@@ -413,21 +418,21 @@
 }
 
 /** Records that TARGET's listed attributes are out of date: it holds other
-    layers, or another process has its place. */
+    layers, or it is another instance. */
 void
 rt_target_changed (rt_target_t *target, el_time_t now)
 {
-  rt_avail_changed (&target->avail, now, CHANGED_HOLD);
+  rt_avail_changed (&target->avail, now, STALE_DURATION);
 }
 
 /** Records that TARGET refused a request for lack of capacity. */
 void
 rt_target_busy (rt_target_t *target, el_time_t now)
 {
-  rt_avail_busy (&target->avail, now, BUSY_HOLD);
+  rt_avail_busy (&target->avail, now, BUSY_DURATION);
 }
 
-/** Takes the load that TARGET reported at AT. Returns 0 if a newer report is
+/** Records the load that TARGET reported at AT. Returns 0 if a newer report is
     known. */
 int
 rt_target_report (rt_target_t *target, const rt_load_t *load, el_time_t at)
@@ -443,7 +448,7 @@
   return 1;
 }
 
-/** Records a successful answer after TOOK. */
+/** Records a successful answer that took TOOK. */
 void
 rt_target_succeeded (rt_target_t *target, el_time_t took)
 {
@@ -493,8 +498,8 @@
 }
 
 /** Selects an endpoint of SERVICE for a request from HALL; NULL if none may be
-    used. If all are set aside, one of them is used anyway unless it rests or
-    is draining. */
+    used. If all are to be avoided, one of them is used anyway, unless it is in
+    backoff or leaving. */
 rt_target_t *
 rt_fleet_pick (rt_fleet_t *fleet, el_time_t now, el_str_t service,
                el_str_t hall, const rt_tried_t *tried)
@@ -525,9 +530,9 @@
 
 /** Selects the endpoint of SERVICE for a suspect request; NULL if there is
     none. An engine must hold the first layers. Rendezvous hashing with DRAW
-    makes all hosts choose the same endpoint, and spreads suspects over
-    different ones. An endpoint that another suspect may be about to crash is
-    skipped. */
+    makes all hosts choose the same endpoint for a request, and spreads suspect
+    requests over the endpoints. An endpoint that another suspect request may
+    be about to crash is skipped. */
 rt_target_t *
 rt_fleet_pick_isolated (const rt_fleet_t *fleet, el_time_t now,
                         el_str_t service, uint64_t draw,
--- a/route/health.c
+++ b/route/health.c
@@ -3,9 +3,9 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Which endpoints may be sent new requests: not those that are leaving or
- * asked for a rest, and not those ejected after failures. Ejection is only a
- * hint: route selection ignores it if no other endpoint is left.
+ * Which endpoints may be sent new requests: not those that are draining,
+ * leaving or in backoff, and not those ejected after failures. Ejection is
+ * only a hint: route selection ignores it if no other endpoint is left.
  */
 #include "librt.h"
 
@@ -26,20 +26,20 @@
 };
 
 /** Whether the endpoint may be sent new requests. IGNORE_EJECTION admits one
-    that is ejected or on trial after a rest. */
+    that is ejected or on trial after a backoff. */
 int
 rt_endpoint_usable (const rt_endpoint_t *ep, el_time_t now,
                     int ignore_ejection)
 {
-  rt_avail_level_t open = rt_avail_level_at (&ep->avail, now);
+  rt_avail_level_t level = rt_avail_level_at (&ep->avail, now);
 
   return !ep->draining
-         && open <= (ignore_ejection ? RT_AVAIL_LAST_RESORT
-                                     : RT_AVAIL_DOUBTFUL);
+         && level <= (ignore_ejection ? RT_AVAIL_LAST_RESORT
+                                      : RT_AVAIL_DOUBTFUL);
 }
 
 /** The earliest time at which the endpoint may be sent new requests: NOW, the
-    end of its rest, or EL_TIME_NEVER if it is draining or leaving. */
+    end of its backoff, or EL_TIME_NEVER if it is draining or leaving. */
 el_time_t
 rt_endpoint_available_at (const rt_endpoint_t *ep, el_time_t now)
 {
@@ -73,14 +73,14 @@
     router->counts.ejected += !ejected;
 }
 
-/** The endpoint asked this host to send it nothing for the time ASKED. */
+/** The endpoint requested a backoff of REQUESTED. */
 void
 rt_endpoint_backoff_requested (rt_router_t *router, el_str_t name,
-                               el_time_t now, el_time_t asked)
+                               el_time_t now, el_time_t requested)
 {
   rt_endpoint_t *ep = rt_endpoint_find (router, name);
 
-  if (ep && rt_avail_backoff (&ep->avail, now, asked, rt_random (router)))
+  if (ep && rt_avail_backoff (&ep->avail, now, requested, rt_random (router)))
     router->counts.rests++;
 }
 
--- a/route/layout.c
+++ b/route/layout.c
@@ -3,9 +3,9 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Layer placement: each empty engine is assigned the range that its hall needs
- * most. Loaded engines are left alone, except for redundant copies, which are
- * moved if a hall lacks layers and no engine is empty.
+ * Layer placement: each empty engine is assigned the range of layers that its
+ * hall needs most. Loaded engines keep their layers, except for redundant
+ * replicas, which are moved if a hall lacks layers and no engine is empty.
  */
 #include <string.h>
 
@@ -13,19 +13,21 @@
 
 #define LAYERS_MAX 256
 #define HALLS_MAX 32
-/* Copies of the model that a hall's engines should be able to hold. Memory
-   holds either KV cache or copies of layers: with one copy each loss of an
-   engine stops the hall, with more copies streams get preempted for lack of
-   memory. */
-#define MODEL_COPIES 1.25
-/* Most KV cache reserved on an engine, as a fraction of what typical requests
-   in all its slots need. Streams go to the fast engines first, and memory that
-   no stream uses is better spent on another layer: chains get shorter and
-   copies more. The load pattern behind it is a hall without its large engines.
-   Fleets with little memory reserve less anyway. */
-#define ROOM_SLOT_SHARE 0.75
-/* The reserve is reduced by this factor, down to one typical request. */
-#define ROOM_DECAY 0.95
+/* Replicas of the model that a hall's engines should be able to hold. Memory
+   holds either KV cache or replicas of layers: with a single replica each
+   loss of an engine stops the hall, with more replicas streams get preempted
+   for lack of memory. */
+#define MODEL_REPLICAS 1.25
+/* Maximum KV cache reserved on an engine, as a fraction of what typical
+   requests in all its slots need. Streams go to the fast engines first, and
+   memory that no stream uses is better used for another layer, as chains
+   become shorter and replicas more numerous. The load pattern that decides the
+   value is a hall without its large engines. Fleets with little memory reserve
+   less anyway. */
+#define KV_RESERVE_SLOT_SHARE 0.75
+/* The reserve is repeatedly reduced by this factor, down to one typical
+   request. */
+#define KV_RESERVE_DECAY 0.95
 
 /** The accelerator type NAME; NULL if the model does not list it. */
 const rt_card_t *
@@ -39,11 +41,10 @@
   return NULL;
 }
 
-/* A hall, and the tokens of KV cache that its engines reserve. */
 typedef struct layout_hall
 {
   el_str_t name;
-  double room;
+  double kv_reserve; /* KV cache reserved on each of its engines, in tokens */
 } layout_hall_t;
 
 typedef struct layout
@@ -58,13 +59,13 @@
   size_t n;
 } layout_t;
 
-/* Most layers that fit on a card with KV cache for ROOM tokens; at least one
-   if one fits without any. */
+/* Maximum number of layers that fit on a card with KV cache for KV_RESERVE
+   tokens; at least one if one fits without any KV cache. */
 static unsigned
-card_layers (const rt_model_t *model, const rt_card_t *card, double room)
+card_layers (const rt_model_t *model, const rt_card_t *card, double kv_reserve)
 {
-  double beside = room * model->token_kv_mb / (double)model->layers;
-  double n = card->memory_mb / (model->layer_mb + beside);
+  double kv_mb = kv_reserve * model->token_kv_mb / (double)model->layers;
+  double n = card->memory_mb / (model->layer_mb + kv_mb);
 
   if (n >= model->layers)
     return model->layers;
@@ -139,10 +140,10 @@
   return rt_model_card (&layout->service->model, target->attrs.card);
 }
 
-/* Total layers that the engines of a hall can hold with KV cache for ROOM
-   tokens each. */
+/* Total number of layers that the engines of a hall can hold with KV cache for
+   KV_RESERVE tokens each. */
 static unsigned
-hall_layers (const layout_t *layout, el_str_t hall, double room)
+hall_layers (const layout_t *layout, el_str_t hall, double kv_reserve)
 {
   rt_target_t *target;
   unsigned n = 0;
@@ -153,15 +154,15 @@
       const rt_card_t *card = layout_card (layout, target);
 
       if (card && el_str_eq (target->attrs.hall, hall))
-        n += card_layers (&layout->service->model, card, room);
+        n += card_layers (&layout->service->model, card, kv_reserve);
     }
   return n;
 }
 
-/* Most tokens of KV cache reserved per engine, by the largest number of
+/* Maximum KV cache reserved per engine, in tokens, by the largest number of
    slots. */
 static double
-hall_max_room (const layout_t *layout, el_str_t hall)
+hall_kv_reserve_max (const layout_t *layout, el_str_t hall)
 {
   rt_target_t *target;
   uint64_t slots = 1;
@@ -171,21 +172,23 @@
     if (layout_card (layout, target) && el_str_eq (target->attrs.hall, hall)
         && target->attrs.slots > slots)
       slots = target->attrs.slots;
-  return ROOM_SLOT_SHARE * (double)slots
+  return KV_RESERVE_SLOT_SHARE * (double)slots
          * layout->service->model.typical_tokens;
 }
 
-/* The largest reserve that leaves MODEL_COPIES of the model in the hall. */
+/* The largest reserve, in steps of KV_RESERVE_DECAY, with which the hall can
+   hold MODEL_REPLICAS of the model. */
 static double
-hall_room (const layout_t *layout, el_str_t hall)
+hall_kv_reserve (const layout_t *layout, el_str_t hall)
 {
   const rt_model_t *model = &layout->service->model;
-  double room = hall_max_room (layout, hall);
+  double kv_reserve = hall_kv_reserve_max (layout, hall);
 
-  while (room > model->typical_tokens
-         && hall_layers (layout, hall, room) < MODEL_COPIES * model->layers)
-    room *= ROOM_DECAY;
-  return room;
+  while (kv_reserve > model->typical_tokens
+         && hall_layers (layout, hall, kv_reserve)
+                < MODEL_REPLICAS * model->layers)
+    kv_reserve *= KV_RESERVE_DECAY;
+  return kv_reserve;
 }
 
 static layout_hall_t *
@@ -201,7 +204,7 @@
     return &layout->halls[0];
   hall = &layout->halls[layout->nhalls++];
   hall->name = name;
-  hall->room = hall_room (layout, name);
+  hall->kv_reserve = hall_kv_reserve (layout, name);
   return hall;
 }
 
@@ -214,14 +217,14 @@
   if (!card)
     return 0;
   return card_layers (&layout->service->model, card,
-                      layout_hall (layout, target->attrs.hall)->room);
+                      layout_hall (layout, target->attrs.hall)->kv_reserve);
 }
 
 /* Whether the engines of a hall can hold the whole model. */
 static int
 hall_self_sufficient (layout_t *layout, el_str_t hall)
 {
-  return hall_layers (layout, hall, layout_hall (layout, hall)->room)
+  return hall_layers (layout, hall, layout_hall (layout, hall)->kv_reserve)
          >= layout->service->model.layers;
 }
 
@@ -234,14 +237,15 @@
          + RT_HOP_MS / (double)n;
 }
 
-/* The empty engine with the least latency per layer. So the fast engines form
-   a hall's chain, and the others hold the copies. */
+/* The empty engine with the lowest latency per layer, and the number of layers
+   for it. Thus the fast engines form a hall's chain, and the others hold the
+   replicas. */
 static rt_target_t *
 layout_fastest (layout_t *layout, unsigned *layers)
 {
   rt_target_t *best = NULL;
   rt_target_t *target;
-  double least = 0;
+  double min_ms = 0;
 
   for (target = rt_fleet_first (layout->fleet); target;
        target = target->hh.next)
@@ -254,36 +258,36 @@
       if (n == 0)
         continue;
       ms = layer_ms (&layout->service->model, layout_card (layout, target), n);
-      if (best && ms >= least)
+      if (best && ms >= min_ms)
         continue;
       best = target;
       *layers = n;
-      least = ms;
+      min_ms = ms;
     }
   return best;
 }
 
 /* First layer of a new range of N layers: the first layer that no engine
-   holds. If all are held, the range is a redundant copy and ends at the last
-   of the layers with the fewest holders: large engines hold the first layers,
-   so copies from the end can replace the most engines. */
+   holds. If all are held, the range is a redundant replica and ends at the
+   last of the layers that the fewest engines hold: large engines hold the
+   first layers, so that replicas from the end can replace the most engines. */
 static unsigned
 range_begin (const unsigned *cover, unsigned layers, unsigned n)
 {
-  unsigned least = 0;
-  unsigned last = 0;
+  unsigned rarest = 0;
+  unsigned last_rarest = 0;
   unsigned i;
 
   for (i = 0; i < layers; i++)
     {
-      if (cover[i] < cover[least])
-        least = i;
-      if (cover[i] <= cover[last])
-        last = i;
+      if (cover[i] < cover[rarest])
+        rarest = i;
+      if (cover[i] <= cover[last_rarest])
+        last_rarest = i;
     }
-  if (cover[least])
-    return last + 1 > n ? last + 1 - n : 0;
-  return least + n > layers ? layers - n : least;
+  if (cover[rarest])
+    return last_rarest + 1 > n ? last_rarest + 1 - n : 0;
+  return rarest + n > layers ? layers - n : rarest;
 }
 
 /** Fills OUT with orders for empty engines. PENDING are orders given whose
@@ -318,10 +322,11 @@
   return layout.n;
 }
 
-/* Whether TARGET is redundant: others of its hall hold all its layers too. */
+/* Whether TARGET is redundant: other engines of its hall hold all its layers
+   too. */
 static int
-target_is_spare (const layout_t *layout, const rt_target_t *target,
-                 const unsigned *cover)
+target_is_redundant (const layout_t *layout, const rt_target_t *target,
+                     const unsigned *cover)
 {
   unsigned i;
 
@@ -349,11 +354,11 @@
   return from;
 }
 
-/* The redundant engine of a hall that can fill most of the gap at FROM; among
-   equals the one in the fewest chains. */
+/* The redundant engine of a hall that can fill most of the gap at FROM, and
+   the number of layers for it; among equals the one in the fewest chains. */
 static rt_target_t *
-layout_pick_spare (layout_t *layout, el_str_t hall, const unsigned *cover,
-                   unsigned from, unsigned *layers)
+layout_pick_redundant (layout_t *layout, el_str_t hall, const unsigned *cover,
+                       unsigned from, unsigned *layers)
 {
   const rt_model_t *model = &layout->service->model;
   rt_target_t *best = NULL;
@@ -368,7 +373,7 @@
        target = target->hh.next)
     {
       if (!el_str_eq (target->attrs.hall, hall)
-          || !target_is_spare (layout, target, cover))
+          || !target_is_redundant (layout, target, cover))
         continue;
       n = target_layers (layout, target);
       if (n > gap)
@@ -425,7 +430,7 @@
       from = cover_gap (cover, layers);
       if (from == layers || !hall_self_sufficient (layout, hall))
         return;
-      target = layout_pick_spare (layout, hall, cover, from, &n);
+      target = layout_pick_redundant (layout, hall, cover, from, &n);
       if (!target)
         return;
       if (from + n > layers)
@@ -434,9 +439,8 @@
     }
 }
 
-/** Fills OUT with orders that move redundant copies to layers that a hall
-    lacks, for use when no empty engine is left. Returns the number of
-    orders. */
+/** Fills OUT with orders that move redundant replicas to layers that a hall
+    lacks, for use when no engine is empty. Returns the number of orders. */
 size_t
 rt_layout_repair (rt_fleet_t *fleet, const rt_service_t *service,
                   const rt_order_t *pending, size_t npending, rt_order_t *out,
--- a/route/libblame.h
+++ b/route/libblame.h
@@ -71,10 +71,10 @@
   rt_digest_t digest;
   blame_customer_t *customer;
   blame_run_t *runs;
-  el_time_t last_fact;     /* time of the newest report about it */
-  el_time_t cleared_at;    /* crashes up to this time do not count */
-  el_time_t blocked_until; /* end of its block; 0: none, or it was lifted */
-  unsigned holds;          /* how often it has been blocked */
+  el_time_t last_report_at; /* time of the newest report about it */
+  el_time_t cleared_at;     /* crashes up to this time do not count */
+  el_time_t blocked_until;  /* end of its block; 0: none, or it was lifted */
+  unsigned holds;           /* how often it has been blocked */
   double odds;
   UT_hash_handle hh;
 };
@@ -84,8 +84,8 @@
   rt_blame_options_t options;
   blame_request_t *requests;
   blame_customer_t *customers;
-  blame_crash_t *crash_by_key;
-  blame_crash_t *by_time;
+  blame_crash_t *crashes_by_key;
+  blame_crash_t *crashes_by_time;
 };
 
 blame_request_t *blame_request_find (const rt_blame_t *blame,
--- a/route/librt.h
+++ b/route/librt.h
@@ -19,9 +19,9 @@
   el_str_t hall;
   co_role_t role;
   uint64_t capacity;
-  int draining;     /* set by the operator */
+  int draining;     /* set by the operator: takes no new requests */
   rt_avail_t avail; /* whether requests may be sent to it */
-  size_t in_flight; /* calls */
+  size_t in_flight; /* pending calls */
   UT_hash_handle hh;
 } rt_endpoint_t;
 
@@ -41,7 +41,8 @@
   uint64_t weight;
   co_stage_t *stages; /* the endpoint names are owned */
   size_t nstages;
-  uint64_t tokens_pending; /* that its streams have yet to generate, at most */
+  uint64_t tokens_pending; /* upper bound of the tokens that its streams have
+                              yet to generate */
   size_t streams;
   UT_hash_handle hh;
 } rt_pipeline_t;
@@ -59,8 +60,7 @@
   UT_hash_handle hh;
 };
 
-/* A service with its retry budget (rt_service_t of relay.h is another type).
- */
+/* A service with its retry budget. Unrelated to rt_service_t in relay.h. */
 typedef struct rt_service_entry
 {
   char *key;
@@ -88,8 +88,8 @@
 } rt_customer_t;
 
 /* A route assigns each layer, in order, to exactly one endpoint of a single
-   generation. It holds copies of names and addresses, so that a configuration
-   change does not affect a route in use. */
+   generation. It owns its names and addresses, so that a configuration change
+   does not affect a route in use. */
 typedef struct rt_hop
 {
   el_str_t endpoint;
@@ -110,7 +110,7 @@
 {
   RT_QUEUED,
   RT_RUNNING,
-  RT_BACKOFF /* waiting to start another attempt */
+  RT_RETRY_DELAY /* delayed before another attempt */
 } rt_stream_state_t;
 
 struct rt_stream
@@ -129,7 +129,7 @@
   el_verdict_t verdict; /* combined verdict of the calls that have ended */
   int call_pending;
   el_time_t call_due;
-  el_time_t started; /* start of the first attempt */
+  el_time_t started; /* when the first attempt started */
   rt_route_t *route;
   uint64_t attempt;
   unsigned failures; /* consecutive */
@@ -177,7 +177,7 @@
   void (*release) (rt_stream_t *stream, el_time_t now, int abandon);
   rt_retry_budget_t *(*budget) (rt_stream_t *stream);
   /* The earliest time at which endpoints can serve the stream, waiting only
-     for rests to end; 0 if that never makes a route available. */
+     for backoffs to end; 0 if that never makes a route available. */
   el_time_t (*available_at) (const rt_stream_t *stream, el_time_t now);
 } rt_request_ops_t;
 
@@ -223,7 +223,7 @@
                          rt_failure_t fail);
 void rt_endpoint_answered (rt_router_t *router, el_str_t name);
 void rt_endpoint_backoff_requested (rt_router_t *router, el_str_t name,
-                                    el_time_t now, el_time_t asked);
+                                    el_time_t now, el_time_t requested);
 el_time_t rt_endpoint_available_at (const rt_endpoint_t *endpoint,
                                     el_time_t now);
 void rt_endpoint_adjust_in_flight (rt_router_t *router, el_str_t name,
@@ -238,6 +238,6 @@
 /* retry.c */
 void rt_retry_budget_earn (rt_retry_budget_t *budget);
 int rt_retry_budget_spend (rt_retry_budget_t *budget);
-el_time_t rt_retry_backoff (rt_router_t *router, unsigned failures);
+el_time_t rt_retry_delay (rt_router_t *router, unsigned failures);
 
 #endif
--- a/route/order_failures.c
+++ b/route/order_failures.c
@@ -5,19 +5,19 @@
 /** @file
  * Detects layer orders that crash engines. If an accelerator type is
  * configured wrongly, its engines crash under the orders computed from it,
- * restart empty and get the same order again: all engines of that type, every
- * few seconds, indefinitely.
+ * restart empty and would get the same order, so that all engines of that type
+ * crash every few seconds, indefinitely.
  */
 #include <string.h>
 
 #include "relay.h"
 
-/* Engine failures under an order, without a success in between, that withdraw
-   it. One or two may have another cause. */
+/* Engine crashes under an order, without a success in between, after which it
+   is withdrawn. One or two may have another cause. */
 #define FAILURES_MAX 3
 
-/** Digest of an order: of the service, the accelerator type and the number of
-    layers, not of which layers they are. */
+/** Digest of an order: covers the service, the accelerator type and the number
+    of layers, but not which layers they are. */
 rt_digest_t
 rt_order_digest (el_str_t key, const rt_order_t *order)
 {
@@ -42,8 +42,8 @@
   return NULL;
 }
 
-/** Counts an engine that exited under its order. Returns 1 if the order should
-    not be given to any other engine. */
+/** Counts an engine that crashed under its order. Returns 1 if the order
+   should not be given to any other engine from now on. */
 int
 rt_order_failures_add (rt_order_failures_t *failures, rt_digest_t digest)
 {
--- a/route/pick.c
+++ b/route/pick.c
@@ -69,16 +69,16 @@
 {
   uint64_t relative_load_a;
   uint64_t relative_load_b;
-  int room_a;
-  int room_b;
+  int spare_a;
+  int spare_b;
 
   if (!b->pipe)
     return 1;
-  room_a = a->pipe->streams < a->capacity;
-  room_b = b->pipe->streams < b->capacity;
-  if (room_a != room_b)
-    return room_a;
-  if (room_a && a->pipe->weight != b->pipe->weight)
+  spare_a = a->pipe->streams < a->capacity;
+  spare_b = b->pipe->streams < b->capacity;
+  if (spare_a != spare_b)
+    return spare_a;
+  if (spare_a && a->pipe->weight != b->pipe->weight)
     return a->pipe->weight > b->pipe->weight;
   relative_load_a = (a->pipe->streams + 1) * b->capacity;
   relative_load_b = (b->pipe->streams + 1) * a->capacity;
--- a/route/relay.h
+++ b/route/relay.h
@@ -19,7 +19,7 @@
 
 /* Rules. */
 
-/** Whether a request may be repeated. */
+/** Whether a request may be retried. */
 typedef enum rt_rule_kind
 {
   RT_SAFE,   /**< idempotent: may run more than once */
@@ -41,11 +41,11 @@
   el_str_t host;   /**< as in the Host header, without the port */
   el_str_t prefix; /**< begins and ends with a slash */
   rt_rule_kind_t kind;
-  el_time_t timeout; /**< longest time to hold a request; 0: no limit */
+  el_time_t timeout; /**< time limit of a request; 0: none */
   el_time_t target;  /**< target latency; a slower answer counts as late */
-  unsigned attempts; /**< most attempts that may have run */
+  unsigned attempts; /**< maximum number of attempts that may have run */
   unsigned priority; /**< 0 is the highest */
-  int open;          /**< requires no API key */
+  int open;          /**< needs no API key */
   int resumable;     /**< a stream may continue at another endpoint */
   rt_service_weight_t *shares;
   size_t nshares;
@@ -69,10 +69,10 @@
   double layer_mb;   /**< size of one layer's weights */
   double step_ms;    /**< decode time of a token in all layers, at pace 1 */
   double prefill_ms; /**< prefill time of a token in all layers, at pace 1 */
-  double
-      interleaved_steps; /**< decode steps of other streams that an engine runs
-                     between two prefill batches, per prefilled token */
-  double token_kv_mb;    /**< KV cache of one token in all layers */
+  /** Decode steps of other streams that an engine runs between two prefill
+      batches, per prefilled token. */
+  double interleaved_steps;
+  double token_kv_mb; /**< size of the KV cache of one token in all layers */
   double typical_tokens; /**< prompt and answer of a typical request */
   double inter_hall_ms;  /**< latency from one hall to another */
   double link_ms; /**< transmission time of a token over the link between
@@ -132,14 +132,14 @@
 typedef struct rt_attrs
 {
   el_str_t id;
-  uint64_t born; /**< start time, which distinguishes successive processes with
-                    the same id; 0: unknown */
+  uint64_t born; /**< start time, which distinguishes the instances of an
+                    endpoint; 0: unknown */
   el_str_t service;
   el_str_t address;
   el_str_t hall;
   el_str_t card; /**< accelerator type; empty for a plain service */
   uint64_t slots;
-  int leaving;    /**< draining: takes no new work */
+  int leaving;    /**< it will stop and takes no new requests */
   unsigned first; /**< first layer loaded */
   unsigned end;   /**< one past the last layer loaded */
 } rt_attrs_t;
@@ -150,7 +150,7 @@
   double fill;   /**< fraction of its KV memory in use */
   double pace;   /**< slowdown relative to its accelerator type */
   double taken;  /**< running and queued requests, per slot */
-  uint64_t born; /**< start time of the process that reported; 0: unknown */
+  uint64_t born; /**< start time of the instance that reported; 0: unknown */
 } rt_load_t;
 
 /** State that this host keeps for an endpoint. */
@@ -159,18 +159,18 @@
   rt_attrs_t attrs; /**< owns its strings */
   unsigned refs;
   uint64_t epoch;   /**< epoch of the store when its entry was last reported */
-  el_time_t listed; /**< time of that report */
+  el_time_t listed; /**< time at which its entry was last reported */
   rt_avail_t avail; /**< availability for new requests */
   unsigned running; /**< requests of this host in flight there */
   unsigned chains;  /**< streams of this host whose chain includes it */
-  double kv_held;   /**< this host's streams, in tokens times layers */
-  double to_prefill; /**< part of that load that is not prefilled yet */
-  el_time_t
-      last_event_at; /**< time of the last event of a stream through it */
+  double kv_held;   /**< KV cache of this host's streams there, in tokens times
+                       layers */
+  double to_prefill;       /**< part of that load that is not prefilled yet */
+  el_time_t last_event_at; /**< when a stream through it last had an event */
   double pace; /**< slowdown relative to its accelerator type; 0: unknown,
                   taken as 1 */
-  double fill; /**< KV memory in use, as last reported */
-  double held_at_report; /**< load of this host's streams at that report */
+  double fill; /**< fraction of its KV memory in use, as last reported */
+  double held_at_report; /**< KV_HELD at that report */
   double taken; /**< running and queued requests per slot, as last reported */
   unsigned running_at_report; /**< RUNNING at that report */
   el_time_t reported_at;      /**< time of the last load report; 0: none yet */
@@ -184,8 +184,8 @@
 /** Load-control hints that an endpoint sends with an answer. */
 typedef struct rt_hints
 {
-  el_time_t rest; /**< requested back-off; 0: none */
-  int leaves;     /**< draining: takes no new work */
+  el_time_t rest; /**< requested backoff; 0: none */
+  int leaves;     /**< it is leaving: takes no new requests */
 } rt_hints_t;
 
 typedef struct rt_fleet rt_fleet_t;
@@ -199,7 +199,7 @@
 rt_target_t *rt_fleet_first (const rt_fleet_t *fleet);
 double rt_fleet_hosts (const rt_fleet_t *fleet);
 size_t rt_fleet_count (const rt_fleet_t *fleet);
-void rt_fleet_set_hosts (rt_fleet_t *fleet, size_t hosts, size_t all);
+void rt_fleet_set_hosts (rt_fleet_t *fleet, size_t hosts, size_t all_hosts);
 void rt_fleet_stream_sent (rt_fleet_t *fleet, el_time_t now, double tokens);
 double rt_fleet_token_rate (const rt_fleet_t *fleet, el_time_t now);
 rt_target_t *rt_target_ref (rt_target_t *target);
@@ -210,10 +210,10 @@
 rt_target_t *rt_fleet_mark_leaving (rt_fleet_t *fleet, el_str_t id,
                                     uint64_t born);
 typedef void (*rt_leaving_cb) (void *arg, el_str_t id, uint64_t born);
-void rt_fleet_visit_leaving (const rt_fleet_t *fleet, size_t most,
-                             rt_leaving_cb left, void *arg);
+void rt_fleet_visit_leaving (const rt_fleet_t *fleet, size_t max_unlisted,
+                             rt_leaving_cb visit, void *arg);
 int rt_fleet_backoff (rt_fleet_t *fleet, rt_target_t *target, el_time_t now,
-                      el_time_t asked);
+                      el_time_t requested);
 el_time_t rt_fleet_available_at (const rt_fleet_t *fleet, el_time_t now,
                                  el_str_t service);
 void rt_target_failed (rt_target_t *target, el_time_t now);
@@ -223,7 +223,7 @@
                       el_time_t at);
 void rt_target_succeeded (rt_target_t *target, el_time_t took);
 
-/** Most endpoints that one request excludes. */
+/** Maximum number of endpoints that one request excludes. */
 #define RT_TRIED_MAX 8
 
 /** Endpoints that a request must not be sent to again. */
@@ -260,11 +260,11 @@
 /** Latency between two engines of a hall, in milliseconds. */
 #define RT_HOP_MS 0.5
 
-/** Most engines of a chain. */
+/** Maximum number of engines in a chain. */
 #define RT_CHAIN_MAX 32
 
-/** Engines that run a model's layers as a pipeline: every layer once, in *
-    order. */
+/** The ordered set of engines that runs a model's layers for one stream: every
+    layer once, in order. */
 typedef struct rt_chain
 {
   struct rt_chain_part
@@ -293,9 +293,9 @@
 
 int rt_chain_valid (const rt_chain_t *chain, unsigned layers);
 int rt_chain_pick (rt_fleet_t *fleet, el_time_t now,
-                   const rt_chain_query_t *want, rt_chain_t *out);
+                   const rt_chain_query_t *query, rt_chain_t *out);
 el_time_t rt_chain_available_at (rt_fleet_t *fleet, el_time_t now,
-                                 const rt_chain_query_t *want);
+                                 const rt_chain_query_t *query);
 int rt_chain_reroute (rt_fleet_t *fleet, el_time_t now,
                       const rt_service_t *service, const rt_chain_t *old,
                       const rt_tried_t *tried, rt_chain_t *out);
@@ -330,7 +330,7 @@
                          const rt_order_t *pending, size_t npending,
                          rt_order_t *out, size_t max_orders);
 
-/* Digests of requests and orders, and orders that engines fail under. */
+/* Digests of requests and orders, and orders under which engines crash. */
 
 /** The properties of a request that its digest covers. */
 typedef struct rt_digest_input
@@ -352,14 +352,14 @@
 int rt_digest_parse (el_str_t text, rt_digest_t *out);
 rt_digest_t rt_order_digest (el_str_t key, const rt_order_t *order);
 
-/** Most distinct orders tracked. */
+/** Maximum number of distinct orders tracked. */
 #define RT_ORDER_FAILURES 64
 
-/** Consecutive engine failures under equivalent orders. */
+/** Engine crashes under equivalent orders, without a success in between. */
 typedef struct rt_order_failure
 {
   rt_digest_t digest;
-  unsigned n;
+  unsigned n; /**< number of crashes */
 } rt_order_failure_t;
 
 typedef struct rt_order_failures
@@ -368,8 +368,9 @@
   size_t next;
 } rt_order_failures_t;
 
-int rt_order_failures_add (rt_order_failures_t *falls, rt_digest_t digest);
-void rt_order_failures_clear (rt_order_failures_t *falls, rt_digest_t digest);
+int rt_order_failures_add (rt_order_failures_t *failures, rt_digest_t digest);
+void rt_order_failures_clear (rt_order_failures_t *failures,
+                              rt_digest_t digest);
 
 /* Retries. */
 
@@ -379,15 +380,16 @@
   el_verdict_t verdict; /**< EL_NOT_RUN only if that is proven */
   int answered;         /**< a complete answer to this request arrived */
   int failed;           /**< the answer reports a failure */
-  int begun; /**< the caller already received a part of the answer */
+  int begun; /**< the caller has already received a part of the answer */
 } rt_attempt_t;
 
 typedef enum rt_next
 {
   RT_NEXT_PASS,   /**< forward the answer to the caller */
   RT_NEXT_RETRY,  /**< retry at another endpoint */
-  RT_NEXT_REFUSE, /**< it did not run and will not: the caller may retry */
-  RT_NEXT_FAIL    /**< it may have run: fail the request */
+  RT_NEXT_REFUSE, /**< refuse the request: it did not run, and the caller may
+                     retry */
+  RT_NEXT_FAIL    /**< fail the request: it may have run */
 } rt_next_t;
 
 /** Counts of one request's attempts. */
@@ -397,27 +399,28 @@
   unsigned may_run; /**< of these, attempts that may have run */
 } rt_attempts_t;
 
-rt_next_t rt_attempts_next (rt_attempts_t *course, const rt_rule_t *rule,
+rt_next_t rt_attempts_next (rt_attempts_t *state, const rt_rule_t *rule,
                             const rt_attempt_t *attempt, int budget,
                             el_time_t left);
 
 /* The retry budget that all hosts share. Each spends its own portion. */
 
-/** Slots of the sliding window: ten full ones and the newest, which is *
+/** Slots of the sliding window: ten full ones and the newest, which is
     partial. */
 #define RT_WINDOW_SLOTS 11
 
 typedef struct rt_shared_budget
 {
   double ratio;   /**< retries allowed per request */
-  double slack;   /**< retries that all hosts together may make beyond that */
-  el_time_t born; /**< start of the process; a predecessor may have spent this
-                     host's portion of the slack just before */
+  double slack;   /**< retries beyond that which all hosts together may make in
+                     a window */
+  el_time_t born; /**< when this process started; a previous one may have spent
+                     this host's portion of the slack just before */
   el_time_t slot; /**< length of a slot */
   uint64_t at;    /**< index of the newest slot */
   uint64_t requests[RT_WINDOW_SLOTS];
   uint64_t retries[RT_WINDOW_SLOTS];
-  size_t hosts[RT_WINDOW_SLOTS]; /**< most hosts alive during the slot */
+  size_t hosts[RT_WINDOW_SLOTS]; /**< maximum number of live hosts */
 } rt_shared_budget_t;
 
 void rt_shared_budget_init (rt_shared_budget_t *pool, double ratio,
--- a/route/retry.c
+++ b/route/retry.c
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Retry budgets and backoff.
+ * Retry budgets and the delay between attempts.
  */
 #include "librt.h"
 
@@ -13,9 +13,9 @@
 #define BUDGET_RETRY_TENTHS 10
 #define BUDGET_MAX_TENTHS 200
 
-#define BACKOFF_INITIAL (10 * EL_MSEC)
-#define BACKOFF_MAX (500 * EL_MSEC)
-#define BACKOFF_DOUBLINGS_MAX 6
+#define RETRY_DELAY_INITIAL (10 * EL_MSEC)
+#define RETRY_DELAY_MAX (500 * EL_MSEC)
+#define RETRY_DELAY_DOUBLINGS_MAX 6
 
 /** Add an admitted request's share to the budget. */
 void
@@ -37,20 +37,20 @@
 }
 
 /** The delay before the next attempt after FAILURES consecutive failures: none
-    after the first, then exponential. Half of the delay is random, so that
-    streams that failed together do not retry together. */
+    after the first, then exponential backoff. Half of the delay is random, so
+    that streams that failed together do not retry together. */
 el_time_t
-rt_retry_backoff (rt_router_t *router, unsigned failures)
+rt_retry_delay (rt_router_t *router, unsigned failures)
 {
   unsigned doublings = failures > 1 ? failures - 2 : 0;
   el_time_t wait;
 
   if (failures <= 1)
     return 0;
-  wait = BACKOFF_INITIAL << (doublings < BACKOFF_DOUBLINGS_MAX
-                                 ? doublings
-                                 : BACKOFF_DOUBLINGS_MAX);
-  if (wait > BACKOFF_MAX)
-    wait = BACKOFF_MAX;
+  wait = RETRY_DELAY_INITIAL << (doublings < RETRY_DELAY_DOUBLINGS_MAX
+                                     ? doublings
+                                     : RETRY_DELAY_DOUBLINGS_MAX);
+  if (wait > RETRY_DELAY_MAX)
+    wait = RETRY_DELAY_MAX;
   return wait / 2 + rt_random (router) % (wait / 2 + 1);
 }
--- a/route/route.h
+++ b/route/route.h
@@ -42,7 +42,7 @@
 {
   RT_FAIL_CONNECT, /**< the connection could not be established */
   RT_FAIL_BROKEN,  /**< the connection closed before the answer was complete */
-  RT_FAIL_LEAVING, /**< refused: the endpoint is shutting down */
+  RT_FAIL_LEAVING, /**< refused: the endpoint is leaving */
   RT_FAIL_BUSY,    /**< refused: the endpoint has no capacity now */
   RT_FAIL_REFUSED, /**< refused: the endpoint rejects this particular call */
   RT_FAIL_TIMEOUT, /**< no answer within the time limit */
@@ -57,10 +57,10 @@
   RT_EV_FAILED,  /**< a call failed */
   RT_EV_CANCEL,  /**< the caller disconnected */
   RT_EV_TICK,    /**< run the timers that are due */
-  RT_EV_LEAVING, /**< an endpoint is reported to be shutting down, or no
-                      longer to be */
+  RT_EV_LEAVING, /**< an endpoint is reported to be leaving, or no longer to
+                      be */
   RT_EV_HOSTS,   /**< the number of live entry hosts changed */
-  RT_EV_STOP,    /**< this host accepts no new requests */
+  RT_EV_STOP,    /**< this host is stopping and accepts no new requests */
   RT_EVENTS
 } rt_event_kind_t;
 
@@ -76,7 +76,7 @@
   el_str_t target;        /**< model or service; an endpoint for
                                RT_EV_LEAVING */
   el_str_t prompt;        /**< passed unchanged to the first stage */
-  const uint64_t *resume; /**< tokens that the caller already received */
+  const uint64_t *resume; /**< tokens that the caller has already received */
   size_t nresume;
   uint64_t max_tokens;
   el_time_t deadline;
@@ -89,10 +89,10 @@
   uint64_t token;    /**< from the last stage */
   el_str_t text;
   int has_token;
-  int finish; /**< this token ends the model's answer */
+  int finish; /**< this is the last token of the model's answer */
   el_verdict_t verdict;
   rt_failure_t fail;
-  el_time_t rest; /**< the endpoint asks to be sent nothing for this long */
+  el_time_t rest; /**< backoff that the endpoint requests; 0: none */
 
   /* RT_EV_LEAVING and RT_EV_HOSTS */
   int leaving;
@@ -111,7 +111,7 @@
 /** Why a request ended. */
 typedef enum rt_reason
 {
-  RT_DONE,            /**< complete: the model or service ended its answer */
+  RT_DONE,            /**< complete: the model or service finished */
   RT_LENGTH,          /**< complete: the token limit was reached */
   RT_CANCELLED,       /**< the caller disconnected */
   RT_NOT_FOUND,       /**< unknown model, service or customer */
@@ -120,7 +120,7 @@
   RT_CUSTOMER_LIMIT,  /**< the customer has too many requests in flight */
   RT_DEADLINE,        /**< the deadline has passed */
   RT_RETRIES_USED_UP, /**< failed, and no further retry is allowed */
-  RT_ENDPOINT_FAILED, /**< failed at the endpoint and must not be repeated */
+  RT_ENDPOINT_FAILED, /**< failed at the endpoint and must not be retried */
   RT_STOPPING,        /**< this host is stopping */
   RT_REASONS
 } rt_reason_t;
@@ -164,7 +164,7 @@
   size_t max_queue;     /**< maximum number of queued streams */
   el_time_t call_limit; /**< time limit of one call to a pipeline stage */
   el_time_t leave_hold; /**< for how long an endpoint counts as leaving after
-                             a report that it leaves */
+                             a notice that it is */
   rt_action_cb act;
   void *arg;
 } rt_options_t;
@@ -182,11 +182,11 @@
   uint64_t calls;     /**< sent to endpoints */
   uint64_t rebuilds;  /**< attempts scheduled after a failed call */
   uint64_t retries;   /**< of those, the ones charged to a retry budget */
-  uint64_t late;      /**< results of calls that are no longer pending */
+  uint64_t late;      /**< results of calls that were no longer pending */
   uint64_t crossed;   /**< answers that belong to another call */
   uint64_t ejected;   /**< times an endpoint was ejected after failures */
   uint64_t leaving;   /**< calls refused because the endpoint is leaving */
-  uint64_t rests;     /**< rests begun because an endpoint asked for one */
+  uint64_t rests;     /**< backoffs that began at an endpoint's request */
 } rt_counts_t;
 
 rt_router_t *rt_router_new (const rt_options_t *options);
--- a/route/router.c
+++ b/route/router.c
@@ -12,14 +12,14 @@
 
 #include "librt.h"
 
-/* Limit on attempts for a stream that has no tokens. */
+/* Maximum attempts of a stream that has no tokens. */
 #define ATTEMPTS_MAX 4
 /* Each finished stream contributes one part in this many to the moving average
    of run times. */
 #define MEAN_RUN_DIVISOR 16
-/* The Retry-After of a caller that has to wait for a rest to end is extended
-   at random by up to this fraction (one part in so many) of the wait, so that
-   callers do not all return at once. */
+/* The Retry-After of a caller that has to wait for a backoff to end is
+   extended at random by up to this fraction (one part in so many) of the wait,
+   so that callers do not all return at once. */
 #define BACKOFF_JITTER_DIVISOR 4
 
 typedef void (*event_fn) (rt_router_t *router, el_time_t now,
@@ -212,8 +212,8 @@
 }
 
 /* The time in milliseconds after which a refused caller should retry: if only
-   rests keep a route from being available, when the first route is available
-   again, plus jitter; otherwise an estimate from the queue. */
+   backoffs keep routes from being available, the time until the first one is
+   available, plus jitter; otherwise an estimate from the queue. */
 static uint64_t
 stream_retry_after (const rt_stream_t *stream, el_time_t now,
                     rt_reason_t reason)
@@ -295,10 +295,9 @@
   if (reason == RT_NO_ROUTE && stream->ntokens && stream->attempt)
     {
       stream->failures++;
-      stream->state = RT_BACKOFF;
+      stream->state = RT_RETRY_DELAY;
       stream_set_timer (
-          stream,
-          now + rt_retry_backoff (stream->router, stream->failures + 1));
+          stream, now + rt_retry_delay (stream->router, stream->failures + 1));
       return;
     }
   rt_stream_end (stream, now, reason);
@@ -321,7 +320,7 @@
 /* Returns RT_DONE if the stream may make another attempt after a failure with
    VERDICT, or else the reason to end it. A stream that has tokens is not
    charged to the retry budget, so that an empty budget does not end it;
-   backoff limits the rate of its attempts. */
+   exponential backoff limits the rate of its attempts. */
 static rt_reason_t
 stream_check_retry (rt_stream_t *stream, el_verdict_t verdict,
                     rt_failure_t fail)
@@ -365,13 +364,13 @@
   request_ops[stream->work]->release (stream, now, 1);
   stream->failures++;
   router->counts.rebuilds++;
-  wait = rt_retry_backoff (router, stream->failures);
+  wait = rt_retry_delay (router, stream->failures);
   if (wait == 0)
     {
       stream_start_attempt (stream, now);
       return;
     }
-  stream->state = RT_BACKOFF;
+  stream->state = RT_RETRY_DELAY;
   stream_set_timer (stream, now + wait);
 }
 
@@ -382,7 +381,7 @@
 
   if (now >= stream->deadline)
     rt_stream_end (stream, now, RT_DEADLINE);
-  else if (stream->state == RT_BACKOFF)
+  else if (stream->state == RT_RETRY_DELAY)
     stream_start_attempt (stream, now);
   else if (stream->call_pending && now >= stream->call_due)
     rt_stream_call_failed (stream, now, EL_MAY_HAVE_RUN, RT_FAIL_TIMEOUT);
@@ -566,7 +565,7 @@
 }
 
 /** Whether a request that was routed to ENDPOINT may still be sent, i.e. the
-    endpoint has not asked for a rest in the meantime. */
+    endpoint has not requested a backoff in the meantime. */
 int
 rt_router_may_send (const rt_router_t *router, el_time_t now,
                     el_str_t endpoint)
@@ -597,7 +596,7 @@
 static const char *
 endpoint_state (const rt_endpoint_t *ep, el_time_t now)
 {
-  /* Only the reasons that the router itself records. */
+  /* The router itself records no other reasons. */
   static const char *const states[RT_UNAVAIL_COUNT]
       = { [RT_UNAVAIL_NOTHING] = "live",
           [RT_UNAVAIL_TRIAL] = "trial",
--- a/route/rules.c
+++ b/route/rules.c
@@ -22,7 +22,7 @@
   return rules;
 }
 
-/* Joins host and prefix with a separator that occurs in neither. */
+/* Joins host and prefix with a newline, which occurs in neither. */
 static char *
 index_key (el_str_t host, el_str_t prefix, size_t *len)
 {
