--- a/route/admit.c
+++ b/route/admit.c
@@ -105,8 +105,8 @@
 }
 
 /** Start queued streams while there is capacity. A stream that ends as soon as
-    it is started calls this function again; that nested call returns at once
-    and the outer loop continues, which bounds the stack depth. */
+    it is started calls this function recursively; the nested call returns at
+    once and the outer loop continues, which bounds the stack depth. */
 void
 rt_admit_next (rt_router_t *router, el_time_t now)
 {
@@ -136,8 +136,8 @@
 }
 
 /** The time in milliseconds after which a refused caller should retry: the
-    estimated time to drain the queue, plus jitter so that refused callers do
-    not all return at once. */
+    estimated time until the queue is empty, plus jitter so that refused
+    callers do not all return at once. */
 uint64_t
 rt_admit_retry_after (rt_router_t *router)
 {
--- a/route/blame.c
+++ b/route/blame.c
@@ -12,23 +12,25 @@
 
 #include "libblame.h"
 
-/* Reports expire after this. Where an endpoint crashes once an hour by itself,
-   with one request of a hundred running there each time, the crash says
-   nothing about that request ten minutes later. A culprit that pauses for this
-   long crashes two endpoints in ten minutes and is not blocked; without pauses
-   it crashed ten in a minute. */
+/* Reports expire after this. Where an endpoint crashes once an hour for other
+   reasons, with one request of a hundred running there each time, the crash
+   says nothing about that request ten minutes later. A culprit that pauses for
+   this long crashes two endpoints in ten minutes and is not blocked; without
+   pauses it crashed ten in a minute. */
 #define REPORT_LIFETIME (600 * EL_SEC)
 /* Duration of a request's first block. It doubles each time the request
    crashes another endpoint after a block has ended, so that waiting out the
    blocks costs one endpoint per block. */
 #define BLOCK_TIME_MIN (600 * EL_SEC)
 #define BLOCK_TIME_DOUBLINGS_MAX 3
-/* Crashes stored; a hall of a hundred engines may fail at once. */
+/* Maximum number of stored crashes; a hall of a hundred engines may fail at
+   once. */
 #define CRASHES_MAX 512
-/* Requests stored per crash: the slots of an engine and its queue. */
+/* Maximum number of requests stored per crash: those in the slots and the
+   queue of an engine. */
 #define RUNS_PER_CRASH_MAX 320
 /* Hosts derive the time of a report from the age of its message, so that it
-   may seem later than it was by up to this. */
+   may appear up to this much later than it was. */
 #define TIME_TOLERANCE (50 * EL_MSEC)
 
 /** Return a hash that identifies an endpoint instance. */
@@ -73,7 +75,7 @@
   return blame;
 }
 
-/* Return NULL if the request is not tracked. */
+/* Return the tracked request with DIGEST, or NULL. */
 blame_request_t *
 blame_request_find (const rt_blame_t *blame, rt_digest_t digest)
 {
@@ -131,9 +133,9 @@
   free (blame);
 }
 
-/* Make room for one more request. Evict one of the customer's own if it
+/* Evict a request if that is needed to add one of OWNER: one of OWNER's if it
    exceeds its quota, else, when the table is full, one of the customer with
-   the most requests, so that no customer can push out what is known about the
+   the most requests, so that no customer can evict what is known about the
    requests of others. Evict the request with the fewest blocks, and of these
    the one with the oldest report. */
 static void
@@ -266,8 +268,8 @@
   return NULL;
 }
 
-/* Whether a run that began then reached an endpoint already known to have
-   crashed, and thus did not run there. */
+/* Whether a run that began at BEGAN_AT was sent to an endpoint already known
+   to have crashed, and thus did not run there. */
 static int
 crash_detected_before (const blame_crash_t *crash, el_time_t began_at)
 {
@@ -291,7 +293,8 @@
     run_free (run);
 }
 
-/* Return 0 if the request began after the crash or has completed since. */
+/* Add a run of the request at the crashed endpoint. Return 0 if the run began
+   after the crash was detected or the request was cleared since. */
 static int
 run_add (rt_blame_t *blame, blame_crash_t *crash,
          const rt_crash_report_t *report)
@@ -318,8 +321,8 @@
   return 1;
 }
 
-/* The request ran there more than once concurrently: keep the run that began
-   last. Return 0 if nothing changes. */
+/* The request ran more than once concurrently at the endpoint: keep the run
+   that began last. Return 0 if nothing changes. */
 static int
 run_update (blame_run_t *run, const rt_crash_report_t *report)
 {
@@ -357,7 +360,8 @@
          || changed;
 }
 
-/** Whether the crash of START was seen by a single host, other than HOST. */
+/** Whether the crash of INSTANCE is reported but not confirmed, and HOST has
+    not reported it yet. */
 int
 rt_blame_needs_witness (const rt_blame_t *blame, const rt_instance_t *instance,
                         uint64_t host)
@@ -384,8 +388,8 @@
     run_free (run);
 }
 
-/** Whether to tell other hosts about a run: it was short, or its request was
-    already a suspect or blocked. */
+/** Whether to publish the report to other hosts: the run was short, or its
+    request was already suspect or blocked. */
 int
 rt_blame_should_publish (const rt_blame_t *blame,
                          const rt_crash_report_t *report)
@@ -394,8 +398,8 @@
          || rt_blame_get_status (blame, report->at, report->digest).state;
 }
 
-/* Identify the newest crash that other hosts know for this request, else its
-   block. */
+/* Return an identifier of the newest crash of this request that other hosts
+   know, or else of its block. */
 static uint64_t
 request_rumor_id (const blame_request_t *request)
 {
@@ -411,8 +415,8 @@
 
 /** The request completed at AT without a crash: earlier crashes no longer
     count against it, and a block that began before AT is lifted. Return an
-    identifier of what other hosts must clear it of, which is the same at all
-    hosts, or 0 if they know nothing of it. */
+    identifier, the same at all hosts, of what other hosts must clear it of, or
+    0 if there is nothing to clear. */
 uint64_t
 rt_blame_completed (rt_blame_t *blame, rt_digest_t digest, el_time_t at)
 {
@@ -447,8 +451,8 @@
   return 1;
 }
 
-/** Clear the request, as an operator asked. Return 0 if it is not known or has
-    already been cleared since. */
+/** Clear the request on behalf of an operator. Return 0 if it is not tracked
+   or has already been cleared since. */
 int
 rt_blame_clear (rt_blame_t *blame, rt_digest_t digest, el_time_t at)
 {
--- a/route/blame.h
+++ b/route/blame.h
@@ -5,16 +5,16 @@
 /** @file
  * Attributes endpoint crashes to the requests that cause them.
  *
- * Load pattern: a request crashes each endpoint that starts to run it (a query
- * of death) and is repeated, at any host, as often as its caller likes. An
- * engine runs some fifty other, innocent requests when it crashes. Engines
- * also crash for reasons unrelated to requests: a fault, a rack or hall
- * outage.
+ * The load pattern: a request crashes each endpoint that starts to run it (a
+ * query of death), and its caller may retry it without limit, at any host. An
+ * engine that crashes was running some fifty other, innocent requests. Engines
+ * also crash for reasons unrelated to requests: a fault, or the outage of a
+ * rack or hall.
  *
  * Each host records which requests were running where an endpoint crashed, and
- * the hosts exchange these reports. The verdict on a request depends only on
- * the set of reports, not on the order in which they arrived. Nothing here
- * does I/O or reads a clock.
+ * the hosts exchange these reports as rumors. The verdict on a request depends
+ * only on the set of reports, not on the order in which they arrived. Nothing
+ * here does I/O or reads a clock.
  */
 #ifndef ELMARCH_BLAME_H
 #define ELMARCH_BLAME_H
@@ -26,16 +26,17 @@
 #define RT_INSTANCE_ID_SIZE 48
 
 /** A request that had run for less than this when its endpoint crashed is more
-    likely to be the culprit than one that had run for longer. The culprit that
-    was observed crashed its engines within 0.2 s, and about eight of fifty
-    streams are as young. */
+    likely to be the culprit than one that had run for longer. A culprit was
+    observed to crash its engines within 0.2 s; about eight of fifty streams
+    have run for less than this. */
 #define RT_BLAME_SHORT_RUN (400 * EL_MSEC)
 
-/** One instance of an endpoint, from its start to its end. */
+/** One instance of an endpoint: one start of its process. */
 typedef struct rt_instance
 {
-  char id[RT_INSTANCE_ID_SIZE];
-  uint64_t born; /**< tells instances with the same id apart */
+  char id[RT_INSTANCE_ID_SIZE]; /**< id of the endpoint */
+  uint64_t born; /**< start time, which distinguishes the instances of an
+                    endpoint */
 } rt_instance_t;
 
 /** A report by one host: an endpoint instance crashed while a request was
@@ -51,13 +52,13 @@
   el_time_t detected_at; /**< when the host detected the crash; 0: at AT */
   el_time_t ran;         /**< how long the request had been running there */
   int first; /**< the endpoint was the only one, or the first engine of the
-                line */
+                chain */
 } rt_crash_report_t;
 
 typedef enum rt_blame_state
 {
-  RT_BLAME_NONE,    /**< no report incriminates it */
-  RT_BLAME_SUSPECT, /**< it ran where an endpoint crashed, as others did */
+  RT_BLAME_NONE,    /**< no crash counts against it */
+  RT_BLAME_SUSPECT, /**< it ran at an endpoint that crashed, or was blocked */
   RT_BLAME_BLOCKED  /**< it is the culprit: not sent until the block ends */
 } rt_blame_state_t;
 
@@ -69,15 +70,15 @@
   double odds;             /**< odds that it caused them */
   el_time_t blocked_until; /**< end of the current or last block */
   unsigned holds;          /**< how often it has been blocked */
-  int unconfirmed;   /**< only one host saw the newest of these crashes */
+  int unconfirmed;   /**< only one host reported the newest of these crashes */
   int prime_suspect; /**< no request at the newest crash has far higher odds */
 } rt_blame_status_t;
 
 typedef struct rt_blame_options
 {
-  size_t max_requests;          /**< requests tracked */
-  size_t max_customer_requests; /**< requests tracked per customer */
-  /** Scoring rule; replaceable so that benchmarks can compare rules. */
+  size_t max_requests;          /**< maximum number of tracked requests */
+  size_t max_customer_requests; /**< the same per customer */
+  /** Scoring rule. Selectable so that benchmarks can compare rules. */
   const struct rt_blame_rule *rule;
 } rt_blame_options_t;
 
--- a/route/blame_rule.c
+++ b/route/blame_rule.c
@@ -5,18 +5,19 @@
 /** @file
  * Rules that score how likely a request is to be the culprit.
  *
- * The odds rule: each crash under which a request ran raises its odds by the
- * likelihood ratio of the crash, that is, how likely the request is to cause
- * it against how likely the crash is otherwise. The alternatives are another
- * request that ran there, weighted by the odds from its other crashes, and a
- * crash unrelated to any request, at the rate at which other endpoints crash
- * at that time. Requests and crashes form a bipartite graph, on which belief
- * propagation runs for a fixed number of passes: the message from a crash to a
- * request uses the messages of all other crashes to the other requests. So the
- * fifty requests that shared one crash with the culprit are cleared by its
- * next crash without them, and a rack failure incriminates no request.
+ * The odds rule: each crash at which a request was running multiplies its odds
+ * by the likelihood ratio of the crash, that is, how likely the request is to
+ * cause it relative to how likely the crash is otherwise. The alternatives are
+ * another request that ran there, weighted by the odds from its other crashes,
+ * and a crash unrelated to any request, at the rate at which other endpoints
+ * crash at that time. Requests and crashes form a bipartite graph, on which
+ * belief propagation runs for a fixed number of passes: the message from a
+ * crash to a request uses the messages of all other crashes to the other
+ * requests. Thus the fifty requests that shared one crash with the culprit are
+ * cleared by its next crash without them, and a rack failure incriminates no
+ * request.
  *
- * The count rule: three crashes.
+ * The count rule: a request is the culprit after three crashes.
  */
 #include <math.h>
 #include <stdlib.h>
@@ -29,7 +30,7 @@
    per hour. */
 #define CRASH_RATE_MIN (1.0 / 3600)
 /* The same within half a second of another crash. A common cause, such as a
-   rack failure, crashes several endpoints, and a request that is resent from
+   rack failure, crashes several endpoints, and a request that is retried from
    one to the next was running at each. */
 #define CRASH_RATE_NEAR_CRASH 0.01
 /* The time from a culprit's start at an endpoint to the crash is taken as
@@ -38,11 +39,11 @@
 #define HAZARD_LOG_RANGE 6.9
 /* Precision of the reported times. */
 #define TIME_RESOLUTION (50 * EL_MSEC)
-/* Half of the crashes hit the first engine of a line, or the only endpoint;
+/* Half of the crashes hit the first engine of a chain, or the only endpoint;
    the other half are spread over the other ten or so engines. */
 #define FIRST_ENGINE_SHARE 0.5
 #define OTHER_ENGINE_SHARE 0.05
-/* Weight of a crash that only one host saw. */
+/* Weight of a crash that only one host reported. */
 #define UNCONFIRMED_WEIGHT 0.5
 /* In randomly generated fleets the odds change by less than 1 % after five
    passes. */
@@ -108,7 +109,7 @@
 }
 
 /* Rate (1/s) of crashes of one endpoint that no request causes, at the time of
-   the run's crash. The rates over the windows leave out other crashes of the
+   the run's crash. The rates over the windows exclude other crashes of the
    run's own request; the minimum near another crash does not. */
 static double
 run_background_rate (const blame_run_t *run, size_t endpoints)
@@ -146,8 +147,8 @@
          * run_hazard (run);
 }
 
-/* Update the rates of all requests that ran under CRASH, and the probability
-   that none of them caused it, taken as 1 less that of the likeliest. */
+/* Update the hazard of each run at CRASH, and the probability that no request
+   caused it, taken as 1 minus that of the likeliest. */
 static void
 crash_update (blame_crash_t *crash)
 {
--- a/route/blame_status.c
+++ b/route/blame_status.c
@@ -3,14 +3,14 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Decides from the reports which requests are suspect or blocked.
+ * Decides from the scores and crashes which requests are suspect or blocked.
  */
 #include "libblame.h"
 
-/* A request is also blocked, at lower odds, when this many endpoints in a row
-   crashed within EARLY_CRASH_TIME of its start there, and no other request at
-   the newest crash has higher odds. Where many endpoints crash for other
-   reasons, the odds alone would let it crash six. */
+/* A request is also blocked, at lower odds, when this many endpoints have
+   crashed within EARLY_CRASH_TIME of its start there since it last completed,
+   and no other request at the newest crash has higher odds. Where many
+   endpoints crash for other reasons, the odds alone would let it crash six. */
 #define EARLY_CRASHES_MAX 4
 #define EARLY_CRASH_TIME (1 * EL_SEC)
 /* A request is a prime suspect if its odds are at least this fraction of the
@@ -32,7 +32,8 @@
   return n;
 }
 
-/* Return the time of the newest crash that the request ran under, or 0. */
+/* Return the time of the newest crash at which the request was running, or
+   0. */
 static el_time_t
 request_last_crash (const blame_request_t *request)
 {
@@ -45,7 +46,7 @@
   return last;
 }
 
-/* Whether no request at its newest crash has higher odds. */
+/* Whether no request at its newest crash, at LAST, has higher odds. */
 static int
 request_is_likeliest (const blame_request_t *request, el_time_t last)
 {
@@ -109,7 +110,7 @@
   return n;
 }
 
-/* Whether the newest crash that the request ran under is unconfirmed. */
+/* Whether the newest crash at which the request was running is unconfirmed. */
 static int
 request_is_unconfirmed (const blame_request_t *request)
 {
--- a/route/chat.c
+++ b/route/chat.c
@@ -58,9 +58,9 @@
   rt_stream_send_call (stream, now, hop, &action);
 }
 
-/* Choose the deployment of the stream's model with the highest generation
-   that has a usable pipeline, and the pipeline. KNOWN tells whether the model
-   has a deployment at all. */
+/* Choose, of the deployments of the stream's model that have a usable
+   pipeline, the one with the highest generation, and its pipeline. Set KNOWN
+   to whether the model has a deployment at all. */
 static rt_deployment_t *
 choose_deployment (rt_stream_t *stream, el_time_t now, rt_pipeline_t **pipe,
                    int *known)
--- a/route/libblame.h
+++ b/route/libblame.h
@@ -11,7 +11,7 @@
 
 #include "blame.h"
 
-/* Witnesses stored per crash; this many hosts confirm it. */
+/* Hosts stored per crash as its witnesses, and needed to confirm it. */
 #define BLAME_WITNESSES 2
 /* Windows over which unexplained crashes are counted. */
 #define BLAME_RATE_WINDOWS 3
@@ -41,7 +41,7 @@
   double expected_hazard;
   struct blame_run *prev; /* list of the request's runs */
   struct blame_run *next;
-  struct blame_run *crash_prev;
+  struct blame_run *crash_prev; /* list of the crash's runs */
   struct blame_run *crash_next;
 } blame_run_t;
 
@@ -59,7 +59,7 @@
   size_t nruns;
   double unexplained;  /* probability that no request caused it */
   double total_hazard; /* sum of expected_hazard over its runs */
-  /* Unexplained crashes near it in time, itself not counted. */
+  /* Unexplained crashes near it in time, by window; excludes itself. */
   double nearby_unexplained[BLAME_RATE_WINDOWS];
   blame_crash_t *prev; /* list of all crashes, by time */
   blame_crash_t *next;
@@ -71,7 +71,7 @@
   rt_digest_t digest;
   blame_customer_t *customer;
   blame_run_t *runs;
-  el_time_t last_report_at; /* time of the newest report about it */
+  el_time_t last_report_at; /* time of the newest crash or block of it */
   el_time_t cleared_at;     /* crashes up to this time do not count */
   el_time_t blocked_until;  /* end of its block; 0: none, or it was lifted */
   unsigned holds;           /* how often it has been blocked */
--- a/route/path.c
+++ b/route/path.c
@@ -3,9 +3,9 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * Routes of chat streams: each layer of a deployment exactly once, in order,
- * on engines of one generation. rt_route_build is the only function that
- * creates them.
+ * Routes of chat streams. A route runs each layer of a deployment exactly
+ * once, in order, on engines of one generation. rt_route_build is the only
+ * function that creates routes of chat streams.
  */
 #include <inttypes.h>
 
--- a/route/pick.c
+++ b/route/pick.c
@@ -10,9 +10,9 @@
  */
 #include "librt.h"
 
-/* Samples taken; if none is usable, all pipelines are examined. */
+/* Maximum number of samples; if none is usable, all pipelines are examined. */
 #define PICK_SAMPLES_MAX 16
-/* Usable pipelines to compare before sampling stops. */
+/* Number of usable pipelines at which sampling stops. */
 #define PICK_CANDIDATES_MAX 4
 
 /* Which endpoints may be chosen, from the strictest level to the last
@@ -34,7 +34,8 @@
   return level == PICK_ANY || !el_str_eq (el_str (ep->key), avoid);
 }
 
-/* A usable pipeline and the number of streams it can serve at once. */
+/* A usable pipeline and the number of streams that it can serve concurrently.
+ */
 typedef struct candidate
 {
   rt_pipeline_t *pipe; /* NULL if there is none */
--- a/route/relay.h
+++ b/route/relay.h
@@ -111,9 +111,9 @@
   int keyed; /**< requests need an API key unless their rule is open */
   uint64_t max_body;
   uint64_t idle_ms; /**< idle timeout of callers' connections */
-  rt_rule_t *by_prefix;
-  rt_service_t *by_name;
-  rt_key_t *by_text;
+  rt_rule_t *rules_by_prefix;
+  rt_service_t *services_by_name;
+  rt_key_t *keys_by_text;
 } rt_rules_t;
 
 rt_rules_t *rt_rules_new (json_t *json);
--- a/route/router.c
+++ b/route/router.c
@@ -3,7 +3,7 @@
  * SPDX-License-Identifier: ISC
  */
 /** @file
- * The router: dispatches events, keeps the table of streams and implements
+ * The router: dispatches events, maintains the table of streams and implements
  * what all request types share: matching answers to calls, retrying after
  * failures and ending requests.
  */
@@ -51,7 +51,7 @@
 static const struct
 {
   const char *name;
-  int whole;     /* the answer is complete */
+  int complete;  /* the answer is complete */
   int retryable; /* the same request may succeed later */
 } reason_info[RT_REASONS] = {
   [RT_DONE] = { "stop", 1, 0 },
@@ -255,8 +255,9 @@
     }
   if (stream->call_pending)
     stream_call_ended (stream, EL_MAY_HAVE_RUN);
-  request_ops[stream->work]->release (stream, now, !reason_info[reason].whole);
-  if (reason_info[reason].whole)
+  request_ops[stream->work]->release (stream, now,
+                                      !reason_info[reason].complete);
+  if (reason_info[reason].complete)
     {
       stream->verdict = EL_RAN;
       router->counts.whole++;
@@ -281,8 +282,8 @@
   rt_admit_next (router, now);
 }
 
-/* Start an attempt. If there is no route, a stream that has started before and
-   has tokens waits for one to become available; any other ends at once. */
+/* Start an attempt. If there is no route, a stream that has tokens and made an
+   attempt before waits for one to become available; any other ends at once. */
 static void
 stream_start_attempt (rt_stream_t *stream, el_time_t now)
 {
--- a/route/rules.c
+++ b/route/rules.c
@@ -48,20 +48,21 @@
       rt_rule_t *rule = &rules->rules[i];
 
       rule->index = index_key (rule->host, rule->prefix, &len);
-      HASH_ADD_KEYPTR (hh, rules->by_prefix, rule->index, (unsigned)len, rule);
+      HASH_ADD_KEYPTR (hh, rules->rules_by_prefix, rule->index, (unsigned)len,
+                       rule);
     }
   for (i = 0; i < rules->nservices; i++)
     {
       rt_service_t *service = &rules->services[i];
 
-      HASH_ADD_KEYPTR (hh, rules->by_name, service->name.ptr,
+      HASH_ADD_KEYPTR (hh, rules->services_by_name, service->name.ptr,
                        (unsigned)service->name.len, service);
     }
   for (i = 0; i < rules->nkeys; i++)
     {
       rt_key_t *key = &rules->keys[i];
 
-      HASH_ADD_KEYPTR (hh, rules->by_text, key->text.ptr,
+      HASH_ADD_KEYPTR (hh, rules->keys_by_text, key->text.ptr,
                        (unsigned)key->text.len, key);
     }
 }
@@ -83,9 +84,9 @@
 
   if (!rules || --rules->refs)
     return;
-  HASH_CLEAR (hh, rules->by_prefix);
-  HASH_CLEAR (hh, rules->by_name);
-  HASH_CLEAR (hh, rules->by_text);
+  HASH_CLEAR (hh, rules->rules_by_prefix);
+  HASH_CLEAR (hh, rules->services_by_name);
+  HASH_CLEAR (hh, rules->keys_by_text);
   for (i = 0; i < rules->nrules; i++)
     {
       free (rules->rules[i].index);
@@ -114,8 +115,8 @@
   key = index_key (host, path, &len);
   for (; at && !rule; at--)
     if (path.ptr[at - 1] == '/')
-      HASH_FIND (hh, rules->by_prefix, key, (unsigned)(host.len + 1 + at),
-                 rule);
+      HASH_FIND (hh, rules->rules_by_prefix, key,
+                 (unsigned)(host.len + 1 + at), rule);
   free (key);
   return rule;
 }
@@ -127,7 +128,7 @@
   rt_key_t *key = NULL;
 
   if (text.len)
-    HASH_FIND (hh, rules->by_text, text.ptr, (unsigned)text.len, key);
+    HASH_FIND (hh, rules->keys_by_text, text.ptr, (unsigned)text.len, key);
   return key;
 }
 
@@ -138,7 +139,8 @@
   rt_service_t *service = NULL;
 
   if (name.len)
-    HASH_FIND (hh, rules->by_name, name.ptr, (unsigned)name.len, service);
+    HASH_FIND (hh, rules->services_by_name, name.ptr, (unsigned)name.len,
+               service);
   return service;
 }
 
--- a/route/trace.c
+++ b/route/trace.c
@@ -287,7 +287,7 @@
 }
 
 /** Read an event from a line of a trace. Its strings point into LINE;
-    rt_trace_release frees the rest. */
+    rt_trace_release frees what else it owns. */
 el_status_t
 rt_trace_read (json_t *line, el_time_t *now, rt_event_t *event, el_err_t *err)
 {
