--- a/route/blame.c
+++ b/route/blame.c
@@ -452,7 +452,7 @@
 }
 
 /** Clear the request on behalf of an operator. Return 0 if it is not tracked
-   or has already been cleared since. */
+    or has already been cleared since. */
 int
 rt_blame_clear (rt_blame_t *blame, rt_digest_t digest, el_time_t at)
 {
--- a/route/blame.h
+++ b/route/blame.h
@@ -39,8 +39,8 @@
                     endpoint */
 } rt_instance_t;
 
-/** A report by one host: an endpoint instance crashed while a request was
-    running there. */
+/** A report by a host or by the store that an endpoint instance crashed while
+    a request was running there. */
 typedef struct rt_crash_report
 {
   rt_instance_t instance;
--- a/route/librt.h
+++ b/route/librt.h
@@ -29,7 +29,7 @@
    maximum. */
 typedef struct rt_retry_budget
 {
-  uint64_t tenths; /* of a retry */
+  uint64_t tenths; /* in tenths of a retry */
 } rt_retry_budget_t;
 
 typedef struct rt_deployment rt_deployment_t;
--- a/route/order_failures.c
+++ b/route/order_failures.c
@@ -43,7 +43,7 @@
 }
 
 /** Counts an engine that crashed under its order. Returns 1 if the order
-   should not be given to any other engine from now on. */
+    should not be given to any other engine from now on. */
 int
 rt_order_failures_add (rt_order_failures_t *failures, rt_digest_t digest)
 {
--- a/route/relay.h
+++ b/route/relay.h
@@ -108,7 +108,7 @@
   size_t nservices;
   rt_key_t *keys;
   size_t nkeys;
-  int keyed; /**< requests need an API key unless their rule is open */
+  int keyed; /**< requests need an API key unless their rule is public */
   uint64_t max_body;
   uint64_t idle_ms; /**< idle timeout of callers' connections */
   rt_rule_t *rules_by_prefix;
@@ -335,7 +335,7 @@
 /** The properties of a request that its digest covers. */
 typedef struct rt_digest_input
 {
-  el_str_t customer; /**< empty under an open rule */
+  el_str_t customer; /**< empty under a public rule */
   el_str_t method;
   el_str_t host;
   el_str_t path; /**< includes the query */
--- a/route/route.h
+++ b/route/route.h
@@ -164,7 +164,7 @@
   size_t max_queue;     /**< maximum number of queued streams */
   el_time_t call_limit; /**< time limit of one call to a pipeline stage */
   el_time_t leave_hold; /**< for how long an endpoint counts as leaving after
-                             a notice that it is */
+                             its notice */
   rt_action_cb act;
   void *arg;
 } rt_options_t;
