--- a/route/blame.c
+++ b/route/blame.c
@@ -12,23 +12,25 @@
 
 #include "libblame.h"
 
-/* Reports expire after this. Where an endpoint crashes once an hour by itself,
-   with one request of a hundred running there each time, the crash says
-   nothing about that request ten minutes later. A culprit that pauses for this
-   long crashes two endpoints in ten minutes and is not blocked; without pauses
-   it crashed ten in a minute. */
-#define FACT_LIFETIME (600 * EL_SEC)
+/* Reports expire after this. Where an endpoint crashes once an hour for other
+   reasons, with one request of a hundred running there each time, the crash
+   says nothing about that request ten minutes later. A culprit that pauses for
+   this long crashes two endpoints in ten minutes and is not blocked; without
+   pauses it crashed ten in a minute. */
+#define REPORT_LIFETIME (600 * EL_SEC)
 /* Duration of a request's first block. It doubles each time the request
    crashes another endpoint after a block has ended, so that waiting out the
    blocks costs one endpoint per block. */
 #define BLOCK_TIME_MIN (600 * EL_SEC)
 #define BLOCK_TIME_DOUBLINGS_MAX 3
-/* Crashes stored; a hall of a hundred engines may fail at once. */
+/* Maximum number of stored crashes; a hall of a hundred engines may fail at
+   once. */
 #define CRASHES_MAX 512
-/* Requests stored per crash: the slots of an engine and its queue. */
+/* Maximum number of requests stored per crash: those in the slots and the
+   queue of an engine. */
 #define RUNS_PER_CRASH_MAX 320
 /* Hosts derive the time of a report from the age of its message, so that it
-   may seem later than it was by up to this. */
+   may appear up to this much later than it was. */
 #define TIME_TOLERANCE (50 * EL_MSEC)
 
 /** Return a hash that identifies an endpoint instance. */
@@ -73,7 +75,7 @@
   return blame;
 }
 
-/* Return NULL if the request is not tracked. */
+/* Return the tracked request with DIGEST, or NULL. */
 blame_request_t *
 blame_request_find (const rt_blame_t *blame, rt_digest_t digest)
 {
@@ -112,8 +114,8 @@
 {
   while (crash->runs)
     run_free (crash->runs);
-  DL_DELETE (blame->by_time, crash);
-  HASH_DEL (blame->crash_by_key, crash);
+  DL_DELETE (blame->crashes_by_time, crash);
+  HASH_DEL (blame->crashes_by_key, crash);
   free (crash);
 }
 
@@ -124,16 +126,16 @@
   blame_request_t *request;
   blame_request_t *next;
 
-  while (blame->by_time)
-    crash_free (blame, blame->by_time);
+  while (blame->crashes_by_time)
+    crash_free (blame, blame->crashes_by_time);
   HASH_ITER (hh, blame->requests, request, next)
   request_free (blame, request);
   free (blame);
 }
 
-/* Make room for one more request. Evict one of the customer's own if it
+/* Evict a request if that is needed to add one of OWNER: one of OWNER's if it
    exceeds its quota, else, when the table is full, one of the customer with
-   the most requests, so that no customer can push out what is known about the
+   the most requests, so that no customer can evict what is known about the
    requests of others. Evict the request with the fewest blocks, and of these
    the one with the oldest report. */
 static void
@@ -157,7 +159,7 @@
   if (request->customer == owner
       && (!victim || request->holds < victim->holds
           || (request->holds == victim->holds
-              && request->last_fact < victim->last_fact)))
+              && request->last_report_at < victim->last_report_at)))
     victim = request;
   if (victim)
     request_free (blame, victim);
@@ -199,14 +201,15 @@
 static void
 crash_insert_by_time (rt_blame_t *blame, blame_crash_t *crash)
 {
-  blame_crash_t *after = blame->by_time ? blame->by_time->prev : NULL;
+  blame_crash_t *after
+      = blame->crashes_by_time ? blame->crashes_by_time->prev : NULL;
 
   while (after && after->at > crash->at)
-    after = after == blame->by_time ? NULL : after->prev;
+    after = after == blame->crashes_by_time ? NULL : after->prev;
   if (after)
-    DL_APPEND_ELEM (blame->by_time, after, crash);
+    DL_APPEND_ELEM (blame->crashes_by_time, after, crash);
   else
-    DL_PREPEND (blame->by_time, crash);
+    DL_PREPEND (blame->crashes_by_time, crash);
 }
 
 static blame_crash_t *
@@ -215,17 +218,17 @@
   uint64_t key = rt_instance_key (&report->instance);
   blame_crash_t *crash;
 
-  HASH_FIND (hh, blame->crash_by_key, &key, sizeof key, crash);
+  HASH_FIND (hh, blame->crashes_by_key, &key, sizeof key, crash);
   if (crash)
     return crash;
-  if (HASH_COUNT (blame->crash_by_key) >= CRASHES_MAX)
-    crash_free (blame, blame->by_time);
+  if (HASH_COUNT (blame->crashes_by_key) >= CRASHES_MAX)
+    crash_free (blame, blame->crashes_by_time);
   crash = el_alloc (sizeof *crash);
   crash->key = key;
   crash->instance = report->instance;
   crash->at = report->at;
   crash->detected_at = EL_TIME_NEVER;
-  HASH_ADD (hh, blame->crash_by_key, key, sizeof crash->key, crash);
+  HASH_ADD (hh, blame->crashes_by_key, key, sizeof crash->key, crash);
   crash_insert_by_time (blame, crash);
   return crash;
 }
@@ -265,8 +268,8 @@
   return NULL;
 }
 
-/* Whether a run that began then reached an endpoint already known to have
-   crashed, and thus did not run there. */
+/* Whether a run that began at BEGAN_AT was sent to an endpoint already known
+   to have crashed, and thus did not run there. */
 static int
 crash_detected_before (const blame_crash_t *crash, el_time_t began_at)
 {
@@ -290,7 +293,8 @@
     run_free (run);
 }
 
-/* Return 0 if the request began after the crash or has completed since. */
+/* Add a run of the request at the crashed endpoint. Return 0 if the run began
+   after the crash was detected or the request was cleared since. */
 static int
 run_add (rt_blame_t *blame, blame_crash_t *crash,
          const rt_crash_report_t *report)
@@ -309,16 +313,16 @@
   run->began_at = report->at - report->ran;
   run->ran = report->ran;
   run->first = report->first;
-  if (request->last_fact < crash->at)
-    request->last_fact = crash->at;
+  if (request->last_report_at < crash->at)
+    request->last_report_at = crash->at;
   DL_APPEND2 (crash->runs, run, crash_prev, crash_next);
   DL_APPEND (request->runs, run);
   crash->nruns++;
   return 1;
 }
 
-/* The request ran there more than once concurrently: keep the run that began
-   last. Return 0 if nothing changes. */
+/* The request ran more than once concurrently at the endpoint: keep the run
+   that began last. Return 0 if nothing changes. */
 static int
 run_update (blame_run_t *run, const rt_crash_report_t *report)
 {
@@ -341,7 +345,7 @@
   blame_run_t *run;
   int changed;
 
-  if (report->at + FACT_LIFETIME < now)
+  if (report->at + REPORT_LIFETIME < now)
     return 0;
   crash = crash_get (blame, report);
   changed = crash_add_witness (crash, report->host);
@@ -356,7 +360,8 @@
          || changed;
 }
 
-/** Whether the crash of START was seen by a single host, other than HOST. */
+/** Whether the crash of INSTANCE is reported but not confirmed, and HOST has
+    not reported it yet. */
 int
 rt_blame_needs_witness (const rt_blame_t *blame, const rt_instance_t *instance,
                         uint64_t host)
@@ -364,7 +369,7 @@
   uint64_t key = rt_instance_key (instance);
   const blame_crash_t *crash;
 
-  HASH_FIND (hh, blame->crash_by_key, &key, sizeof key, crash);
+  HASH_FIND (hh, blame->crashes_by_key, &key, sizeof key, crash);
   return crash && !blame_crash_confirmed (crash)
          && (!crash->nwitnesses || crash->witnesses[0] != host);
 }
@@ -383,8 +388,8 @@
     run_free (run);
 }
 
-/** Whether to tell other hosts about a run: it was short, or its request was
-    already a suspect or blocked. */
+/** Whether to publish the report to other hosts: the run was short, or its
+    request was already suspect or blocked. */
 int
 rt_blame_should_publish (const rt_blame_t *blame,
                          const rt_crash_report_t *report)
@@ -393,8 +398,8 @@
          || rt_blame_get_status (blame, report->at, report->digest).state;
 }
 
-/* Identify the newest crash that other hosts know for this request, else its
-   block. */
+/* Return an identifier of the newest crash of this request that other hosts
+   know, or else of its block. */
 static uint64_t
 request_rumor_id (const blame_request_t *request)
 {
@@ -410,8 +415,8 @@
 
 /** The request completed at AT without a crash: earlier crashes no longer
     count against it, and a block that began before AT is lifted. Return an
-    identifier of what other hosts must clear it of, which is the same at all
-    hosts, or 0 if they know nothing of it. */
+    identifier, the same at all hosts, of what other hosts must clear it of, or
+    0 if there is nothing to clear. */
 uint64_t
 rt_blame_completed (rt_blame_t *blame, rt_digest_t digest, el_time_t at)
 {
@@ -441,13 +446,13 @@
     return 0;
   request->holds = holds;
   request->blocked_until = at + rt_blame_block_time (holds);
-  if (request->last_fact < at)
-    request->last_fact = at;
+  if (request->last_report_at < at)
+    request->last_report_at = at;
   return 1;
 }
 
-/** Clear the request, as an operator asked. Return 0 if it is not known or has
-    already been cleared since. */
+/** Clear the request on behalf of an operator. Return 0 if it is not tracked
+    or has already been cleared since. */
 int
 rt_blame_clear (rt_blame_t *blame, rt_digest_t digest, el_time_t at)
 {
@@ -470,7 +475,7 @@
   return (!request->blocked_until
           || request->blocked_until + rt_blame_block_time (request->holds)
                  < now)
-         && request->cleared_at + FACT_LIFETIME < now;
+         && request->cleared_at + REPORT_LIFETIME < now;
 }
 
 /* Drop expired crashes and requests. */
@@ -480,8 +485,9 @@
   blame_request_t *request;
   blame_request_t *next;
 
-  while (blame->by_time && blame->by_time->at + FACT_LIFETIME < now)
-    crash_free (blame, blame->by_time);
+  while (blame->crashes_by_time
+         && blame->crashes_by_time->at + REPORT_LIFETIME < now)
+    crash_free (blame, blame->crashes_by_time);
   HASH_ITER (hh, blame->requests, request, next)
   if (!request->runs && request_expired (request, now))
     request_free (blame, request);
--- a/route/pick.c
+++ b/route/pick.c
@@ -10,9 +10,9 @@
  */
 #include "librt.h"
 
-/* Samples taken; if none is usable, all pipelines are examined. */
+/* Maximum number of samples; if none is usable, all pipelines are examined. */
 #define PICK_SAMPLES_MAX 16
-/* Usable pipelines to compare before sampling stops. */
+/* Number of usable pipelines at which sampling stops. */
 #define PICK_CANDIDATES_MAX 4
 
 /* Which endpoints may be chosen, from the strictest level to the last
@@ -34,7 +34,8 @@
   return level == PICK_ANY || !el_str_eq (el_str (ep->key), avoid);
 }
 
-/* A usable pipeline and the number of streams it can serve at once. */
+/* A usable pipeline and the number of streams that it can serve concurrently.
+ */
 typedef struct candidate
 {
   rt_pipeline_t *pipe; /* NULL if there is none */
@@ -69,16 +70,16 @@
 {
   uint64_t relative_load_a;
   uint64_t relative_load_b;
-  int room_a;
-  int room_b;
+  int spare_a;
+  int spare_b;
 
   if (!b->pipe)
     return 1;
-  room_a = a->pipe->streams < a->capacity;
-  room_b = b->pipe->streams < b->capacity;
-  if (room_a != room_b)
-    return room_a;
-  if (room_a && a->pipe->weight != b->pipe->weight)
+  spare_a = a->pipe->streams < a->capacity;
+  spare_b = b->pipe->streams < b->capacity;
+  if (spare_a != spare_b)
+    return spare_a;
+  if (spare_a && a->pipe->weight != b->pipe->weight)
     return a->pipe->weight > b->pipe->weight;
   relative_load_a = (a->pipe->streams + 1) * b->capacity;
   relative_load_b = (b->pipe->streams + 1) * a->capacity;
