--- a/Makefile
+++ b/Makefile
@@ -17,7 +17,7 @@
 BASE = base/str.c base/err.c base/timer.c base/random.c base/metrics.c base/log.c \
        base/settings.c
 COORD = coord/mbr_members.c coord/mbr_update.c coord/mbr_probe.c coord/rumor.c coord/token.c coord/ledger.c coord/cfg_schema.c coord/cfg_apply.c
-ROUTE = route/avail.c route/router.c route/table.c route/path.c route/pick.c route/health.c \
+ROUTE = route/avail.c route/router.c route/table.c route/route_build.c route/pick.c route/health.c \
         route/admit.c route/retry.c route/chat.c route/call.c route/trace.c \
         route/rules.c route/fleet.c route/chain.c route/chain_use.c route/estimate.c \
         route/layout.c route/attempts.c route/digest.c route/order_failures.c route/blame.c route/blame_status.c route/blame_rule.c
--- a/elmarchd/frontend.c
+++ b/elmarchd/frontend.c
@@ -159,12 +159,12 @@
   if (pf_attrs_read (item->key, item->value, &attrs, &entry, &err))
     {
       target = rt_fleet_find (frontend->fleet, attrs.id);
-      if (target && !rt_target_same_start (target, &attrs))
+      if (target && !rt_target_same_instance (target, &attrs))
         endpoint_removed (frontend, item, "endpoint_restarted");
       endpoint_log (frontend, &attrs, "endpoint", item->revision);
       target = rt_fleet_update (frontend->fleet, &attrs);
       target->epoch = frontend->store.epoch;
-      target->listed = net_clock_now (gt_gate_clock (frontend->gate));
+      target->listed_at = net_clock_now (gt_gate_clock (frontend->gate));
       gt_relays_engine_changed (frontend->relays, target);
     }
   else
--- a/gate/gate.c
+++ b/gate/gate.c
@@ -200,7 +200,7 @@
     { "elmarch_ejected_total", "times an endpoint was set aside", EL_COUNTER,
       RT_COUNT (ejected) },
     { "elmarch_rests_total", "times an endpoint asked for rest", EL_COUNTER,
-      RT_COUNT (rests) },
+      RT_COUNT (backoffs) },
     { "elmarch_leaving_total", "refusals by endpoints that leave", EL_COUNTER,
       RT_COUNT (leaving) },
     { "elmarch_active", "requests running", EL_GAUGE, &gate->gauge_active },
--- a/gate/relay.c
+++ b/gate/relay.c
@@ -157,7 +157,7 @@
   gt_relays_t *relays = relay->relays;
   const rt_key_t *key;
 
-  if (!relay->rules->keyed || relay->rule->open)
+  if (!relay->rules->needs_key || relay->rule->is_public)
     return 1;
   if (!fresh)
     {
--- a/gate/relay_attempt.c
+++ b/gate/relay_attempt.c
@@ -279,7 +279,7 @@
     rt_target_busy (fault, now);
   else
     rt_target_failed (fault, now);
-  if (relay->chain.n && !attempt->answered && !relay->hints.rest)
+  if (relay->chain.n && !attempt->answered && !relay->hints.backoff)
     relay_check (relay->relays, fault);
   rt_tried_add (&relay->tried, fault);
 }
--- a/gate/relay_backoff.c
+++ b/gate/relay_backoff.c
@@ -135,12 +135,13 @@
 gt_relays_apply_hints (gt_relays_t *relays, rt_target_t *target,
                        const rt_hints_t *hints, el_str_t by)
 {
-  if (hints->leaves)
+  if (hints->leaving)
     leaving_learned (relays, target, by);
-  if (hints->rest
+  if (hints->backoff
       && rt_fleet_backoff (relays->options.fleet, target,
-                           net_clock_now (relays->options.clock), hints->rest))
-    backoff_start (relays, target, hints->rest, by);
+                           net_clock_now (relays->options.clock),
+                           hints->backoff))
+    backoff_start (relays, target, hints->backoff, by);
 }
 
 /** Applies the hints in the head of RELAY's response. A refusal may name an
@@ -156,7 +157,7 @@
                          relay->id);
   if (fault != relay->target)
     gt_relays_apply_hints (relay->relays, fault,
-                           &(rt_hints_t){ .rest = relay->hints.rest },
+                           &(rt_hints_t){ .backoff = relay->hints.backoff },
                            relay->id);
 }
 
--- a/gate/relay_log.c
+++ b/gate/relay_log.c
@@ -51,21 +51,21 @@
 relay_log_sent (const gt_relay_t *relay, el_time_t now)
 {
   const rt_target_t *target = relay->target;
-  EL_LOG (EL_LOG_INFO, "sent", EL_FS ("request", relay->id),
-          EL_FS ("endpoint", target->attrs.id),
-          EL_FN ("born", target->attrs.born),
-          EL_FN ("attempt", relay->attempts.sent + 1),
-          EL_FN ("parts", relay->chain.n),
-          EL_FC ("against",
-                 rt_unavail_name (rt_avail_reason_at (&target->avail, now))),
-          EL_FN ("rest_left_us", rt_avail_backoff_left (&target->avail, now)),
-          EL_FN ("leaving", rt_target_is_leaving (target)),
-          EL_FN ("running", target->running),
-          EL_FN ("told_age_us",
-                 target->reported_at ? now - target->reported_at : 0),
-          EL_FN ("listed_epoch", target->epoch),
-          EL_FN ("listed_age_us", target->listed ? now - target->listed : 0),
-          EL_FN ("known_age_us", now - relay->relays->rules_as_of));
+  EL_LOG (
+      EL_LOG_INFO, "sent", EL_FS ("request", relay->id),
+      EL_FS ("endpoint", target->attrs.id), EL_FN ("born", target->attrs.born),
+      EL_FN ("attempt", relay->attempts.sent + 1),
+      EL_FN ("parts", relay->chain.n),
+      EL_FC ("against",
+             rt_unavail_name (rt_avail_reason_at (&target->avail, now))),
+      EL_FN ("rest_left_us", rt_avail_backoff_left (&target->avail, now)),
+      EL_FN ("leaving", rt_target_is_leaving (target)),
+      EL_FN ("running", target->running),
+      EL_FN ("told_age_us",
+             target->reported_at ? now - target->reported_at : 0),
+      EL_FN ("listed_epoch", target->epoch),
+      EL_FN ("listed_age_us", target->listed_at ? now - target->listed_at : 0),
+      EL_FN ("known_age_us", now - relay->relays->rules_as_of));
 }
 
 /** Logs an attempt whose response is not forwarded; NEXT is what follows. */
@@ -94,7 +94,7 @@
           EL_FN ("budget_left", relay_retry_left (relay)),
           EL_FC ("next", next_names[next]),
           EL_FS ("fault", net_result_header (result, dialect->names.at_fault)),
-          EL_FN ("rest_asked_us", relay->hints.rest),
+          EL_FN ("rest_asked_us", relay->hints.backoff),
           EL_FS ("line", el_buf_str (&chain)));
   el_buf_free (&chain);
 }
--- a/route/avail.c
+++ b/route/avail.c
@@ -155,15 +155,15 @@
   el_time_t wait;
 
   avail->failures++;
-  if (!immediate && avail->failures < ejection->after)
+  if (!immediate && avail->failures < ejection->threshold)
     return 0;
-  excess = avail->failures > ejection->after
-               ? avail->failures - ejection->after
+  excess = avail->failures > ejection->threshold
+               ? avail->failures - ejection->threshold
                : 0;
-  wait = ejection->first << (excess < ejection->doublings
+  wait = ejection->first << (excess < ejection->max_doublings
                                  ? excess
-                                 : ejection->doublings);
-  avail->ejected_until = now + (wait < ejection->most ? wait : ejection->most);
+                                 : ejection->max_doublings);
+  avail->ejected_until = now + (wait < ejection->max ? wait : ejection->max);
   return 1;
 }
 
--- a/route/avail.h
+++ b/route/avail.h
@@ -49,10 +49,10 @@
     failures. Each further failure doubles the time. */
 typedef struct rt_ejection
 {
-  unsigned after;     /**< consecutive failures that eject an endpoint */
-  el_time_t first;    /**< duration after that many failures */
-  unsigned doublings; /**< maximum number of doublings */
-  el_time_t most;     /**< maximum duration */
+  unsigned threshold;     /**< consecutive failures that eject an endpoint */
+  el_time_t first;        /**< duration after that many failures */
+  unsigned max_doublings; /**< maximum number of doublings */
+  el_time_t max;          /**< maximum duration */
 } rt_ejection_t;
 
 /** Reasons to avoid an endpoint and when each expires. */
--- a/route/fleet.c
+++ b/route/fleet.c
@@ -11,9 +11,10 @@
 #include "relay.h"
 
 /* A single failure may be coincidence and does not eject an endpoint. */
-static const rt_ejection_t ejection = {
-  .after = 2, .first = 200 * EL_MSEC, .doublings = 4, .most = 3200 * EL_MSEC
-};
+static const rt_ejection_t ejection = { .threshold = 2,
+                                        .first = 200 * EL_MSEC,
+                                        .max_doublings = 4,
+                                        .max = 3200 * EL_MSEC };
 /* How long an endpoint without capacity is avoided. It is short, as streams
    end all the time. */
 #define BUSY_DURATION (100 * EL_MSEC)
@@ -132,7 +133,7 @@
 /** Whether ATTRS and TARGET describe the same instance, as far as start times
     are known. */
 int
-rt_target_same_start (const rt_target_t *target, const rt_attrs_t *attrs)
+rt_target_same_instance (const rt_target_t *target, const rt_attrs_t *attrs)
 {
   return !target->attrs.born || !attrs->born
          || target->attrs.born == attrs->born;
@@ -204,7 +205,7 @@
 {
   rt_target_t *target = rt_fleet_find (fleet, attrs->id);
 
-  if (target && !rt_target_same_start (target, attrs))
+  if (target && !rt_target_same_instance (target, attrs))
     {
       rt_fleet_remove (fleet, attrs->id);
       target = NULL;
@@ -251,7 +252,8 @@
       unlisted_add (fleet, id, born, &leaving);
       return NULL;
     }
-  if (!rt_target_same_start (target, &attrs) || rt_target_is_leaving (target))
+  if (!rt_target_same_instance (target, &attrs)
+      || rt_target_is_leaving (target))
     return NULL;
   rt_target_mark_leaving (target);
   return target;
--- a/route/health.c
+++ b/route/health.c
@@ -9,9 +9,10 @@
  */
 #include "librt.h"
 
-static const rt_ejection_t ejection_policy = {
-  .after = 3, .first = 500 * EL_MSEC, .doublings = 5, .most = 15 * EL_SEC
-};
+static const rt_ejection_t ejection_policy = { .threshold = 3,
+                                               .first = 500 * EL_MSEC,
+                                               .max_doublings = 5,
+                                               .max = 15 * EL_SEC };
 
 /* The effect of a failure on the endpoint's ejection. */
 static const struct
@@ -81,7 +82,7 @@
   rt_endpoint_t *ep = rt_endpoint_find (router, name);
 
   if (ep && rt_avail_backoff (&ep->avail, now, requested, rt_random (router)))
-    router->counts.rests++;
+    router->counts.backoffs++;
 }
 
 /** A call to the endpoint was answered. */
--- a/route/relay.h
+++ b/route/relay.h
@@ -45,7 +45,7 @@
   el_time_t target;  /**< target latency; a slower answer counts as late */
   unsigned attempts; /**< maximum number of attempts that may have run */
   unsigned priority; /**< 0 is the highest */
-  int open;          /**< needs no API key */
+  int is_public;     /**< needs no API key */
   int resumable;     /**< a stream may continue at another endpoint */
   rt_service_weight_t *shares;
   size_t nshares;
@@ -108,7 +108,7 @@
   size_t nservices;
   rt_key_t *keys;
   size_t nkeys;
-  int keyed; /**< requests need an API key unless their rule is public */
+  int needs_key; /**< requests need an API key unless their rule is public */
   uint64_t max_body;
   uint64_t idle_ms; /**< idle timeout of callers' connections */
   rt_rule_t *rules_by_prefix;
@@ -158,13 +158,13 @@
 {
   rt_attrs_t attrs; /**< owns its strings */
   unsigned refs;
-  uint64_t epoch;   /**< epoch of the store when its entry was last reported */
-  el_time_t listed; /**< time at which its entry was last reported */
-  rt_avail_t avail; /**< availability for new requests */
-  unsigned running; /**< requests of this host in flight there */
-  unsigned chains;  /**< streams of this host whose chain includes it */
-  double kv_held;   /**< KV cache of this host's streams there, in tokens times
-                       layers */
+  uint64_t epoch; /**< epoch of the store when its entry was last reported */
+  el_time_t listed_at; /**< time at which its entry was last reported */
+  rt_avail_t avail;    /**< availability for new requests */
+  unsigned running;    /**< requests of this host in flight there */
+  unsigned chains;     /**< streams of this host whose chain includes it */
+  double kv_held; /**< KV cache of this host's streams there, in tokens times
+                     layers */
   double to_prefill;       /**< part of that load that is not prefilled yet */
   el_time_t last_event_at; /**< when a stream through it last had an event */
   double pace; /**< slowdown relative to its accelerator type; 0: unknown,
@@ -184,8 +184,8 @@
 /** Load-control hints that an endpoint sends with an answer. */
 typedef struct rt_hints
 {
-  el_time_t rest; /**< requested backoff; 0: none */
-  int leaves;     /**< it is leaving: takes no new requests */
+  el_time_t backoff; /**< requested backoff; 0: none */
+  int leaving;       /**< it is leaving: takes no new requests */
 } rt_hints_t;
 
 typedef struct rt_fleet rt_fleet_t;
@@ -193,7 +193,8 @@
 rt_fleet_t *rt_fleet_new (uint64_t seed);
 void rt_fleet_free (rt_fleet_t *fleet);
 rt_target_t *rt_fleet_update (rt_fleet_t *fleet, const rt_attrs_t *attrs);
-int rt_target_same_start (const rt_target_t *target, const rt_attrs_t *attrs);
+int rt_target_same_instance (const rt_target_t *target,
+                             const rt_attrs_t *attrs);
 void rt_fleet_remove (rt_fleet_t *fleet, el_str_t id);
 rt_target_t *rt_fleet_find (const rt_fleet_t *fleet, el_str_t id);
 rt_target_t *rt_fleet_first (const rt_fleet_t *fleet);
--- a/route/route.h
+++ b/route/route.h
@@ -186,7 +186,7 @@
   uint64_t crossed;   /**< answers that belong to another call */
   uint64_t ejected;   /**< times an endpoint was ejected after failures */
   uint64_t leaving;   /**< calls refused because the endpoint is leaving */
-  uint64_t rests;     /**< backoffs that began at an endpoint's request */
+  uint64_t backoffs;  /**< backoffs that began at an endpoint's request */
 } rt_counts_t;
 
 rt_router_t *rt_router_new (const rt_options_t *options);
--- a/tests/t_avail.c
+++ b/tests/t_avail.c
@@ -21,9 +21,10 @@
 #define SEEDS 200
 #define EVENTS 400
 
-static const rt_ejection_t avoid = {
-  .after = 1, .first = 200 * EL_MSEC, .doublings = 4, .most = 3200 * EL_MSEC
-};
+static const rt_ejection_t avoid = { .threshold = 1,
+                                     .first = 200 * EL_MSEC,
+                                     .max_doublings = 4,
+                                     .max = 3200 * EL_MSEC };
 static const rt_tried_t none;
 
 static rt_card_t cards[] = { { { "half", 4 }, 4500, 1, 1 } };
@@ -403,12 +404,12 @@
       const net_header_t header
           = { EL_STR ("Retry-After"), el_str (times[i].value) };
 
-      ck_assert_msg (read_hints (503, &header, 1).rest == times[i].backoff,
+      ck_assert_msg (read_hints (503, &header, 1).backoff == times[i].backoff,
                      "%s", times[i].value);
-      ck_assert_uint_eq (read_hints (429, &header, 1).rest, 0);
-      ck_assert_uint_eq (read_hints (200, &header, 1).rest, 0);
+      ck_assert_uint_eq (read_hints (429, &header, 1).backoff, 0);
+      ck_assert_uint_eq (read_hints (200, &header, 1).backoff, 0);
     }
-  ck_assert_uint_eq (read_hints (503, NULL, 0).rest, 0);
+  ck_assert_uint_eq (read_hints (503, NULL, 0).backoff, 0);
 }
 END_TEST
 
@@ -419,7 +420,7 @@
                                    { EL_STR ("RETRY-AFTER"), EL_STR ("4") },
                                    { EL_STR ("retry-after"), EL_STR ("?") } };
 
-  ck_assert_uint_eq (read_hints (503, headers, 4).rest, 4 * EL_SEC);
+  ck_assert_uint_eq (read_hints (503, headers, 4).backoff, 4 * EL_SEC);
 }
 END_TEST
 
@@ -431,11 +432,11 @@
   size_t i;
 
   for (i = 0; i < sizeof statuses / sizeof *statuses; i++)
-    ck_assert_int_eq (read_hints (statuses[i], &header, 1).leaves, 1);
+    ck_assert_int_eq (read_hints (statuses[i], &header, 1).leaving, 1);
   for (i = 0; i < sizeof others / sizeof *others; i++)
     {
       header.value = el_str (others[i]);
-      ck_assert_int_eq (read_hints (200, &header, 1).leaves, 0);
+      ck_assert_int_eq (read_hints (200, &header, 1).leaving, 0);
     }
 }
 END_TEST
--- a/tests/t_connect.c
+++ b/tests/t_connect.c
@@ -191,7 +191,7 @@
 close_endpoint (rt_target_t *target, int reason)
 {
   static const rt_hints_t hints[]
-      = { { .rest = 60 * EL_SEC }, { .leaves = 1 }, { 0 } };
+      = { { .backoff = 60 * EL_SEC }, { .leaving = 1 }, { 0 } };
 
   gt_relays_apply_hints (relays, target, &hints[reason], EL_STR ("test"));
   if (reason == 2)
