--- a/peer/peer.x
+++ b/peer/peer.x
@@ -3,8 +3,8 @@
  * SPDX-License-Identifier: ISC
  */
 /*
- * Messages between entry hosts. The committed peer.h and peer_xdr.c are made
- * from this file by "make proto".
+ * Messages between hosts. "make proto" generates the committed peer_proto.h
+ * and peer_xdr.c from this file.
  */
 const PEER_MAC = 32;
 const PEER_BODY_MAX = 9437184;
@@ -24,7 +24,8 @@
 const PEER_RUMOR_MAX = 1000;
 const PEER_RUMORS_MAX = 4096;
 
-/* Every call and result travels sealed: an XDR body and its code. */
+/* Every call and result is sent in this form: an XDR body and its message
+   authentication code, keyed with the cluster key. */
 struct peer_sealed {
   opaque mac[PEER_MAC];
   opaque body<PEER_BODY_MAX>;
@@ -43,7 +44,7 @@
   int offer;
 };
 
-/* How a member is, for those that know it already. */
+/* Change of a member's state, for hosts that already know the member. */
 struct peer_member_change {
   opaque incarnation[PEER_INCARNATION];
   unsigned hyper counter;
@@ -56,17 +57,19 @@
   opaque endpoint<PEER_ADDRESS_MAX>;
 };
 
-/* A probe, and its answer; in datagrams. */
+/* A membership probe and its reply, sent in datagrams; also the notice of a
+   successor at a planned stop, sent over TCP. */
 struct peer_gossip {
   peer_member self;
   unsigned hyper digest;
   peer_member members<PEER_NEWS_MAX>;
   peer_member_change changes<PEER_NEWS_MAX>;
   peer_leaving leaving<PEER_NEWS_MAX>;
-  unsigned hyper rumors; /* names the set that the sender knows */
+  unsigned hyper rumors; /* digest of the set that the sender knows */
 };
 
-/* A fact that all hosts should know soon, told first AGE_US ago. */
+/* A short message that should reach all hosts soon. It was published AGE_US
+   microseconds ago and is kept for another LEFT_US. */
 struct peer_rumor {
   unsigned hyper id;
   unsigned hyper age_us;
@@ -74,26 +77,29 @@
   opaque body<PEER_RUMOR_MAX>;
 };
 
-/* Passes rumors on, or asks for all that the other host knows. */
+/* Rumors forwarded or returned to another host. ASK requests all rumors that
+   the receiver knows. */
 struct peer_rumors {
   bool ask;
   peer_rumor rumors<PEER_RUMORS_MAX>;
 };
 
-/* Asks to probe another host and to hand its answer on. */
+/* Requests a probe of another host on behalf of the sender; the reply is
+   passed on to the sender. */
 struct peer_relay {
   opaque target<PEER_ADDRESS_MAX>;
   peer_gossip gossip;
 };
 
-/* A host that has just started or missed news asks for all members that
-   another one knows: the live ones whole, the others as changes. */
+/* Reply to a host that has just started or has missed gossip: all members that
+   the sender knows, those alive or suspect in full, the others as state
+   changes. */
 struct peer_members {
   peer_member members<PEER_MEMBERS_MAX>;
   peer_member_change changes<PEER_MEMBERS_MAX>;
 };
 
-/* Asks for the changes of configuration after a revision. */
+/* Requests the configuration changes after a revision. */
 struct peer_fetch_args {
   unsigned hyper after;
 };
@@ -139,12 +145,12 @@
   opaque body<PEER_BODY_MAX>;
 };
 
-/* The answer to a request of a session that is handed over. */
 struct peer_token {
   unsigned hyper id;
   unsigned hyper len;
 };
 
+/* Answer to a request of a session that is handed over. */
 struct peer_answer {
   bool chat;
   int verdict;
@@ -162,7 +168,7 @@
 struct peer_entry {
   unsigned hyper sequence;
   unsigned hyper digest;
-  peer_answer *answer; /* none while it runs */
+  peer_answer *answer; /* NULL while the request runs */
 };
 
 struct peer_session {
@@ -177,14 +183,16 @@
   peer_session sessions<PEER_SESSIONS_MAX>;
 };
 
-/* For each session whether it was taken over. */
+/* For each session, whether the successor accepted it. */
 struct peer_handover_res {
   bool taken<PEER_SESSIONS_MAX>;
 };
 
-/* Asks a host for what it has seen of the store after a revision of an epoch;
-   answered when it knows something newer, or has heard of its hall's engines.
-   KNOWN_AGO: microseconds since the moment as of which the asker knows all. */
+/* Requests store updates after a revision of an epoch. The reply is sent at
+   once when the other host has newer data or is in another epoch, else when it
+   has got an answer of the store or polled the engines of its hall.
+   KNOWN_AGO: microseconds since the time as of which the requester's data is
+   complete. */
 struct peer_news_args {
   unsigned hyper epoch;
   unsigned hyper after;
@@ -198,7 +206,7 @@
   opaque value<PEER_SPEC_MAX>;
 };
 
-/* How an engine does, as the host that tells it was told AGE_MS ago. */
+/* State of an engine. The sender received it AGE_MS milliseconds ago. */
 struct peer_engine {
   opaque id<PEER_NAME_MAX>;
   unsigned hyper born;
@@ -209,8 +217,8 @@
   bool silent;
 };
 
-/* KNOWN_AFTER: microseconds from the question's arrival to the moment as of
-   which all is told; negative when that lies before. */
+/* KNOWN_AFTER: microseconds from the arrival of the request to the time as of
+   which the reply is complete; negative when that time is earlier. */
 struct peer_news_res {
   bool ready;
   bool whole;
